--- a/internal/decide/node/answer.go
+++ b/internal/decide/node/answer.go
@@ -8,25 +8,26 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// answer ends a request: the caller hears at once, the home records it.
-func (node *Node) answer(ended *request, final outcome.Outcome) {
-	if final.Kind == outcome.NotRun && ended.mayHaveRun {
-		final = node.unsure(ended)
+// answer ends a request: it sends the outcome to the caller and reports it to the
+// home of the request's key.
+func (node *Node) answer(request *request, final outcome.Outcome) {
+	if final.Kind == outcome.NotRun && request.mayHaveRun {
+		final = node.unknownOutcome(request)
 	}
-	invariant.Check(final.Kind != outcome.NotRun || !ended.open && !ended.mayHaveRun,
-		"not run is said only when nothing received the request",
-		"request %s: %s in state %s", ended.arrived.RequestID, final.Reason, ended.state)
-	requestTable.Must(&ended.state, answerRequest)
-	delete(node.requests, ended.stream)
-	ended.record.Outcome = final
-	node.tellHome(ended, final)
-	node.emit(effect.Answer{Stream: ended.stream, Outcome: final, Record: ended.record, Stored: ended.replay})
+	invariant.Check(final.Kind != outcome.NotRun || !request.attemptOpen && !request.mayHaveRun,
+		"outcome NotRun is given only if nothing received the request",
+		"request %s: %s in state %s", request.arrival.RequestID, final.Reason, request.state)
+	requestTable.Must(&request.state, answerRequest)
+	delete(node.requests, request.stream)
+	request.record.Outcome = final
+	node.reportToHome(request, final)
+	node.emit(effect.Answer{Stream: request.stream, Outcome: final, Record: request.record, Stored: request.storedAnswer})
 }
 
-// unsure is what a caller is told when the last attempt did not run and an
-// earlier one may have: the reason of that one.
-func (node *Node) unsure(ended *request) outcome.Outcome {
-	for _, attempt := range ended.record.Attempts {
+// unknownOutcome returns the outcome for a request whose last attempt did not run
+// while an earlier one may have run: the outcome of that earlier attempt.
+func (node *Node) unknownOutcome(request *request) outcome.Outcome {
+	for _, attempt := range request.record.Attempts {
 		if attempt.Outcome.Kind == outcome.Unknown {
 			return attempt.Outcome
 		}
@@ -35,40 +36,40 @@
 }
 
 func (node *Node) callerGone(stream ident.StreamID) {
-	found, known := node.requests[stream]
+	request, known := node.requests[stream]
 	if !known {
 		return
 	}
-	gone := outcome.Refused(outcome.CallerGone, 0)
-	switch found.state {
+	final := outcome.Refused(outcome.CallerGone, 0)
+	switch request.state {
 	case requestResuming:
-		node.cancelOrphan(found)
-		gone = outcome.Lost(outcome.CallerGone)
+		node.cancelOrphan(request)
+		final = outcome.Lost(outcome.CallerGone)
 	case requestSubmitted, requestDispatched:
-		node.cancelAttempt(found)
-		gone = outcome.Lost(outcome.CallerGone)
+		node.cancelAttempt(request)
+		final = outcome.Lost(outcome.CallerGone)
 	}
-	node.answer(found, gone)
+	node.answer(request, final)
 }
 
-func (node *Node) cancelAttempt(found *request) {
-	if found.owner == "" {
+func (node *Node) cancelAttempt(request *request) {
+	if request.owner == "" {
 		return
 	}
-	node.send(found.owner, message.Cancel{Stream: found.stream, Engine: found.engine, Class: found.rule.Class})
+	node.send(request.owner, message.Cancel{Stream: request.stream, Engine: request.engine, Class: request.rule.Class})
 }
 
-// tickRequests gives up what can no longer succeed and repeats what may have
-// been lost on the way.
+// tickRequests ends requests that can no longer succeed and resends messages that
+// may have been lost.
 func (node *Node) tickRequests() {
-	for _, waiting := range node.requestsInOrder() {
-		switch waiting.state {
-		case requestAtHome:
-			node.tickHome(waiting)
+	for _, request := range node.requestsInOrder() {
+		switch request.state {
+		case requestAwaitingHome:
+			node.tickHome(request)
 		case requestResuming:
-			node.tickResume(waiting)
+			node.tickResume(request)
 		case requestSubmitted, requestDispatched:
-			node.tickHandedOn(waiting)
+			node.tickInFlight(request)
 		}
 	}
 	node.tickFinishes()
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -13,60 +13,61 @@
 	"teaselmoor/internal/decide/placement"
 )
 
-// place hands the request to a service, or to the owner of the best engine.
-func (node *Node) place(placed *request) {
-	if placed.service != nil {
-		node.callService(placed)
+// place calls the request's service, or submits the request to the owner of the
+// best engine.
+func (node *Node) place(request *request) {
+	if request.service != nil {
+		node.callService(request)
 		return
 	}
-	query := placement.Query{Adapter: placed.adapter, Pool: placed.rule.Pool, Tried: placed.tried}
+	query := placement.Query{Adapter: request.adapter, Pool: request.rule.Pool, Tried: request.triedEngines}
 	engine, candidates := node.policy.Choose(node.now, query, node.views)
-	placed.record.Candidates = slices.Clone(candidates)
+	request.record.Candidates = slices.Clone(candidates)
 	if engine == nil {
-		node.answer(placed, outcome.Refused(outcome.NoEngine, transientRetry))
+		node.answer(request, outcome.Refused(outcome.NoEngine, transientRetryDelay))
 		return
 	}
 	view := node.views.View(engine.Name)
 	view.Sent++
-	node.submitTo(placed, engine.Name, view.State.Owner)
+	node.submitTo(request, engine.Name, view.State.Owner)
 }
 
-// submitTo hands a request on as a new attempt.
-func (node *Node) submitTo(placed *request, engine ident.EngineID, owner ident.DaemonID) {
-	placed.engine, placed.owner = engine, owner
-	placed.priorFence, placed.priorBoot = 0, ""
+// submitTo submits a request to an engine's owner as a new attempt.
+func (node *Node) submitTo(request *request, engine ident.EngineID, owner ident.DaemonID) {
+	request.engine, request.owner = engine, owner
+	request.priorFence, request.priorBoot = 0, ""
 	if view := node.views.View(engine); view != nil {
-		placed.priorFence, placed.priorBoot = view.State.Fence, view.State.Boot
+		request.priorFence, request.priorBoot = view.State.Fence, view.State.Boot
 	}
-	requestTable.Must(&placed.state, submitRequest)
-	node.submit(placed)
+	requestTable.Must(&request.state, submitRequest)
+	node.submit(request)
 }
 
-func (node *Node) submit(placed *request) {
-	placed.open = true
-	placed.probeAt = max(node.now, placed.deadline) + probeInterval
-	node.note(placed)
-	node.send(placed.owner, message.Submit{
-		Stream: placed.stream,
-		Engine: placed.engine,
+func (node *Node) submit(request *request) {
+	request.attemptOpen = true
+	request.probeAt = max(node.now, request.deadline) + probeInterval
+	node.recordAttempt(request)
+	node.send(request.owner, message.Submit{
+		Stream: request.stream,
+		Engine: request.engine,
 		Request: message.Request{
-			ID: placed.arrived.RequestID, Caller: placed.caller.Name, Adapter: placed.adapter,
-			Class: placed.rule.Class, Repeatable: placed.rule.Repeatable,
-			Path: placed.arrived.Path, Streaming: placed.arrived.Streaming, Body: placed.arrived.Body,
+			ID: request.arrival.RequestID, Caller: request.caller.Name, Adapter: request.adapter,
+			Class: request.rule.Class, Repeatable: request.rule.Repeatable,
+			Path: request.arrival.Path, Streaming: request.arrival.Streaming, Body: request.arrival.Body,
 		},
-		Budget:     placed.deadline - node.now,
-		Resume:     placed.resumed,
-		PriorFence: placed.priorFence,
-		PriorBoot:  placed.priorBoot,
+		Budget:     request.deadline - node.now,
+		Resume:     request.resumed,
+		PriorFence: request.priorFence,
+		PriorBoot:  request.priorBoot,
 	})
 }
 
-func (node *Node) callService(placed *request) {
-	requestTable.Must(&placed.state, dispatchRequest)
-	address, _ := ownership.First(placed.stream.String(), addresses(placed.service))
-	placed.open = true
-	node.note(placed)
-	node.emit(effect.CallService{Stream: placed.stream, Service: placed.service.Name, Address: string(address)})
+func (node *Node) callService(request *request) {
+	requestTable.Must(&request.state, dispatchRequest)
+	address, _ := ownership.First(request.stream.String(), addresses(request.service))
+	request.attemptOpen = true
+	node.recordAttempt(request)
+	node.emit(effect.CallService{Stream: request.stream, Service: request.service.Name, Address: string(address)})
 }
 
 func addresses(service *config.Service) []ident.DaemonID {
@@ -77,124 +78,127 @@
 	return list
 }
 
-// note adds the present attempt to the decision record.
-func (node *Node) note(placed *request) {
-	placed.record.Attempts = append(placed.record.Attempts, outcome.Attempt{
-		Stream: placed.stream.String(), Engine: placed.engine, Owner: placed.owner, At: node.now,
-		Dispatched: placed.state == requestDispatched,
+// recordAttempt adds the current attempt to the decision record.
+func (node *Node) recordAttempt(request *request) {
+	request.record.Attempts = append(request.record.Attempts, outcome.Attempt{
+		Stream: request.stream.String(), Engine: request.engine, Owner: request.owner, At: node.now,
+		Dispatched: request.state == requestDispatched,
 	})
 }
 
-func (node *Node) dispatched(message message.Dispatched) {
-	found, known := node.requests[message.Stream]
-	if !known || found.state != requestSubmitted {
+func (node *Node) attemptDispatched(dispatched message.Dispatched) {
+	request, known := node.requests[dispatched.Stream]
+	if !known || request.state != requestSubmitted {
 		return
 	}
-	requestTable.Must(&found.state, dispatchRequest)
-	found.lastAttempt().Dispatched = true
+	requestTable.Must(&request.state, dispatchRequest)
+	request.lastAttempt().Dispatched = true
 }
 
-// headArrived lets an answer through to the caller; from then on no other
-// attempt may take its place.
+// headArrived opens the answer of the current attempt to the caller. From then on
+// no other attempt may replace it.
 func (node *Node) headArrived(event HeadArrived) {
-	found, known := node.requests[event.Stream]
-	if !known || !found.handedOn() {
+	request, known := node.requests[event.Stream]
+	if !known || !request.inFlight() {
 		return
 	}
-	found.delivering = true
-	found.mayHaveRun = true
+	request.answerStarted = true
+	request.mayHaveRun = true
 	node.emit(effect.Open{
-		Stream: event.Stream, From: event.From, Lane: message.LaneOf(found.rule.Class),
+		Stream: event.Stream, From: event.From, Lane: message.LaneOf(request.rule.Class),
 		Status: event.Status, ContentType: event.ContentType,
 	})
 }
 
-// answerReceived keeps what has arrived of an answer until its outcome is known.
+// answerReceived stores the received content and its number of chunks until the
+// attempt's outcome is known.
 func (node *Node) answerReceived(event AnswerReceived) {
-	if found, known := node.requests[event.Stream]; known {
-		found.content = event.Stored
-		found.chunks = event.Chunks
-		found.counted = true
+	if request, known := node.requests[event.Stream]; known {
+		request.contentForHome = event.Stored
+		request.chunks = event.Chunks
+		request.chunksKnown = true
 	}
 }
 
-// attemptEnded takes in an owner's word on an attempt.
+// attemptEnded handles an owner's report that an attempt ended.
 func (node *Node) attemptEnded(from ident.DaemonID, ended message.Ended) {
-	found, known := node.requests[ended.Stream]
-	if !known || !found.handedOn() || found.service != nil {
+	request, known := node.requests[ended.Stream]
+	if !known || !request.inFlight() || request.service != nil {
 		return
 	}
-	if ended.Outcome.Kind == outcome.Answered && found.counted && found.chunks != ended.Chunks {
+	if ended.Outcome.Kind == outcome.Answered && request.chunksKnown && request.chunks != ended.Chunks {
 		ended.Outcome = outcome.Lost(outcome.Truncated)
 	}
-	attempt := found.lastAttempt()
+	attempt := request.lastAttempt()
 	attempt.Outcome = ended.Outcome
 	attempt.Dispatched = attempt.Dispatched || ended.Dispatched
 	switch {
 	case ended.Outcome.Kind == outcome.Answered:
-		found.open = false
-		node.answer(found, ended.Outcome)
-	case found.resumed && unproven(ended.Outcome):
-		if from == found.owner {
-			node.seekOwner(found, ended.Owner)
+		request.attemptOpen = false
+		node.answer(request, ended.Outcome)
+	case request.resumed && leavesRunUncertain(ended.Outcome):
+		if from == request.owner {
+			node.awaitOwner(request, ended.Owner)
 		}
 	default:
-		node.attemptFailed(found, ended)
+		node.attemptFailed(request, ended)
 	}
 }
 
-// unproven reports whether what an owner says of a resumed attempt leaves open
-// whether it ran: only the engine's own word that it did not counts.
-func unproven(ended outcome.Outcome) bool {
+// leavesRunUncertain reports whether a resumed attempt may have run although its
+// owner reports otherwise. Only the engine's own refusal proves that it did not
+// run.
+func leavesRunUncertain(ended outcome.Outcome) bool {
 	return ended.Kind == outcome.NotRun && ended.Reason != outcome.EngineRefused || ended.Reason == outcome.OwnerLost
 }
 
-func (node *Node) attemptFailed(failed *request, ended message.Ended) {
-	failed.open = false
-	failed.mayHaveRun = failed.mayHaveRun || ended.Outcome.Kind == outcome.Unknown
-	if ended.Outcome.Reason == outcome.NotOwner && failed.redirects < maxRedirects && failed.deadline > node.now {
-		failed.redirects++
-		node.redirect(failed, ended.Owner)
+func (node *Node) attemptFailed(request *request, ended message.Ended) {
+	request.attemptOpen = false
+	request.mayHaveRun = request.mayHaveRun || ended.Outcome.Kind == outcome.Unknown
+	if ended.Outcome.Reason == outcome.NotOwner && request.redirects < maxRedirects && request.deadline > node.now {
+		request.redirects++
+		node.redirect(request, ended.Owner)
 		return
 	}
-	if !node.mayRetry(failed, ended.Outcome) {
-		node.answer(failed, ended.Outcome)
+	if !node.mayRetry(request, ended.Outcome) {
+		node.answer(request, ended.Outcome)
 		return
 	}
-	failed.tried = append(failed.tried, failed.engine)
-	node.retry(failed)
+	request.triedEngines = append(request.triedEngines, request.engine)
+	node.retry(request)
 }
 
-// maxRedirects is the number of times that a request follows an engine from
-// owner to owner before that counts as a failed attempt. No engine has had any
-// work from it, so it costs nothing of the retry budget.
+// maxRedirects is the number of times that a request follows an engine to another
+// owner before the redirect counts as a failed attempt. Redirects don't use the
+// retry budget, because the engine received nothing.
 const maxRedirects = 3
 
-// redirect submits to the engine's present owner, as far as it is known.
-func (node *Node) redirect(failed *request, owner ident.DaemonID) {
-	if owner == "" || owner == failed.owner {
-		failed.tried = append(failed.tried, failed.engine)
-		node.retry(failed)
+// redirect submits the request to the engine's current owner, if it is known, and
+// otherwise retries it elsewhere.
+func (node *Node) redirect(request *request, owner ident.DaemonID) {
+	if owner == "" || owner == request.owner {
+		request.triedEngines = append(request.triedEngines, request.engine)
+		node.retry(request)
 		return
 	}
-	engine := failed.engine
-	node.renew(failed)
-	node.submitTo(failed, engine, owner)
+	engine := request.engine
+	node.startNewAttempt(request)
+	node.submitTo(request, engine, owner)
 }
 
 func (node *Node) serviceEnded(event ServiceEnded) {
-	found, known := node.requests[event.Stream]
+	request, known := node.requests[event.Stream]
 	if !known {
 		return
 	}
-	found.open = false
-	found.mayHaveRun = event.Outcome.Kind != outcome.NotRun
-	found.content = event.Stored
-	found.replay = event.Stored
-	found.lastAttempt().Outcome = event.Outcome
-	node.answer(found, event.Outcome)
+	request.attemptOpen = false
+	request.mayHaveRun = event.Outcome.Kind != outcome.NotRun
+	request.contentForHome = event.Stored
+	request.storedAnswer = event.Stored
+	request.lastAttempt().Outcome = event.Outcome
+	node.answer(request, event.Outcome)
 }
 
-// probeInterval is the span after the deadline, and from then on, at which an
-// owner that has not ended an attempt is asked for it again.
+// probeInterval is the time after the deadline, and between later probes, at which
+// the entry asks an owner again for an attempt that has not ended.
 const probeInterval = 15 * clock.Second
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -9,126 +9,129 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// checkPause voids what was known before a gap between two steps: the process
-// was paused, or the wall clock was set.
+// checkPause detects a gap between two steps, caused by a pause of the process or a
+// change of the wall clock, and invalidates what was known before it.
 func (node *Node) checkPause() {
-	before := node.owning.steppedAt
-	node.owning.steppedAt = node.now
-	gap := node.now - before
-	if before == 0 || gap <= node.options.Ownership.Pause && gap >= -node.options.Ownership.Pause {
+	previousStep := node.ownerRole.lastStepAt
+	node.ownerRole.lastStepAt = node.now
+	gap := node.now - previousStep
+	if previousStep == 0 || gap <= node.options.Ownership.Pause && gap >= -node.options.Ownership.Pause {
 		return
 	}
-	node.owning.confirmAfter = node.now
+	node.ownerRole.pauseEndedAt = node.now
 	node.peers.Relisten(node.now)
 	node.emit(effect.Audit{
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
-		Cause: "two steps were too far apart", Before: versionText(uint64(before)), After: versionText(uint64(node.now)),
+		Cause: "two steps were too far apart", Before: versionText(uint64(previousStep)), After: versionText(uint64(node.now)),
 	})
 	node.emit(effect.ReadVMs{})
 	for _, name := range node.ownedInOrder() {
-		node.owning.owned[name].readAt = 0
+		node.ownerRole.owned[name].lastReadAt = 0
 	}
 }
 
-// viewFresh reports whether the view of the VM list is young enough to act on.
-func (node *Node) viewFresh() bool {
+// vmListFresh reports whether the VM list was read recently enough, and since the
+// last pause, to act on it.
+func (node *Node) vmListFresh() bool {
 	age := node.now - node.vms.ReadAt
-	return age >= 0 && age < node.options.Ownership.ViewAge && node.vms.ReadAt >= node.owning.confirmAfter
+	return age >= 0 && age < node.options.Ownership.ViewAge && node.vms.ReadAt >= node.ownerRole.pauseEndedAt
 }
 
-// mayOrder reports whether orders may be given to an owned engine now. An engine
-// that checks fencing numbers judges the owner itself, so that only the report
-// is read anew after a pause; for any other the VM list must be young.
-func (node *Node) mayOrder(name ident.EngineID, held *owned) bool {
-	if node.tenure(name).State() != ownership.Owning || held.askedAt < node.owning.confirmAfter {
+// mayOrder reports whether this daemon may give orders to an owned engine now. An
+// engine that checks fencing numbers rejects former owners itself, so a report read
+// since the last pause is enough; for any other engine the VM list must also be
+// fresh.
+func (node *Node) mayOrder(name ident.EngineID, owned *ownedEngine) bool {
+	if node.tenure(name).State() != ownership.Owning || owned.reportAskedAt < node.ownerRole.pauseEndedAt {
 		return false
 	}
-	return held.owner.Engine.ChecksFencing || node.viewFresh() && node.now < node.tenure(name).OrdersUntil()
+	return owned.owner.Engine.ChecksFencing || node.vmListFresh() && node.now < node.tenure(name).OrdersUntil()
 }
 
-// permit tells an owned engine's machine whether it may give orders. It stands
-// before every event that may lead to one.
-func (node *Node) permit(name ident.EngineID, held *owned) {
-	held.owner.Suspend(!node.mayOrder(name, held))
+// updatePermission tells the owner state machine of an engine whether it may give
+// orders. It is called before every event that may lead to an order.
+func (node *Node) updatePermission(name ident.EngineID, owned *ownedEngine) {
+	owned.owner.Suspend(!node.mayOrder(name, owned))
 }
 
-// stamp puts the end of its leave on an order. An order without leave is a
-// broken invariant.
-func (node *Node) stamp(held *owned, next effect.Effect) effect.Effect {
+// setOrderExpiry sets the time after which an order must not be sent. It checks the
+// invariant that only an owner with permission gives orders.
+func (node *Node) setOrderExpiry(owned *ownedEngine, next effect.Effect) effect.Effect {
 	until := node.now + node.options.Ownership.OrderSpan
 	switch next := next.(type) {
 	case effect.StartRun:
 		if next.Resume {
-			return next // begins nothing
+			return next // a resume starts no run
 		}
-		node.checkOrder(next.Engine, held)
+		node.checkOrder(next.Engine, owned)
 		next.Until = until
 		return next
 	case effect.Load:
-		node.checkOrder(next.Engine, held)
+		node.checkOrder(next.Engine, owned)
 		next.Until = until
 		return next
 	case effect.Unload:
-		node.checkOrder(next.Engine, held)
+		node.checkOrder(next.Engine, owned)
 		next.Until = until
 		return next
 	}
 	return next
 }
 
-func (node *Node) checkOrder(name ident.EngineID, held *owned) {
-	invariant.Check(node.owning.owned[name] == held && node.mayOrder(name, held),
+func (node *Node) checkOrder(name ident.EngineID, owned *ownedEngine) {
+	invariant.Check(node.ownerRole.owned[name] == owned && node.mayOrder(name, owned),
 		"only the confirmed owner of an engine gives it orders",
 		"engine %s, tenure %s, list read at %d, leave until %d, report asked at %d, pause ended at %d, now %d",
-		name, node.tenure(name).State(), node.vms.ReadAt, node.tenure(name).OrdersUntil(), held.askedAt,
-		node.owning.confirmAfter, node.now)
+		name, node.tenure(name).State(), node.vms.ReadAt, node.tenure(name).OrdersUntil(), owned.reportAskedAt,
+		node.ownerRole.pauseEndedAt, node.now)
 }
 
-// vmListRead takes in a reading of the VM list. An older list than the one known
-// says nothing new, and does not renew the leave to act on it.
+// vmListRead handles a reading of the VM list. A list older than the known one is
+// ignored and does not extend the permission to give orders.
 func (node *Node) vmListRead(view *members.View) {
-	former := node.vms
-	if former != nil && (view.List.Version < former.List.Version || view.ReadAt < former.ReadAt) {
+	previous := node.vms
+	if previous != nil && (view.List.Version < previous.List.Version || view.ReadAt < previous.ReadAt) {
 		return
 	}
 	node.vms = view
 	node.homeEffects(node.home.ListRead(node.now, view))
-	if former != nil && view.List.Version == former.List.Version {
+	if previous != nil && view.List.Version == previous.List.Version {
 		node.reviseOwnership()
 		return
 	}
-	node.auditMembers(former, view)
+	node.auditMembers(previous, view)
 	node.peers.Keep(func(daemon ident.DaemonID) bool { _, listed := view.Daemon(daemon); return listed })
-	if former != nil && view.ReadAt-former.ReadAt > node.options.Ownership.ViewAge {
-		node.interrupt()
+	if previous != nil && view.ReadAt-previous.ReadAt > node.options.Ownership.ViewAge {
+		node.handleVMListGap()
 	}
 	node.configEffects(node.rollout.Peers(node.now, view, node.options.DataCentre, node.options.Region))
 	node.groupDaemons()
 	node.rankCandidates()
 }
 
-// interrupt gives up the engines that ignore fencing numbers after a gap between
-// two readings of the list: another daemon may have come and gone in between.
-func (node *Node) interrupt() {
-	for name, tenure := range node.owning.tenures {
+// handleVMListGap releases engines that ignore fencing numbers after too long a gap
+// between two readings of the VM list: another daemon may have owned them in
+// between.
+func (node *Node) handleVMListGap() {
+	for name, tenure := range node.ownerRole.tenures {
 		engine, known := node.config.Engine(name)
 		if known && !engine.ChecksFencing && tenure.State() != ownership.Owning {
 			tenure.Interrupt(node.now)
 		}
 	}
 	for _, name := range node.ownedInOrder() {
-		if !node.owning.owned[name].owner.Engine.ChecksFencing && node.tenure(name).Interrupt(node.now) {
-			node.retire(name, "the VM list was not read for too long and has changed since")
+		if !node.ownerRole.owned[name].owner.Engine.ChecksFencing && node.tenure(name).Interrupt(node.now) {
+			node.endOwnership(name, "the VM list was not read for too long and has changed since")
 		}
 	}
 }
 
-func (node *Node) auditMembers(former, view *members.View) {
+func (node *Node) auditMembers(previous, view *members.View) {
 	for i := range view.List.VMs {
 		vm := &view.List.VMs[i]
 		before := members.State("")
-		if former != nil {
-			if known, listed := former.VM(vm.Name); listed {
+		if previous != nil {
+			if known, listed := previous.VM(vm.Name); listed {
 				before = known.State
 			}
 		}
@@ -136,13 +139,13 @@
 			node.auditMember(vm.Name, before, vm.State)
 		}
 	}
-	if former == nil {
+	if previous == nil {
 		return
 	}
-	for i := range former.List.VMs {
-		gone := &former.List.VMs[i]
-		if _, listed := view.VM(gone.Name); !listed && gone.Region == node.options.Region {
-			node.auditMember(gone.Name, gone.State, "")
+	for i := range previous.List.VMs {
+		removed := &previous.List.VMs[i]
+		if _, listed := view.VM(removed.Name); !listed && removed.Region == node.options.Region {
+			node.auditMember(removed.Name, removed.State, "")
 		}
 	}
 }
@@ -154,19 +157,20 @@
 	})
 }
 
-// departingSpan is the span for which a peer's word that an engine is leaving
-// counts; it is repeated with each update.
-const departingSpan = 10 * clock.Second
+// leavingReportTimeout is how long a peer's report that an engine is leaving stays
+// valid. Peers repeat it in each update.
+const leavingReportTimeout = 10 * clock.Second
 
-// engineLeaving reports whether an engine is leaving, by whichever of the
-// configuration, the VM list and the peers says so first.
+// engineLeaving reports whether an engine is leaving according to the
+// configuration, the VM list or a peer's recent report.
 func (node *Node) engineLeaving(name ident.EngineID) bool {
-	said, known := node.owning.departing[name]
-	return known && node.now-said < departingSpan || node.readLeaving(name)
+	reportedAt, known := node.ownerRole.leavingReportedAt[name]
+	return known && node.now-reportedAt < leavingReportTimeout || node.listedAsLeaving(name)
 }
 
-// readLeaving reports whether this daemon has itself read that an engine leaves.
-func (node *Node) readLeaving(name ident.EngineID) bool {
+// listedAsLeaving reports whether the configuration or VM list that this daemon has
+// read shows an engine as leaving.
+func (node *Node) listedAsLeaving(name ident.EngineID) bool {
 	engine, known := node.config.Engine(name)
 	return known && (engine.Leaving || node.vms.ServerLeaving(engine.Address))
 }
--- a/internal/decide/node/bench_test.go
+++ b/internal/decide/node/bench_test.go
@@ -17,10 +17,10 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// The slopes that docs/CAPACITY.md multiplies come from these benchmarks.
+// The costs per unit in docs/CAPACITY.md come from these benchmarks.
 
-// regionConfig is the configuration of one region at a size: one in three
-// engines stands in each of three data centres.
+// regionConfig returns the configuration of one region with the given numbers of
+// engines and adapters. Each of three data centres has one in three engines.
 func regionConfig(engines, adapters int) config.Config {
 	published := smallConfig(0)
 	published.Adapters = nil
@@ -50,19 +50,21 @@
 	return members.NewView(list, now)
 }
 
-// benchNode is a node that owns its share of a region and knows every engine.
+// benchNode is a node that owns its share of a region's engines and knows all of
+// them.
 type benchNode struct {
 	node  *node.Node
 	now   clock.Millis
 	owned []ident.EngineID
-	// daemons is the size of the region.
+	// daemons is the number of daemons of the region.
 	daemons int
-	readAt  clock.Millis // of the VM list
+	readAt  clock.Millis // last reading of the VM list
 }
 
-// advance lets time pass, with a reading of the VM list each second.
-func (bench *benchNode) advance(span clock.Millis) []effect.Effect {
-	bench.now += span
+// advance advances the time and ticks the node. The node reads the VM list every
+// second.
+func (bench *benchNode) advance(duration clock.Millis) []effect.Effect {
+	bench.now += duration
 	if bench.now-bench.readAt >= clock.Second {
 		bench.readAt = bench.now
 		bench.step(node.VMListRead{View: regionView(bench.daemons, bench.now)})
@@ -80,13 +82,13 @@
 	bench := &benchNode{node: node.New(options), now: clock.Hour, daemons: daemons}
 	bench.step(node.ConfigRead{Snapshot: snapshot})
 	bench.step(node.VMListRead{View: regionView(daemons, bench.now)})
-	bench.settle(engines)
+	bench.learnEngines(engines)
 	return bench
 }
 
-// settle lets the node hear of every engine: its own report themselves, the
-// others are told of by a peer.
-func (bench *benchNode) settle(engines int) {
+// learnEngines gives the node the state of every engine: the reports of its own
+// engines, and a peer's state message for all others.
+func (bench *benchNode) learnEngines(engines int) {
 	for range 200 {
 		for _, next := range bench.advance(50) {
 			if read, isRead := next.(effect.ReadEngine); isRead {
@@ -113,8 +115,8 @@
 	return bench.node.Step(bench.now, event)
 }
 
-// BenchmarkRequest is the decision cost of one request whose entry is also the
-// owner of its engine: arrival, placement, dispatch, end and answer.
+// BenchmarkRequest measures the decision cost of one request whose entry also owns
+// its engine: arrival, placement, dispatch, end and answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []struct{ daemons, engines int }{{3, 9}, {26, 100}, {78, 300}} {
 		b.Run(fmt.Sprintf("engines=%d", size.engines), func(b *testing.B) {
@@ -122,7 +124,7 @@
 			require.NotEmpty(b, bench.owned)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if i%ticksEvery == 0 {
+				if i%requestsPerTick == 0 {
 					bench.advance(250)
 				}
 				bench.request(b)
@@ -131,9 +133,9 @@
 	}
 }
 
-// ticksEvery is the number of requests between two ticks, so that the states
-// that placement reads are renewed as in service.
-const ticksEvery = 20
+// requestsPerTick is the number of requests between two ticks. The ticks renew the
+// engine states that placement reads, as in production.
+const requestsPerTick = 20
 
 func (bench *benchNode) request(b *testing.B) {
 	effects := bench.step(node.Arrived{
@@ -152,7 +154,7 @@
 	b.Fatalf("the request was not dispatched: %v", effects)
 }
 
-// BenchmarkTick is the cost of one tick, which every daemon pays 20 times a second.
+// BenchmarkTick measures one tick. Every daemon ticks 20 times per second.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{9, 100, 300} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// BenchmarkNodeMemory gives the memory of a node with its configuration.
+// BenchmarkNodeMemory measures the memory of a node with its configuration.
 func BenchmarkNodeMemory(b *testing.B) {
 	for _, adapters := range []int{3_000, 15_000} {
 		for _, engines := range []int{9, 300} {
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -9,9 +9,9 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// brokerOf returns the daemon that grants a region's loads from a weight store.
-// Each region has a broker of its own with a share of the store's rate: daemons
-// of different regions are not connected, and regions lose each other.
+// brokerOf returns the daemon that grants the region's loads from a weight store.
+// Each region has its own broker with a share of the store's rate, because daemons
+// of different regions are not connected and a region may become unreachable.
 func (node *Node) brokerOf(store string) ident.DaemonID {
 	broker, found := ownership.First("store/"+store, node.regionNames)
 	if !found {
@@ -20,8 +20,9 @@
 	return broker
 }
 
-// regionRate is the region's share of a store's rate, in loads a second: as
-// many parts as the region has of the engines that load from it.
+// regionRate returns the region's share of a store's rate, in loads per second. The
+// share is proportional to the number of the region's engines that load from the
+// store.
 func (node *Node) regionRate(store *config.WeightStore) float64 {
 	here, all := 0, 0
 	for i := range node.config.Config.Engines {
@@ -44,7 +45,8 @@
 	return node.brokers[store]
 }
 
-// loadOptions completes the options of a broker with the store's published rate.
+// loadOptions returns the broker options with the load time and interval that
+// follow from the store's configured rate.
 func (node *Node) loadOptions(name string) loads.Options {
 	options := node.options.Loads
 	if node.config == nil {
@@ -68,58 +70,58 @@
 }
 
 func (node *Node) loadGrant(grant message.LoadGrant) {
-	held, known := node.owning.owned[grant.Engine]
+	owned, known := node.ownerRole.owned[grant.Engine]
 	if !known {
 		node.send(node.brokerOf(grant.Store), message.LoadDone{
 			Store: grant.Store, Engine: grant.Engine, Adapter: grant.Adapter, Unused: true,
 		})
 		return
 	}
-	node.permit(grant.Engine, held)
-	node.ownerEffects(held, held.owner.Granted(node.now, grant.Adapter))
+	node.updatePermission(grant.Engine, owned)
+	node.ownerEffects(owned, owned.owner.Granted(node.now, grant.Adapter))
 }
 
-// tickFallback lets the loads begin that the broker of their store does not
-// answer for, at this daemon's share of the store's rate: the rate divided by
-// the number of daemons, so that all together stay within it.
+// tickFallback starts loads that the store's broker has not answered, at this
+// daemon's share of the region's rate: the rate divided by the number of the
+// region's daemons, so that all daemons together stay within it.
 func (node *Node) tickFallback() {
 	if node.config == nil || node.vms == nil {
 		return
 	}
 	for i := range node.config.Config.WeightStores {
 		store := &node.config.Config.WeightStores[i]
-		if node.now < node.fallback[store.Name] {
+		if node.now < node.nextFallbackLoadAt[store.Name] {
 			continue
 		}
 		if engine, adapter, found := node.longestUnanswered(store.Name); found {
-			span := float64(clock.Second) * float64(max(1, len(node.regionNames))) / node.regionRate(store)
-			node.fallback[store.Name] = node.now + clock.Millis(span)
+			interval := float64(clock.Second) * float64(max(1, len(node.regionNames))) / node.regionRate(store)
+			node.nextFallbackLoadAt[store.Name] = node.now + clock.Millis(interval)
 			node.loadGrant(message.LoadGrant{Store: store.Name, Engine: engine, Adapter: adapter, Lease: node.options.Loads.Lease})
 		}
 	}
 }
 
-// longestUnanswered returns the load from a store that its broker has left
-// without reply for longest.
+// longestUnanswered returns the load request to a store's broker that has waited
+// longest without a reply.
 func (node *Node) longestUnanswered(store string) (engine ident.EngineID, adapter ident.Adapter, found bool) {
 	oldest := clock.Millis(0)
 	for _, name := range node.ownedInOrder() {
-		held := node.owning.owned[name]
-		if held.owner.Engine.Store != store {
+		owned := node.ownerRole.owned[name]
+		if owned.owner.Engine.Store != store {
 			continue
 		}
-		candidate, since, silent := held.owner.Unanswered(node.now, node.options.Loads.Silence)
+		unanswered, since, silent := owned.owner.Unanswered(node.now, node.options.Loads.Silence)
 		if silent && (!found || since < oldest) {
-			engine, adapter, oldest, found = name, candidate, since, true
+			engine, adapter, oldest, found = name, unanswered, since, true
 		}
 	}
 	return engine, adapter, found
 }
 
-// loadVerdict passes the broker's answer on to the engine's machine.
+// loadVerdict passes the broker's decision to the engine's owner state machine.
 func (node *Node) loadVerdict(verdict message.LoadVerdict) {
-	if held, known := node.owning.owned[verdict.Engine]; known {
-		node.ownerEffects(held, held.owner.Judged(node.now, verdict))
+	if owned, known := node.ownerRole.owned[verdict.Engine]; known {
+		node.ownerEffects(owned, owned.owner.Judged(node.now, verdict))
 	}
 }
 
--- a/internal/decide/node/brokering_test.go
+++ b/internal/decide/node/brokering_test.go
@@ -15,7 +15,7 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// brokerNetwork returns a network whose load broker owns no engine.
+// brokerNetwork returns a network whose load broker owns no engine, and the broker.
 func brokerNetwork(t testing.TB) (*nodetest.Network, ident.DaemonID) {
 	t.Helper()
 	for daemons := 4; daemons < 20; daemons++ {
@@ -26,35 +26,36 @@
 			return network, broker
 		}
 	}
-	t.Fatal("in every network the broker owns an engine")
+	t.Fatal("the broker owns an engine in every network tried")
 	return nil, ""
 }
 
-func arriveAt(network *nodetest.Network, daemon ident.DaemonID, request, model string) {
+func sendRequest(network *nodetest.Network, daemon ident.DaemonID, request, model string) {
 	network.Arrive(daemon, node.Arrived{RequestID: request, APIKey: callerKey, Model: model, Path: "/v1/completions"})
 }
 
-func other(network *nodetest.Network, than ident.DaemonID) ident.DaemonID {
+func otherDaemon(network *nodetest.Network, excluded ident.DaemonID) ident.DaemonID {
 	for _, name := range network.HostNames() {
-		if name != than {
+		if name != excluded {
 			return name
 		}
 	}
 	return ""
 }
 
-// TestLoadsGoOnWithoutBroker loses the broker while it stays on the VM list:
-// cold adapters are still loaded, at the daemons' share of the store's rate.
-func TestLoadsGoOnWithoutBroker(t *testing.T) {
+// TestLoadsContinueWithoutBroker checks that adapters are still loaded, at the
+// daemons' shares of the store's rate, after the broker has failed while it stays
+// on the VM list.
+func TestLoadsContinueWithoutBroker(t *testing.T) {
 	network, broker := brokerNetwork(t)
 	network.Kill(broker)
-	entry := other(network, broker)
+	entry := otherDaemon(network, broker)
 	for i := range 3 {
-		arriveAt(network, entry, fmt.Sprintf("r%d", i), fmt.Sprintf("review-%d@1", i))
+		sendRequest(network, entry, fmt.Sprintf("r%d", i), fmt.Sprintf("review-%d@1", i))
 	}
-	share := clock.Second * clock.Millis(len(network.Nodes)) / 2 // of two loads a second
-	bound := 2*clock.Second + 3*share + 2*clock.Second
-	answered := network.RunUntil(bound, func() bool {
+	share := clock.Second * clock.Millis(len(network.Nodes)) / 2 // the store allows two loads per second
+	timeout := 2*clock.Second + 3*share + 2*clock.Second
+	answered := network.RunUntil(timeout, func() bool {
 		return len(network.Answers["r0"]) > 0 && len(network.Answers["r1"]) > 0 && len(network.Answers["r2"]) > 0
 	})
 	require.True(t, answered, "answers %v", network.Answers)
@@ -63,13 +64,14 @@
 	}
 }
 
-// TestNewBrokerIsAsked loses the broker with its queue and takes it off the
-// list: the loads that waited there are asked for again at the next one.
-func TestNewBrokerIsAsked(t *testing.T) {
+// TestLoadsAreRequestedFromNewBroker checks that loads queued at a failed broker
+// are requested again from the next broker once the VM list no longer has the
+// failed one.
+func TestLoadsAreRequestedFromNewBroker(t *testing.T) {
 	network, broker := brokerNetwork(t)
-	entry := other(network, broker)
+	entry := otherDaemon(network, broker)
 	for i := range 4 {
-		arriveAt(network, entry, fmt.Sprintf("r%d", i), fmt.Sprintf("review-%d@1", i))
+		sendRequest(network, entry, fmt.Sprintf("r%d", i), fmt.Sprintf("review-%d@1", i))
 	}
 	network.Run(100)
 	network.Kill(broker)
@@ -91,11 +93,12 @@
 	require.True(t, answered)
 }
 
-// TestFailingLoadsEndInATrueRefusal lets every load fail.
-func TestFailingLoadsEndInATrueRefusal(t *testing.T) {
+// TestFailingLoadsEndAsNotRun checks the refusal of a request when every load
+// fails.
+func TestFailingLoadsEndAsNotRun(t *testing.T) {
 	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500, FailLoadShare: 1})
 	network.Run(5 * clock.Second)
-	arriveAt(network, "daemon-0", "r", "review-1@1")
+	sendRequest(network, "daemon-0", "r", "review-1@1")
 	network.RunUntil(25*clock.Second, func() bool { return len(network.Answers["r"]) > 0 })
 	require.Len(t, network.Answers["r"], 1)
 	answer := network.Answers["r"][0]
@@ -112,8 +115,8 @@
 	}
 }
 
-// TestRegionsShareAWeightStore runs two regions that load from one store. Their
-// daemons are not connected, so each region's loads must need no other's word.
+// TestRegionsShareAWeightStore checks that two regions load from one store without
+// depending on each other, because their daemons are not connected.
 func TestRegionsShareAWeightStore(t *testing.T) {
 	published := smallConfig(2)
 	published.Engines[1].Region, published.Engines[1].DataCentre = "south", "b"
@@ -147,11 +150,11 @@
 			})
 		}
 	}
-	prompt := network.RunUntil(1500*clock.Millisecond, func() bool {
+	answered := network.RunUntil(1500*clock.Millisecond, func() bool {
 		return len(network.Answers["north-0"])+len(network.Answers["north-1"]) > 0 &&
 			len(network.Answers["south-0"])+len(network.Answers["south-1"]) > 0
 	})
-	require.True(t, prompt, "a region waited for a broker that it cannot reach")
+	require.True(t, answered, "a region waited for a broker that it cannot reach")
 	network.Run(5 * clock.Second)
 	for _, region := range regions {
 		for i := range 2 {
--- a/internal/decide/node/configuration.go
+++ b/internal/decide/node/configuration.go
@@ -6,20 +6,20 @@
 	"teaselmoor/internal/decide/rollout"
 )
 
-// ConfigWatched is the end of a WatchConfig.
+// ConfigWatched carries the result of a WatchConfig effect.
 type ConfigWatched struct{ Result rollout.WatchResult }
 
-// ConfigPartRead is the end of a ReadConfigPart.
+// ConfigPartRead carries the result of a ReadConfigPart effect.
 type ConfigPartRead struct {
 	Name   string
 	Body   []byte
 	Failed bool
 }
 
-// ConfigAssembled is the end of an AssembleConfig.
+// ConfigAssembled carries the result of an AssembleConfig effect.
 type ConfigAssembled struct {
 	Mark config.Mark
-	// Snapshot is nil when the configuration is refused, for the given cause.
+	// Snapshot is nil if the configuration was rejected; Cause then says why.
 	Snapshot *config.Snapshot
 	Cause    string
 }
@@ -28,8 +28,9 @@
 func (ConfigPartRead) event()  {}
 func (ConfigAssembled) event() {}
 
-// Assemble carries out an AssembleConfig. It takes long at full size and needs
-// no node, so the runtime calls it on a goroutine of its own.
+// Assemble carries out an AssembleConfig effect. It is slow for a full-size
+// configuration and does not use the node, so the runtime calls it on a separate
+// goroutine.
 func Assemble(order effect.AssembleConfig) ConfigAssembled {
 	assembled := ConfigAssembled{Mark: order.Mark}
 	var earlier config.Pieces
@@ -52,8 +53,8 @@
 	return assembled
 }
 
-// configEffects passes on the rollout's effects and switches the node to the
-// configuration in force.
+// configEffects emits the rollout's effects and applies the configuration that it
+// has accepted.
 func (node *Node) configEffects(effects []effect.Effect) {
 	node.emit(effects...)
 	if snapshot := node.rollout.Snapshot(); snapshot != node.config {
@@ -62,7 +63,7 @@
 	}
 }
 
-// ConfigMark identifies the publication in force.
+// ConfigMark returns the mark of the configuration in force.
 func (node *Node) ConfigMark() config.Mark {
 	return node.rollout.Mark()
 }
--- a/internal/decide/node/configuration_test.go
+++ b/internal/decide/node/configuration_test.go
@@ -16,8 +16,8 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
-// publishedNetwork is a network whose daemons learn the configuration from the
-// service, spread over data centres.
+// publishedNetwork returns a network whose daemons are spread over data centres and
+// read their configuration from the service.
 func publishedNetwork(t testing.TB, seed uint64, daemons, centres int) *nodetest.Network {
 	t.Helper()
 	var vms []members.VM
@@ -35,13 +35,13 @@
 	return network
 }
 
-func versioned(version uint64) config.Config {
+func configVersion(version uint64) config.Config {
 	published := smallConfig(2)
 	published.Version = version
 	return published
 }
 
-const configSpan = 3 * clock.Second // in which a version is in force everywhere
+const configTimeout = 3 * clock.Second // time by which a version must be in force everywhere
 
 func requireEverywhere(t testing.TB, network *nodetest.Network, version uint64, within clock.Millis) clock.Millis {
 	t.Helper()
@@ -61,7 +61,7 @@
 	return causes
 }
 
-func TestConfigInForceInSeconds(t *testing.T) {
+func TestConfigIsAppliedWithinSeconds(t *testing.T) {
 	for _, size := range []struct{ daemons, centres int }{{7, 4}, {78, 3}} {
 		t.Run(fmt.Sprintf("%d daemons", size.daemons), func(t *testing.T) {
 			network := publishedNetwork(t, 1, size.daemons, size.centres)
@@ -69,15 +69,15 @@
 			network.Run(20 * clock.Second)
 			calls := network.Service.Calls
 			network.Run(100 * clock.Second)
-			t.Logf("calls a second with nothing published: %.1f", float64(network.Service.Calls-calls)/100)
-			require.NoError(t, network.Service.Publish(versioned(2)))
-			t.Logf("service up: in force everywhere after %d ms", requireEverywhere(t, network, 2, configSpan))
+			t.Logf("calls per second while nothing is published: %.1f", float64(network.Service.Calls-calls)/100)
+			require.NoError(t, network.Service.Publish(configVersion(2)))
+			t.Logf("service up: in force everywhere after %d ms", requireEverywhere(t, network, 2, configTimeout))
 		})
 	}
 }
 
-// TestConfigSpreadsWithoutService lets one daemon alone see a version before
-// the service goes down.
+// TestConfigSpreadsWithoutService checks that a version spreads between daemons
+// when only one of them read it before the service went down.
 func TestConfigSpreadsWithoutService(t *testing.T) {
 	for _, size := range []struct{ daemons, centres int }{{7, 4}, {78, 3}} {
 		t.Run(fmt.Sprintf("%d daemons", size.daemons), func(t *testing.T) {
@@ -88,55 +88,56 @@
 			}
 			network.Service.SetMode(nodetest.ServiceUp)
 			network.Run(10 * clock.Second)
-			require.NoError(t, network.Service.Publish(versioned(2)))
-			seen := network.RunUntil(20*clock.Second, func() bool { return network.Nodes["daemon-03"].Node.Config().Version() == 2 })
-			require.True(t, seen)
+			require.NoError(t, network.Service.Publish(configVersion(2)))
+			applied := network.RunUntil(20*clock.Second, func() bool { return network.Nodes["daemon-03"].Node.Config().Version() == 2 })
+			require.True(t, applied)
 			network.Service.SetMode(nodetest.ServiceDown)
-			t.Logf("one daemon has it: in force everywhere after %d ms", requireEverywhere(t, network, 2, configSpan))
+			t.Logf("one daemon has read it: in force everywhere after %d ms", requireEverywhere(t, network, 2, configTimeout))
 			calls := network.Service.Calls
 			network.Run(100 * clock.Second)
-			t.Logf("calls a second while down: %.1f", float64(network.Service.Calls-calls)/100)
+			t.Logf("calls per second while the service is down: %.1f", float64(network.Service.Calls-calls)/100)
 		})
 	}
 }
 
-// TestNewDaemonAsksPeers restarts a daemon while the service is stale, and
-// answers sooner than the peers do.
+// TestNewDaemonAsksPeers checks that a restarted daemon accepts its peers' version
+// although the service returns an older one and answers sooner than the peers.
 func TestNewDaemonAsksPeers(t *testing.T) {
 	network := publishedNetwork(t, 1, 5, 2)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	network.Service.Remember()
-	require.NoError(t, network.Service.Publish(versioned(2)))
-	requireEverywhere(t, network, 2, configSpan)
+	require.NoError(t, network.Service.Publish(configVersion(2)))
+	requireEverywhere(t, network, 2, configTimeout)
 	network.Service.SetMode(nodetest.ServiceStale)
 	network.Kill("daemon-01")
 	network.Run(clock.Second)
 	network.SlowShare, network.SlowSpan = 1, 450
 	host := network.Boot(network.Nodes["daemon-01"].VM)
-	accepted := network.RunUntil(configSpan, func() bool { return host.Node.Config() != nil })
+	accepted := network.RunUntil(configTimeout, func() bool { return host.Node.Config() != nil })
 	require.True(t, accepted)
-	require.Equal(t, uint64(2), host.Node.Config().Version(), "the first configuration that a new daemon accepts")
+	require.Equal(t, uint64(2), host.Node.Config().Version(), "the first configuration that the new daemon accepted")
 	require.True(t, network.RunUntil(10*clock.Second, host.Node.Ready))
 }
 
-func TestBadConfigIsRefusedWhole(t *testing.T) {
-	bad := versioned(5)
+func TestInvalidConfigIsRejected(t *testing.T) {
+	bad := configVersion(5)
 	bad.Rules[0].Class = "Later"
 	network := publishedNetwork(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	require.NoError(t, network.Service.Publish(bad))
-	network.Run(configSpan)
+	network.Run(configTimeout)
 	require.Equal(t, map[uint64]int{1: 3}, network.InForce())
 	require.NotEmpty(t, refusals(network))
-	require.NoError(t, network.Service.Publish(versioned(3)))
-	requireEverywhere(t, network, 3, configSpan)
+	require.NoError(t, network.Service.Publish(configVersion(3)))
+	requireEverywhere(t, network, 3, configTimeout)
 }
 
-// TestMissingPartIsWaitedFor publishes a manifest before one of its parts.
-func TestMissingPartIsWaitedFor(t *testing.T) {
+// TestConfigWithMissingPartIsAppliedLater publishes a manifest before one of its
+// parts.
+func TestConfigWithMissingPartIsAppliedLater(t *testing.T) {
 	network := publishedNetwork(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
-	changed := versioned(2)
+	changed := configVersion(2)
 	changed.Callers[0].RequestsPerSecond = 5
 	manifest, parts, err := config.Pack(changed)
 	require.NoError(t, err)
@@ -152,8 +153,8 @@
 	requireEverywhere(t, network, 2, 12*clock.Second)
 }
 
-// TestCorruptPartIsReadAgain lets the service show parts with another content
-// than the manifest says, for a while.
+// TestCorruptPartIsReadAgain makes the service return parts whose content does not
+// match the manifest, for a while.
 func TestCorruptPartIsReadAgain(t *testing.T) {
 	network := publishedNetwork(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
@@ -163,7 +164,7 @@
 		}
 		return body
 	}
-	changed := versioned(2)
+	changed := configVersion(2)
 	changed.Callers[0].RequestsPerSecond = 5
 	require.NoError(t, network.Service.Publish(changed))
 	network.Run(5 * clock.Second)
@@ -172,8 +173,9 @@
 	requireEverywhere(t, network, 2, 12*clock.Second)
 }
 
-// TestTwoPublicationsOfOneVersion lets two operators publish the same number
-// with different content to the two sides of a partition.
+// TestTwoPublicationsOfOneVersion publishes the same version with different content
+// to the two sides of a partition. After the partition one of them must be in force
+// everywhere.
 func TestTwoPublicationsOfOneVersion(t *testing.T) {
 	network := publishedNetwork(t, 1, 6, 2)
 	requireEverywhere(t, network, 1, 5*clock.Second)
@@ -188,11 +190,11 @@
 		}
 	}
 	for i, side := range sides {
-		published := versioned(2)
+		published := configVersion(2)
 		published.Callers[0].RequestsPerSecond = float64(i + 1)
 		network.Service.Unreachable = sides[1-i]
 		require.NoError(t, network.Service.Publish(published))
-		taken := network.RunUntil(configSpan, func() bool {
+		applied := network.RunUntil(configTimeout, func() bool {
 			for name := range side {
 				if network.Nodes[name].Node.Config().Version() != 2 {
 					return false
@@ -200,7 +202,7 @@
 			}
 			return true
 		})
-		require.True(t, taken)
+		require.True(t, applied)
 	}
 	network.Service.SetMode(nodetest.ServiceDown)
 	clear(network.Blocked)
@@ -209,5 +211,5 @@
 	for _, name := range network.HostNames() {
 		rates[network.Nodes[name].Node.Config().Config.Callers[0].RequestsPerSecond]++
 	}
-	require.Len(t, rates, 1, "one publication in force everywhere")
+	require.Len(t, rates, 1, "one publication must be in force everywhere")
 }
--- a/internal/decide/node/entry.go
+++ b/internal/decide/node/entry.go
@@ -7,82 +7,83 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// transientRetry is when a caller may come back after a refusal that another
-// daemon, or this one a little later, would not give.
-const transientRetry = clock.Second
+// transientRetryDelay is the retry delay given to a caller after a refusal for a
+// temporary cause that another daemon, or this one a little later, may not have.
+const transientRetryDelay = clock.Second
 
-// arrived takes in a request: refused at once, or on its way to its key's home
-// or an engine.
-func (node *Node) arrived(event Arrived) {
-	arrived := &request{state: requestNew, arrived: event, stream: event.Stream}
-	arrived.record = outcome.Record{Request: event.RequestID, Daemon: node.options.Self, At: node.now, Target: event.Model + event.Service}
-	node.requests[event.Stream] = arrived
-	if refusal := node.admit(arrived); refusal.Reason != "" {
-		node.answer(arrived, refusal)
+// requestArrived handles a caller's request: it refuses it, asks the home of its
+// key, or places it.
+func (node *Node) requestArrived(event Arrived) {
+	request := &request{state: requestNew, arrival: event, stream: event.Stream}
+	request.record = outcome.Record{Request: event.RequestID, Daemon: node.options.Self, At: node.now, Target: event.Model + event.Service}
+	node.requests[event.Stream] = request
+	if refusal := node.admit(request); refusal.Reason != "" {
+		node.answer(request, refusal)
 		return
 	}
-	arrived.deadline = node.now + arrived.rule.Deadline
-	arrived.record.Rule = arrived.rule.Rule
-	arrived.record.Class = arrived.rule.Class.String()
-	arrived.record.Repeatable = arrived.rule.Repeatable
-	arrived.record.Deadline = arrived.deadline
-	node.retries.first()
-	if arrived.rule.Repeatable {
-		node.place(arrived)
+	request.deadline = node.now + request.rule.Deadline
+	request.record.Rule = request.rule.Rule
+	request.record.Class = request.rule.Class.String()
+	request.record.Repeatable = request.rule.Repeatable
+	request.record.Deadline = request.deadline
+	node.retries.addFirstAttempt()
+	if request.rule.Repeatable {
+		node.place(request)
 		return
 	}
-	node.askHome(arrived)
+	node.askHome(request)
 }
 
-// admit resolves caller, target and rule; it returns the refusal, if any.
-func (node *Node) admit(arrived *request) outcome.Outcome {
+// admit resolves the caller, target and rule of a request. It returns the refusal,
+// if any.
+func (node *Node) admit(request *request) outcome.Outcome {
 	if node.draining {
-		return outcome.Refused(outcome.ShuttingDown, transientRetry)
+		return outcome.Refused(outcome.ShuttingDown, transientRetryDelay)
 	}
 	if node.config == nil {
-		return outcome.Refused(outcome.NoConfiguration, transientRetry)
+		return outcome.Refused(outcome.NoConfiguration, transientRetryDelay)
 	}
-	arrived.record.ConfigVersion = node.config.Version()
-	caller, known := node.config.CallerByKey(arrived.arrived.APIKey)
+	request.record.ConfigVersion = node.config.Version()
+	caller, known := node.config.CallerByKey(request.arrival.APIKey)
 	if !known {
 		return outcome.Refused(outcome.Unauthorized, 0)
 	}
-	arrived.caller = caller
-	arrived.record.Caller = caller.Name
+	request.caller = caller
+	request.record.Caller = caller.Name
 	if wait := node.limits.take(node.now, caller.Name, rateOf(caller)); wait > 0 {
 		return outcome.Refused(outcome.CallerLimit, wait)
 	}
-	return node.resolve(arrived)
+	return node.resolve(request)
 }
 
-func (node *Node) resolve(arrived *request) outcome.Outcome {
-	if reason := node.matchRule(arrived); reason != "" {
+func (node *Node) resolve(request *request) outcome.Outcome {
+	if reason := node.matchRule(request); reason != "" {
 		return outcome.Refused(reason, 0)
 	}
-	arrived.rule.Repeatable = arrived.rule.Repeatable && !arrived.arrived.NotRepeatable
-	if !arrived.rule.Repeatable && arrived.arrived.Key == "" {
+	request.rule.Repeatable = request.rule.Repeatable && !request.arrival.NotRepeatable
+	if !request.rule.Repeatable && request.arrival.Key == "" {
 		return outcome.Refused(outcome.KeyMissing, 0)
 	}
 	return outcome.Outcome{}
 }
 
-func (node *Node) matchRule(arrived *request) outcome.Reason {
+func (node *Node) matchRule(request *request) outcome.Reason {
 	var matched bool
-	if arrived.arrived.Service != "" {
-		service, known := node.config.Service(arrived.arrived.Service)
+	if request.arrival.Service != "" {
+		service, known := node.config.Service(request.arrival.Service)
 		if !known {
 			return outcome.UnknownService
 		}
-		arrived.service = service
-		arrived.rule, matched = node.config.DecideService(arrived.caller, service)
+		request.service = service
+		request.rule, matched = node.config.DecideService(request.caller, service)
 	} else {
-		address, err := ident.ParseAdapter(arrived.arrived.Model)
+		address, err := ident.ParseAdapter(request.arrival.Model)
 		adapter, known := node.config.Adapter(address)
 		if err != nil || !known {
 			return outcome.UnknownModel
 		}
-		arrived.adapter = address
-		arrived.rule, matched = node.config.DecideModel(arrived.caller, adapter)
+		request.adapter = address
+		request.rule, matched = node.config.DecideModel(request.caller, adapter)
 	}
 	if !matched {
 		return outcome.NoRule
@@ -90,6 +91,6 @@
 	return ""
 }
 
-func rateOf(caller *config.Caller) rate {
-	return rate{perSecond: caller.RequestsPerSecond, burst: caller.Burst}
+func rateOf(caller *config.Caller) rateLimit {
+	return rateLimit{perSecond: caller.RequestsPerSecond, burst: caller.Burst}
 }
--- a/internal/decide/node/event.go
+++ b/internal/decide/node/event.go
@@ -10,36 +10,40 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// Event is something that happened outside the decision machines.
+// Event is something that happened outside the decision state machines.
 type Event interface{ event() }
 
-// Arrived is a caller's request.
+// Arrived is a new request from a caller.
 type Arrived struct {
-	Stream    ident.StreamID // from NewStream
+	Stream    ident.StreamID // returned by NewStream
 	RequestID string
 	APIKey    string
-	// Model addresses an adapter version; empty for a service call.
+	// Model is the address of an adapter version; empty for a service call.
 	Model string
-	// Service names a plain service; empty for a model request.
+	// Service is the name of a service that is not a model engine; empty for a
+	// model request.
 	Service   string
 	Path      string
 	Streaming bool
 	Body      []byte
-	// BodyHash identifies the request's content, for idempotency keys.
+	// BodyHash is a hash of the request's content. A reused idempotency key must
+	// come with the same content.
 	BodyHash string
-	// Key is the idempotency key, if the caller sent one.
+	// Key is the idempotency key; empty if the caller sent none.
 	Key string
-	// KeyIssuedAt is when the caller made the key.
+	// KeyIssuedAt is when the caller issued the key.
 	KeyIssuedAt clock.Millis
-	// NotRepeatable is the caller's wish for a stricter treatment than the rule's.
+	// NotRepeatable is set if the caller forbids repeated attempts that the rule
+	// would allow.
 	NotRepeatable bool
 }
 
-// CallerGone says that the caller's connection closed before the answer ended.
+// CallerGone reports that the caller's connection closed before the answer was
+// complete.
 type CallerGone struct{ Stream ident.StreamID }
 
-// HeadArrived says that an attempt's answer has begun. Only an Open effect lets
-// it through to the caller.
+// HeadArrived reports that the answer of an attempt has begun. The runtime forwards
+// it to the caller only after an Open effect.
 type HeadArrived struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
@@ -47,51 +51,56 @@
 	ContentType string
 }
 
-// Received is a message from another daemon.
+// Received is a message received from another daemon.
 type Received struct {
 	From    ident.DaemonID
 	Message message.Message
 }
 
-// PeerLost says that a lane to a daemon broke: what was in flight on it is lost.
+// PeerLost reports that the connection of a lane to a daemon broke. Messages in
+// flight on it are lost.
 type PeerLost struct {
 	Peer ident.DaemonID
 	Lane message.Lane
 }
 
-// RunEnded is the end of an engine call that StartRun or CancelRun began.
+// RunEnded reports the end of an engine call made for a StartRun or CancelRun
+// effect.
 type RunEnded struct {
 	Engine ident.EngineID
 	Result owner.RunResult
 }
 
-// LoadEnded is the end of a Load order.
+// LoadEnded reports the end of a Load order.
 type LoadEnded struct {
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Failed  bool
-	// Fenced says that the engine refused the order for its old number.
+	// Fenced is set if the engine rejected the order because of its old fencing
+	// number.
 	Fenced bool
 }
 
-// UnloadEnded is the end of an Unload order.
+// UnloadEnded reports the end of an Unload order.
 type UnloadEnded struct {
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Failed  bool
-	// Fenced says that the engine refused the order for its old number.
+	// Fenced is set if the engine rejected the order because of its old fencing
+	// number.
 	Fenced bool
 }
 
-// EngineReported is an engine's state report.
+// EngineReported carries an engine's state report.
 type EngineReported struct {
 	Engine ident.EngineID
 	Report owner.Report
-	// AskedAt is the time in the ReadEngine effect; zero means now.
+	// AskedAt is the time given in the ReadEngine effect; zero means the time of
+	// the step.
 	AskedAt clock.Millis
 }
 
-// ServiceEnded is the end of a CallService.
+// ServiceEnded reports the end of a CallService effect.
 type ServiceEnded struct {
 	Stream  ident.StreamID
 	Outcome outcome.Outcome
@@ -99,26 +108,26 @@
 	Stored *message.StoredAnswer
 }
 
-// AnswerReceived says what this entry has of an answer, just before the word
-// that the attempt has ended.
+// AnswerReceived reports what the entry has received of an answer. It precedes the
+// message that the attempt has ended.
 type AnswerReceived struct {
 	Stream ident.StreamID
-	// Chunks is the number of chunks that arrived.
+	// Chunks is the number of chunks received.
 	Chunks uint64
-	// Stored is the content, kept for requests with an idempotency key.
+	// Stored is the content received, kept for requests with an idempotency key.
 	Stored *message.StoredAnswer
 }
 
-// ConfigRead is a configuration that validated whole.
+// ConfigRead carries a configuration that passed validation.
 type ConfigRead struct{ Snapshot *config.Snapshot }
 
-// VMListRead is a reading of the VM list.
+// VMListRead carries a reading of the VM list.
 type VMListRead struct{ View *members.View }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Shutdown begins a graceful end.
+// Shutdown asks the daemon to shut down gracefully.
 type Shutdown struct{}
 
 func (Arrived) event()        {}
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -8,61 +8,66 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// Spans of a handover.
+// Timing of handovers.
 const (
-	// askInterval is the span between two asks for the same engine.
-	askInterval = 500 * clock.Millisecond
-	// yieldSpan is how long a handover waits for an unload order to end.
-	yieldSpan = 2 * clock.Second
+	// handoverAskInterval is the minimum time between two handover requests for the
+	// same engine.
+	handoverAskInterval = 500 * clock.Millisecond
+	// yieldTimeout is how long a handover waits for an unload order in progress.
+	yieldTimeout = 2 * clock.Second
 )
 
-// earlySubmit is a request passed on by a former owner that came in ahead of
-// the handover.
+// earlySubmit is a request forwarded by a former owner that arrived before the
+// handover.
 type earlySubmit struct {
-	submit message.Submit
-	at     clock.Millis
+	submit     message.Submit
+	receivedAt clock.Millis
 }
 
-// askHandover asks the owner for an engine that this daemon waits for.
-func (node *Node) askHandover(name ident.EngineID) {
-	claim, known := node.owning.claims[name]
-	if !known || claim.Owner == node.options.Self || node.now-node.owning.asking[name] < askInterval {
+// requestHandover asks the owner of an engine to hand it over to this daemon, the
+// new first candidate.
+func (node *Node) requestHandover(name ident.EngineID) {
+	claim, known := node.ownerRole.claims[name]
+	if !known || claim.Owner == node.options.Self || node.now-node.ownerRole.handoverAskSentAt[name] < handoverAskInterval {
 		return
 	}
-	node.owning.asking[name] = node.now
+	node.ownerRole.handoverAskSentAt[name] = node.now
 	node.send(claim.Owner, message.HandoverAsk{Engine: name})
 }
 
-// handoverAsked notes that another daemon asks for an engine; it gets it once
-// this daemon's own view agrees.
-func (node *Node) handoverAsked(from ident.DaemonID, ask message.HandoverAsk) {
-	if _, known := node.owning.owned[ask.Engine]; !known || node.config == nil || node.vms == nil {
+// handoverRequested records that another daemon asks for an engine. The engine is
+// handed over once this daemon also sees that daemon as the first candidate.
+func (node *Node) handoverRequested(from ident.DaemonID, ask message.HandoverAsk) {
+	if _, known := node.ownerRole.owned[ask.Engine]; !known || node.config == nil || node.vms == nil {
 		return
 	}
 	engine, known := node.config.Engine(ask.Engine)
 	if known && node.firstCandidate(engine) == from {
-		node.owning.asked[ask.Engine] = node.now
+		node.ownerRole.handoverRequestedAt[ask.Engine] = node.now
 		node.revise(engine)
 	}
 }
 
-// beginYield stops new orders and hands over as soon as none is under way.
+// beginYield stops new orders to an engine and hands it over once no order is in
+// progress.
 func (node *Node) beginYield(name ident.EngineID) {
-	held := node.owning.owned[name]
-	held.yieldUntil = node.now + yieldSpan
-	node.permit(name, held)
-	node.tickYield(name, held)
+	owned := node.ownerRole.owned[name]
+	owned.yieldDeadline = node.now + yieldTimeout
+	node.updatePermission(name, owned)
+	node.tickYield(name, owned)
 }
 
-// tickYield hands over once the last unload order has ended. When that takes too
-// long there is no handover, and the next owner waits for the hold-down: at an
-// engine that ignores fencing numbers, another may be about to claim after it.
-func (node *Node) tickYield(name ident.EngineID, held *owned) {
+// tickYield hands an engine over once the last unload order has ended. After
+// yieldTimeout the engine is released without a handover and the next owner waits
+// for the hold-down. The same happens for an engine that ignores fencing numbers
+// when the handover is so late that another daemon may be about to claim the engine
+// after its hold-down.
+func (node *Node) tickYield(name ident.EngineID, owned *ownedEngine) {
 	if node.tenure(name).State() != ownership.Yielding {
 		return
 	}
-	if held.owner.Ordering() {
-		if node.now >= held.yieldUntil {
+	if owned.owner.Ordering() {
+		if node.now >= owned.yieldDeadline {
 			node.release(name, "no longer first candidate; an order under way did not end")
 		}
 		return
@@ -70,97 +75,101 @@
 	engine, known := node.config.Engine(name)
 	inTime := node.now <= node.tenure(name).OrdersUntil()+node.options.Ownership.OrderSpan
 	if known && (engine.ChecksFencing || inTime) {
-		if heir := node.firstCandidate(engine); heir != "" && heir != node.options.Self {
-			node.handOver(heir, name, held)
+		if successor := node.firstCandidate(engine); successor != "" && successor != node.options.Self {
+			node.handOver(successor, name, owned)
 		}
 	}
 	node.release(name, "no longer first candidate")
 }
 
-func (node *Node) handOver(heir ident.DaemonID, name ident.EngineID, held *owned) {
-	node.owning.heirs[name] = heir
-	node.send(heir, message.Handover{
-		Engine: name, Fence: held.owner.Fence, SentAt: node.now, Runs: held.owner.HandedRuns(),
+func (node *Node) handOver(successor ident.DaemonID, name ident.EngineID, owned *ownedEngine) {
+	node.ownerRole.successors[name] = successor
+	node.send(successor, message.Handover{
+		Engine: name, Fence: owned.owner.Fence, SentAt: node.now, Runs: owned.owner.HandedRuns(),
 	})
-	if node.peers.Unreachable(heir) {
-		return // what waits is refused as not run, and the entries place it anew
+	if node.peers.Unreachable(successor) {
+		return // waiting requests are refused as not run, and their entries place them again
 	}
-	for _, submit := range held.owner.TakeWaiting(node.now) {
-		node.passOnSubmit(heir, submit.Entry, submit)
+	for _, submit := range owned.owner.TakeWaiting(node.now) {
+		node.forwardSubmit(successor, submit.Entry, submit)
 	}
 }
 
-// moved notes at the entry who has a waiting request now.
-func (node *Node) moved(moved message.Moved) {
-	if found, known := node.requests[moved.Stream]; known {
-		found.owner = moved.Owner
+// requestMoved records the new owner of a request that its former owner forwarded.
+func (node *Node) requestMoved(moved message.Moved) {
+	if request, known := node.requests[moved.Stream]; known {
+		request.owner = moved.Owner
 	}
 }
 
-// handedOver takes in a handover. An owner only takes note of the runs.
-func (node *Node) handedOver(from ident.DaemonID, handover message.Handover) {
-	if held, known := node.owning.owned[handover.Engine]; known && held.owner.Fence > handover.Fence {
-		held.owner.TakeOver(0, handover.Runs)
+// handoverReceived handles a handover from another daemon. If this daemon already
+// owns the engine under a higher fencing number, it only records the unfinished
+// runs.
+func (node *Node) handoverReceived(from ident.DaemonID, handover message.Handover) {
+	if owned, known := node.ownerRole.owned[handover.Engine]; known && owned.owner.Fence > handover.Fence {
+		owned.owner.TakeOver(0, handover.Runs)
 		return
 	}
 	if handover.Owner == "" {
 		handover.Owner = from
 	}
-	node.outbidHeard(message.Outbid{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
-	claim, known := node.owning.claims[handover.Engine]
+	node.higherClaimReceived(message.Outbid{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
+	claim, known := node.ownerRole.claims[handover.Engine]
 	if known && (claim.Fence > handover.Fence || claim.Owner != handover.Owner && claim.Fence == handover.Fence) {
 		return
 	}
-	node.owning.handed[handover.Engine] = handover
+	node.ownerRole.receivedHandovers[handover.Engine] = handover
 	if node.config == nil || node.vms == nil {
 		return
 	}
 	engine, configured := node.config.Engine(handover.Engine)
-	if configured && !node.passOnHandover(engine) {
+	if configured && !node.forwardHandover(engine) {
 		node.revise(engine)
 	}
 }
 
-// passOnHandover gives a handover to the next candidate when this daemon has
-// begun to leave since it asked. Without it, two daemons that leave at once would
-// leave the engine to the hold-down, and its waiting requests to each other.
-func (node *Node) passOnHandover(engine *config.Engine) bool {
+// forwardHandover forwards a handover to the next candidate if this daemon has
+// begun to shut down since it asked for the engine. Otherwise, when two daemons
+// shut down at once, the engine would stay without an owner for the hold-down and
+// its waiting requests would be sent back and forth.
+func (node *Node) forwardHandover(engine *config.Engine) bool {
 	handover, fresh := node.freshHandover(engine.Name)
 	next := node.firstCandidate(engine)
 	if !fresh || !node.draining || next == "" || next == node.options.Self || next == handover.Owner {
 		return false
 	}
-	delete(node.owning.handed, engine.Name)
-	node.owning.heirs[engine.Name] = next
+	delete(node.ownerRole.receivedHandovers, engine.Name)
+	node.ownerRole.successors[engine.Name] = next
 	node.send(next, handover)
-	early := node.owning.early
-	node.owning.early = nil
-	for _, waiting := range early {
-		if waiting.submit.Engine == engine.Name {
-			node.passOnSubmit(next, waiting.submit.Entry, waiting.submit)
+	earlySubmits := node.ownerRole.earlySubmits
+	node.ownerRole.earlySubmits = nil
+	for _, early := range earlySubmits {
+		if early.submit.Engine == engine.Name {
+			node.forwardSubmit(next, early.submit.Entry, early.submit)
 		} else {
-			node.owning.early = append(node.owning.early, waiting)
+			node.ownerRole.earlySubmits = append(node.ownerRole.earlySubmits, early)
 		}
 	}
 	return true
 }
 
-// outbidHeard takes in word of a claim with a higher number. An owner that has
-// missed it, because it was paused or cut off, gives its engine up.
-func (node *Node) outbidHeard(outbid message.Outbid) {
-	if outbid.Fence <= node.owning.claims[outbid.Engine].Fence {
+// higherClaimReceived handles a report of a claim with a higher fencing number. An
+// owner that missed the claim, because it was paused or partitioned, releases its
+// engine.
+func (node *Node) higherClaimReceived(outbid message.Outbid) {
+	if outbid.Fence <= node.ownerRole.claims[outbid.Engine].Fence {
 		return
 	}
-	node.owning.claims[outbid.Engine] = ownership.Heard{
+	node.ownerRole.claims[outbid.Engine] = ownership.Heard{
 		Owner: outbid.Owner, Incarnation: outbid.Incarnation, Fence: outbid.Fence,
 	}
-	node.outbid(outbid.Engine, "a higher claim was heard of")
+	node.releaseOutbid(outbid.Engine, "a higher claim was heard of")
 }
 
-// released reports whether a draining daemon has handed over every engine that
-// another can own.
-func (node *Node) released() bool {
-	for name := range node.owning.owned {
+// allEnginesHandedOver reports whether a draining daemon has handed over every
+// engine that another daemon can own.
+func (node *Node) allEnginesHandedOver() bool {
+	for name := range node.ownerRole.owned {
 		engine, known := node.config.Engine(name)
 		if known && node.firstCandidate(engine) != node.options.Self {
 			return false
@@ -169,42 +178,44 @@
 	return true
 }
 
-// freshHandover returns a handover that is young enough to replace the hold-down.
+// freshHandover returns the handover received for an engine and whether it is
+// recent enough to replace the hold-down.
 func (node *Node) freshHandover(name ident.EngineID) (message.Handover, bool) {
-	handover, known := node.owning.handed[name]
+	handover, known := node.ownerRole.receivedHandovers[name]
 	age := node.now - handover.SentAt
 	margin := node.options.Ownership.ClockMargin
 	fresh := known && age <= node.options.Ownership.HandoverSpan && age >= -margin
 	if known && !fresh {
-		delete(node.owning.handed, name)
+		delete(node.ownerRole.receivedHandovers, name)
 	}
 	return handover, fresh
 }
 
-// admitEarly queues the requests that came in ahead of a handover.
-func (node *Node) admitEarly(name ident.EngineID) {
-	early := node.owning.early
-	node.owning.early = nil
-	for _, waiting := range early {
-		if waiting.submit.Engine == name {
-			node.submitted(waiting.submit.Entry, waiting.submit)
+// admitEarlySubmits admits the requests for an engine that arrived before its
+// handover.
+func (node *Node) admitEarlySubmits(name ident.EngineID) {
+	earlySubmits := node.ownerRole.earlySubmits
+	node.ownerRole.earlySubmits = nil
+	for _, early := range earlySubmits {
+		if early.submit.Engine == name {
+			node.admitSubmit(early.submit.Entry, early.submit)
 		} else {
-			node.owning.early = append(node.owning.early, waiting)
+			node.ownerRole.earlySubmits = append(node.ownerRole.earlySubmits, early)
 		}
 	}
 }
 
-// expireEarly refuses the requests whose handover did not come.
-func (node *Node) expireEarly() {
-	early := node.owning.early
-	node.owning.early = nil
-	for _, waiting := range early {
-		if node.now-waiting.at > node.options.Ownership.HandoverSpan {
-			entry := waiting.submit.Entry
-			waiting.submit.Entry = ""
-			node.submittedElsewhere(entry, waiting.submit)
+// expireEarlySubmits refuses the requests whose handover did not arrive in time.
+func (node *Node) expireEarlySubmits() {
+	earlySubmits := node.ownerRole.earlySubmits
+	node.ownerRole.earlySubmits = nil
+	for _, early := range earlySubmits {
+		if node.now-early.receivedAt > node.options.Ownership.HandoverSpan {
+			entry := early.submit.Entry
+			early.submit.Entry = ""
+			node.forwardOrRefuseSubmit(entry, early.submit)
 		} else {
-			node.owning.early = append(node.owning.early, waiting)
+			node.ownerRole.earlySubmits = append(node.ownerRole.earlySubmits, early)
 		}
 	}
 }
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -12,30 +12,32 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Spans of the talk with the home of a key.
+// Timing of the exchange with the home of a key.
 const (
-	// homeAskInterval is the span after which a home that is silent is asked again.
-	homeAskInterval = 300 * clock.Millisecond
-	// homeSpan is the span after which a silent home is given up.
-	homeSpan = 2 * clock.Second
-	// finishInterval is the span between two sendings of an outcome to a home.
-	finishInterval = 500 * clock.Millisecond
-	// finishSpan is the span after which a home is no longer told. Its record
-	// then ends as unknown.
-	finishSpan = 30 * clock.Second
+	// homeRetryInterval is how long the entry waits for a reply before it asks the
+	// home again.
+	homeRetryInterval = 300 * clock.Millisecond
+	// homeTimeout is how long the entry waits for the home in all.
+	homeTimeout = 2 * clock.Second
+	// finishResendInterval is the time between two sendings of an outcome to a
+	// home.
+	finishResendInterval = 500 * clock.Millisecond
+	// finishTimeout is how long an unconfirmed outcome is resent. After it, the
+	// home's record ends as unknown.
+	finishTimeout = 30 * clock.Second
 )
 
-// finish is an outcome that the home of a key has not confirmed.
-type finish struct {
-	message message.HomeFinish
-	key     home.Key
-	to      ident.DaemonID
-	again   clock.Millis
-	until   clock.Millis
+// pendingFinish is an outcome that the home of its key has not confirmed yet.
+type pendingFinish struct {
+	message   message.HomeFinish
+	key       home.Key
+	to        ident.DaemonID
+	resendAt  clock.Millis
+	expiresAt clock.Millis
 }
 
 func (request *request) key() home.Key {
-	return home.Key{Key: request.arrived.Key, Caller: request.caller.Name, Region: request.caller.Region}
+	return home.Key{Key: request.arrival.Key, Caller: request.caller.Name, Region: request.caller.Region}
 }
 
 // homeOf returns the daemon that keeps the record of a key.
@@ -46,77 +48,77 @@
 	return home.Of(node.vms, key)
 }
 
-// homeEffects passes on the messages of this daemon's home.
+// homeEffects sends the messages of this daemon's home role.
 func (node *Node) homeEffects(effects []effect.Effect) {
 	for _, next := range effects {
-		if sent, isSend := next.(effect.Send); isSend {
-			node.send(sent.To, sent.Message)
+		if send, isSend := next.(effect.Send); isSend {
+			node.send(send.To, send.Message)
 		}
 	}
 }
 
-// askHome asks the home of the request's key for leave to run it.
-func (node *Node) askHome(asking *request) {
-	requestTable.Must(&asking.state, askHome)
-	asking.askUntil = min(node.now+homeSpan, asking.deadline)
-	node.askAgain(asking)
+// askHome asks the home of the request's key for permission to run the request.
+func (node *Node) askHome(request *request) {
+	requestTable.Must(&request.state, askHome)
+	request.homeDeadline = min(node.now+homeTimeout, request.deadline)
+	node.sendHomeBegin(request)
 }
 
-// askAgain asks the daemon that is home at present. Asking twice is harmless:
-// one attempt has one stream id.
-func (node *Node) askAgain(asking *request) {
-	asking.askAgain = node.now + homeAskInterval
-	keeper, found := node.homeOf(asking.key())
+// sendHomeBegin asks the daemon that is the key's home now. Repeating the message
+// is harmless, because the stream id identifies the attempt.
+func (node *Node) sendHomeBegin(request *request) {
+	request.homeRetryAt = node.now + homeRetryInterval
+	homeDaemon, found := node.homeOf(request.key())
 	if !found {
 		return
 	}
-	asking.home = keeper
-	node.send(keeper, message.HomeBegin{
-		Key: asking.arrived.Key, Caller: asking.caller.Name, Region: asking.caller.Region,
-		BodyHash: asking.arrived.BodyHash, Stream: asking.arrived.Stream, IssuedAt: asking.arrived.KeyIssuedAt,
-		RequestID: asking.arrived.RequestID, EntryClass: asking.rule.Class,
+	request.home = homeDaemon
+	node.send(homeDaemon, message.HomeBegin{
+		Key: request.arrival.Key, Caller: request.caller.Name, Region: request.caller.Region,
+		BodyHash: request.arrival.BodyHash, Stream: request.arrival.Stream, IssuedAt: request.arrival.KeyIssuedAt,
+		RequestID: request.arrival.RequestID, EntryClass: request.rule.Class,
 	})
 }
 
-// tickHome asks silent homes again, and gives them up in the end: nothing has
-// received the request, so that can be said at once.
-func (node *Node) tickHome(waiting *request) {
+// tickHome asks a silent home again, and refuses the request after the timeout: no
+// engine or service has received it.
+func (node *Node) tickHome(request *request) {
 	switch {
-	case waiting.askUntil <= node.now:
-		node.answer(waiting, outcome.Refused(outcome.HomeUnreachable, transientRetry))
-	case waiting.askAgain <= node.now:
-		node.askAgain(waiting)
+	case request.homeDeadline <= node.now:
+		node.answer(request, outcome.Refused(outcome.HomeUnreachable, transientRetryDelay))
+	case request.homeRetryAt <= node.now:
+		node.sendHomeBegin(request)
 	}
 }
 
 func (node *Node) homeVerdict(from ident.DaemonID, verdict message.HomeVerdict) {
-	asked, known := node.requests[verdict.Stream]
-	if !known || asked.state != requestAtHome {
+	request, known := node.requests[verdict.Stream]
+	if !known || request.state != requestAwaitingHome {
 		if verdict.Granted {
-			node.returnGrant(from, verdict)
+			node.releaseUnusedGrant(from, verdict)
 		}
 		return
 	}
 	if verdict.Granted {
-		asked.home = from
-		asked.record.Home, asked.record.HomeCopied = from, verdict.Copied
-		node.place(asked)
+		request.home = from
+		request.record.Home, request.record.HomeCopied = from, verdict.Copied
+		node.place(request)
 		return
 	}
 	if verdict.Outcome.Reason == outcome.HomeUnreachable {
-		return // that daemon does not act as home; another may at the next try
+		return // that daemon is not the key's home; the next try may reach another
 	}
-	asked.replay = verdict.Stored
-	asked.home = ""
-	node.answer(asked, verdict.Outcome)
+	request.storedAnswer = verdict.Stored
+	request.home = ""
+	node.answer(request, verdict.Outcome)
 }
 
-// returnGrant frees a key that was granted after its request had been given up.
-// A verdict that merely came twice frees nothing: the request still runs, or its
-// outcome is on its way to the home. Nor does one for an earlier life of this
-// daemon, which alone knew what became of the request.
-func (node *Node) returnGrant(from ident.DaemonID, verdict message.HomeVerdict) {
-	if verdict.Stream.Incarnation != node.options.Incarnation || node.finishes[verdict.Stream] != nil || node.runs(verdict.Stream) {
+// releaseUnusedGrant releases a key that was granted after its request had ended.
+// It does nothing for a duplicate verdict, whose request is still open or whose
+// outcome is being sent to the home, nor for a verdict to an earlier incarnation of
+// this daemon, because only that incarnation knew whether the request ran.
+func (node *Node) releaseUnusedGrant(from ident.DaemonID, verdict message.HomeVerdict) {
+	if verdict.Stream.Incarnation != node.options.Incarnation || node.pendingFinishes[verdict.Stream] != nil || node.hasOpenRequest(verdict.Stream) {
 		return
 	}
 	node.send(from, message.HomeFinish{
@@ -124,53 +126,55 @@
 	})
 }
 
-// runs reports whether a request is open that began under the stream.
-func (node *Node) runs(first ident.StreamID) bool {
-	for _, open := range node.requests {
-		if open.arrived.Stream == first {
+// hasOpenRequest reports whether a request whose first attempt had the stream id is
+// still open.
+func (node *Node) hasOpenRequest(firstStream ident.StreamID) bool {
+	for _, request := range node.requests {
+		if request.arrival.Stream == firstStream {
 			return true
 		}
 	}
 	return false
 }
 
-// tellHome reports an outcome to the home that was asked, until it confirms.
-func (node *Node) tellHome(ended *request, final outcome.Outcome) {
-	if ended.home == "" {
+// reportToHome sends an outcome to the home that granted the key, until the home
+// confirms it.
+func (node *Node) reportToHome(request *request, final outcome.Outcome) {
+	if request.home == "" {
 		return
 	}
-	told := &finish{
+	finish := &pendingFinish{
 		message: message.HomeFinish{
-			Key: ended.arrived.Key, Stream: ended.arrived.Stream, Outcome: final, Stored: ended.content,
+			Key: request.arrival.Key, Stream: request.arrival.Stream, Outcome: final, Stored: request.contentForHome,
 		},
-		key: ended.key(), to: ended.home, until: node.now + finishSpan,
+		key: request.key(), to: request.home, expiresAt: node.now + finishTimeout,
 	}
-	node.finishes[ended.arrived.Stream] = told
-	node.sendFinish(told)
+	node.pendingFinishes[request.arrival.Stream] = finish
+	node.sendFinish(finish)
 }
 
-func (node *Node) sendFinish(told *finish) {
-	told.again = node.now + finishInterval
-	if _, listed := node.vms.Daemon(told.to); !listed {
-		if next, found := node.homeOf(told.key); found {
-			told.to = next
+func (node *Node) sendFinish(finish *pendingFinish) {
+	finish.resendAt = node.now + finishResendInterval
+	if _, listed := node.vms.Daemon(finish.to); !listed {
+		if next, found := node.homeOf(finish.key); found {
+			finish.to = next
 		}
 	}
-	node.send(told.to, told.message)
+	node.send(finish.to, finish.message)
 }
 
 func (node *Node) homeFinished(confirmed message.HomeFinished) {
-	delete(node.finishes, confirmed.Stream)
+	delete(node.pendingFinishes, confirmed.Stream)
 }
 
 func (node *Node) tickFinishes() {
-	for _, stream := range slices.SortedFunc(maps.Keys(node.finishes), ident.StreamID.Compare) {
-		told := node.finishes[stream]
+	for _, stream := range slices.SortedFunc(maps.Keys(node.pendingFinishes), ident.StreamID.Compare) {
+		finish := node.pendingFinishes[stream]
 		switch {
-		case told.until <= node.now:
-			delete(node.finishes, stream)
-		case told.again <= node.now:
-			node.sendFinish(told)
+		case finish.expiresAt <= node.now:
+			delete(node.pendingFinishes, stream)
+		case finish.resendAt <= node.now:
+			node.sendFinish(finish)
 		}
 	}
 }
--- a/internal/decide/node/limit_test.go
+++ b/internal/decide/node/limit_test.go
@@ -14,7 +14,8 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// TestCallerLimit lets one caller exceed its rate beside another caller.
+// TestCallerLimit checks that a caller above its rate is refused and does not
+// affect another caller.
 func TestCallerLimit(t *testing.T) {
 	published := smallConfig(1)
 	published.Callers[0].RequestsPerSecond, published.Callers[0].Burst = 2, 3
@@ -26,7 +27,7 @@
 	entry.Step(now, node.ConfigRead{Snapshot: snapshot})
 	entry.Step(now, node.VMListRead{View: members.NewView(members.List{Version: 1}, now)})
 	sequence := 0
-	ask := func(key string) outcome.Outcome {
+	sendRequest := func(key string) outcome.Outcome {
 		sequence++
 		effects := entry.Step(now, node.Arrived{
 			Stream: entry.NewStream(), RequestID: fmt.Sprint(sequence), APIKey: key, Model: "review-1@1",
@@ -38,13 +39,13 @@
 		}
 		return outcome.Outcome{}
 	}
-	for range 4 { // the burst, and one at the rate
-		require.Equal(t, outcome.NoEngine, ask(callerKey).Reason)
+	for range 4 { // the burst, and one at the steady rate
+		require.Equal(t, outcome.NoEngine, sendRequest(callerKey).Reason)
 	}
-	require.Equal(t, outcome.Refused(outcome.CallerLimit, 500), ask(callerKey))
-	require.Equal(t, outcome.NoEngine, ask("other").Reason, "one caller's burst does not starve another")
+	require.Equal(t, outcome.Refused(outcome.CallerLimit, 500), sendRequest(callerKey))
+	require.Equal(t, outcome.NoEngine, sendRequest("other").Reason, "the other caller is not limited")
 	now += 499
-	require.Equal(t, outcome.Refused(outcome.CallerLimit, 1), ask(callerKey))
+	require.Equal(t, outcome.Refused(outcome.CallerLimit, 1), sendRequest(callerKey))
 	now++
-	require.Equal(t, outcome.NoEngine, ask(callerKey).Reason, "after the Retry-After there is a token")
+	require.Equal(t, outcome.NoEngine, sendRequest(callerKey).Reason, "a token is available after Retry-After")
 }
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -15,120 +15,127 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// Spans of updates. The span between two updates with news grows with the
-// region, so that each daemon's share of control traffic stays within bounds.
+// Timing of updates. The interval between two updates with engine deltas grows with
+// the size of the region, so that the control traffic of each daemon stays bounded.
 const (
-	// beatInterval is the longest span between two updates within the data centre.
-	beatInterval = clock.Second
-	// spanPerDaemon is added for each daemon of the region.
-	spanPerDaemon = 25 * clock.Millisecond
-	// fullAskInterval is the shortest span between two asks for a full update.
-	fullAskInterval = 2 * clock.Second
-	// mismatchTries is the number of updates in a row with a wrong digest after
-	// which the full state is asked for.
-	mismatchTries = 2
+	// heartbeatInterval is the maximum time between two updates within the data
+	// centre.
+	heartbeatInterval = clock.Second
+	// deltaIntervalPerDaemon is the part of deltaInterval added for each daemon of
+	// the region.
+	deltaIntervalPerDaemon = 25 * clock.Millisecond
+	// fullUpdateAskInterval is the minimum time between two requests for a full
+	// update from the same daemon.
+	fullUpdateAskInterval = 2 * clock.Second
+	// digestMismatchLimit is the number of consecutive updates with a different
+	// digest after which a full update is requested.
+	digestMismatchLimit = 2
 )
 
-// news is what has been told to the daemons of the region, and heard from them.
-type news struct {
-	// due says that something happened that others should know at once.
-	due    bool
-	local  channel // daemons of the same data centre
-	remote channel // one relay in each other data centre of the region
-	// origins is what is known of each daemon's engines by its own word.
-	origins map[ident.DaemonID]*origin
+// updateState is what this daemon has sent to the daemons of the region and
+// received from them.
+type updateState struct {
+	// urgent is set when a change should be sent without waiting for the next
+	// interval.
+	urgent bool
+	local  receiverGroup // daemons of the same data centre
+	remote receiverGroup // one relay in each other data centre of the region
+	// peerEngines holds the engine states that each daemon has reported.
+	peerEngines map[ident.DaemonID]*peerEngines
 }
 
-// origin is what a daemon has told of its engines.
-type origin struct {
-	engines map[ident.EngineID]toldEngine
-	// digest sums up engines.
+// peerEngines is what a daemon has reported about its engines.
+type peerEngines struct {
+	engines map[ident.EngineID]reportedEngine
+	// digest covers all entries of engines.
 	digest uint64
-	// mismatches counts updates in a row whose digest was another.
-	mismatches int
-	askedAt    clock.Millis // last ask for everything
+	// digestMismatches counts consecutive updates whose digest differed from the
+	// one above.
+	digestMismatches int
+	fullAskedAt      clock.Millis // last request for a full update
 }
 
-// toldEngine is which state of an engine has been told.
-type toldEngine struct {
+// reportedEngine identifies the reported state of an engine.
+type reportedEngine struct {
 	fence     ident.Fence
 	residency uint64
 }
 
-func (origin *origin) set(name ident.EngineID, told toldEngine) {
-	origin.remove(name)
-	origin.engines[name] = told
-	origin.digest ^= digestEngine(name, told.fence, told.residency)
+func (peerEngines *peerEngines) set(name ident.EngineID, reported reportedEngine) {
+	peerEngines.remove(name)
+	peerEngines.engines[name] = reported
+	peerEngines.digest ^= digestEngine(name, reported.fence, reported.residency)
 }
 
-func (origin *origin) remove(name ident.EngineID) {
-	if told, known := origin.engines[name]; known {
-		origin.digest ^= digestEngine(name, told.fence, told.residency)
-		delete(origin.engines, name)
+func (peerEngines *peerEngines) remove(name ident.EngineID) {
+	if reported, known := peerEngines.engines[name]; known {
+		peerEngines.digest ^= digestEngine(name, reported.fence, reported.residency)
+		delete(peerEngines.engines, name)
 	}
 }
 
-func (news *news) origin(daemon ident.DaemonID) *origin {
-	found, known := news.origins[daemon]
+func (updateState *updateState) enginesOf(daemon ident.DaemonID) *peerEngines {
+	engines, known := updateState.peerEngines[daemon]
 	if !known {
-		found = &origin{engines: map[ident.EngineID]toldEngine{}}
-		news.origins[daemon] = found
+		engines = &peerEngines{engines: map[ident.EngineID]reportedEngine{}}
+		updateState.peerEngines[daemon] = engines
 	}
-	return found
+	return engines
 }
 
-// channel is one set of receivers that are told the same.
-type channel struct {
-	sentAt clock.Millis
-	newsAt clock.Millis // last update that carried engines
-	told   map[ident.EngineID]message.EngineNews
+// receiverGroup is a set of receivers that get the same updates.
+type receiverGroup struct {
+	sentAt       clock.Millis
+	deltasSentAt clock.Millis // last update that carried engines
+	lastSent     map[ident.EngineID]message.EngineNews
 }
 
-func newNews() news {
-	return news{origins: map[ident.DaemonID]*origin{}}
+func newUpdateState() updateState {
+	return updateState{peerEngines: map[ident.DaemonID]*peerEngines{}}
 }
 
-// newsInterval is the span between two updates with news of engines.
-func (node *Node) newsInterval() clock.Millis {
-	return max(node.options.StateInterval, spanPerDaemon*clock.Millis(len(node.regionNames)))
+// deltaInterval returns the interval between two updates with engine deltas.
+func (node *Node) deltaInterval() clock.Millis {
+	return max(node.options.StateInterval, deltaIntervalPerDaemon*clock.Millis(len(node.regionNames)))
 }
 
-// remoteInterval is the span between two updates to other data centres.
+// remoteInterval returns the interval between two updates to other data centres.
 func (node *Node) remoteInterval() clock.Millis {
-	return 2 * node.newsInterval()
+	return 2 * node.deltaInterval()
 }
 
-// suspicion is the silence after which a daemon is passed over.
-func (node *Node) suspicion(daemon ident.DaemonID) clock.Millis {
-	span := node.options.Ownership.Suspicion
+// silenceTimeout returns how long a daemon may be silent before it is skipped as a
+// candidate.
+func (node *Node) silenceTimeout(daemon ident.DaemonID) clock.Millis {
+	timeout := node.options.Ownership.Suspicion
 	if vm, known := node.vms.Daemon(daemon); known && vm.DataCentre != node.options.DataCentre {
-		span += 2 * max(beatInterval, node.remoteInterval())
+		timeout += 2 * max(heartbeatInterval, node.remoteInterval())
 	}
-	return span
+	return timeout
 }
 
-// tickNews sends the updates that are due.
-func (node *Node) tickNews() {
+// tickUpdates sends the updates that are due.
+func (node *Node) tickUpdates() {
 	if node.vms == nil {
 		return
 	}
-	atOnce := node.news.due && node.now-node.news.local.sentAt >= node.options.StateInterval
-	interval := node.newsInterval()
-	if withNews := atOnce || node.now-node.news.local.newsAt >= interval; withNews || node.now-node.news.local.sentAt >= beatInterval {
-		update := node.update(&node.news.local, withNews)
+	urgent := node.updates.urgent && node.now-node.updates.local.sentAt >= node.options.StateInterval
+	interval := node.deltaInterval()
+	if withEngines := urgent || node.now-node.updates.local.deltasSentAt >= interval; withEngines || node.now-node.updates.local.sentAt >= heartbeatInterval {
+		update := node.nextUpdate(&node.updates.local, withEngines)
 		for _, peer := range node.localNames {
 			node.sendUpdate(peer, update)
 		}
 	}
-	if atOnce || node.now-node.news.remote.sentAt >= max(interval*2, node.options.StateInterval) {
-		update := node.update(&node.news.remote, true)
+	if urgent || node.now-node.updates.remote.sentAt >= max(interval*2, node.options.StateInterval) {
+		update := node.nextUpdate(&node.updates.remote, true)
 		update.Relay = true
 		for _, relay := range node.relays() {
 			node.sendUpdate(relay, update)
 		}
 	}
-	if atOnce {
-		node.news.due = false
+	if urgent {
+		node.updates.urgent = false
 	}
 }
 
@@ -138,36 +145,36 @@
 	}
 }
 
-// update makes the next update of a channel.
-func (node *Node) update(channel *channel, withNews bool) message.Update {
-	channel.sentAt = node.now
-	update := node.emptyUpdate()
-	if !withNews {
-		update.Digest = digestOf(channel.told)
+// nextUpdate returns the next update for a group and records what it contains.
+func (node *Node) nextUpdate(group *receiverGroup, withEngines bool) message.Update {
+	group.sentAt = node.now
+	update := node.updateWithoutEngines()
+	if !withEngines {
+		update.Digest = digestOf(group.lastSent)
 		return update
 	}
-	channel.newsAt = node.now
-	told := make(map[ident.EngineID]message.EngineNews, len(node.owning.owned))
+	group.deltasSentAt = node.now
+	current := make(map[ident.EngineID]message.EngineNews, len(node.ownerRole.owned))
 	for _, name := range node.ownedInOrder() {
-		news := node.engineNews(node.owning.owned[name].owner)
-		if news.Engine == "" {
+		delta := node.engineDelta(node.ownerRole.owned[name].owner)
+		if delta.Engine == "" {
 			continue
 		}
-		before, known := channel.told[name]
-		told[name] = news
-		if known && before.Residency == news.Residency && before.Fence == news.Fence {
-			news.Detail = nil
+		previous, known := group.lastSent[name]
+		current[name] = delta
+		if known && previous.Residency == delta.Residency && previous.Fence == delta.Fence {
+			delta.Detail = nil
 		}
-		if !known || news.Detail != nil || changed(before, news) {
-			update.Engines = append(update.Engines, news)
+		if !known || delta.Detail != nil || countersChanged(previous, delta) {
+			update.Engines = append(update.Engines, delta)
 		}
 	}
-	channel.told = told
-	update.Digest = digestOf(told)
+	group.lastSent = current
+	update.Digest = digestOf(current)
 	return update
 }
 
-func (node *Node) emptyUpdate() message.Update {
+func (node *Node) updateWithoutEngines() message.Update {
 	update := message.Update{
 		From: node.options.Self, Incarnation: node.options.Incarnation, SentAt: node.now, Leaving: node.draining,
 	}
@@ -175,58 +182,59 @@
 		update.ConfigVersion = node.config.Version()
 	}
 	if node.config != nil && node.vms != nil {
-		update.Departing = node.departingRead()
+		update.Departing = node.enginesListedAsLeaving()
 	}
 	return update
 }
 
-// departingRead lists the engines owned here or elsewhere in the region that
-// this daemon has itself read to be leaving.
-func (node *Node) departingRead() []ident.EngineID {
-	var departing []ident.EngineID
+// enginesListedAsLeaving returns the region's engines, owned by any daemon, whose
+// backend server is leaving according to the VM list that this daemon has read.
+func (node *Node) enginesListedAsLeaving() []ident.EngineID {
+	var leaving []ident.EngineID
 	if !node.vms.AnyServerLeaving() {
 		return nil
 	}
 	for i := range node.config.Config.Engines {
 		engine := &node.config.Config.Engines[i]
 		if engine.Region == node.options.Region && node.vms.ServerLeaving(engine.Address) {
-			departing = append(departing, engine.Name)
+			leaving = append(leaving, engine.Name)
 		}
 	}
-	return departing
+	return leaving
 }
 
-func changed(before, after message.EngineNews) bool {
-	return before.Queued != after.Queued || before.Running != after.Running ||
-		before.LoadsWaiting != after.LoadsWaiting || before.Flags != after.Flags
+func countersChanged(previous, current message.EngineNews) bool {
+	return previous.Queued != current.Queued || previous.Running != current.Running ||
+		previous.LoadsWaiting != current.LoadsWaiting || previous.Flags != current.Flags
 }
 
-// engineNews is the owner's word on an engine; empty before its first report.
-func (node *Node) engineNews(owner *owner.Owner) message.EngineNews {
+// engineDelta returns the state of an owned engine; it is empty before the engine's
+// first report.
+func (node *Node) engineDelta(owner *owner.Owner) message.EngineNews {
 	if !owner.Known() {
 		return message.EngineNews{}
 	}
 	state := owner.State(node.now)
-	news := message.EngineNews{
+	delta := message.EngineNews{
 		Engine: state.Engine, Fence: state.Fence, Version: state.Version, Residency: owner.Residency(state.Resident, state.Wanted),
 		Queued: state.Queued, Running: state.Running, LoadsWaiting: state.LoadsWaiting, ReportAge: state.ReportAge,
 		Spare:  state.Spare,
 		Detail: &message.EngineDetail{Resident: state.Resident, Wanted: state.Wanted, Boot: state.Boot},
 	}
 	if state.Quarantined {
-		news.Flags |= message.NewsQuarantined
+		delta.Flags |= message.NewsQuarantined
 	}
 	if state.Leaving {
-		news.Flags |= message.NewsLeaving
+		delta.Flags |= message.NewsLeaving
 	}
-	return news
+	return delta
 }
 
-// digestOf sums up which engines are owned and what is loaded there.
-func digestOf(told map[ident.EngineID]message.EngineNews) uint64 {
+// digestOf returns a digest of which engines are owned and what is loaded on them.
+func digestOf(deltas map[ident.EngineID]message.EngineNews) uint64 {
 	digest := uint64(0)
-	for name, news := range told {
-		digest ^= digestEngine(name, news.Fence, news.Residency)
+	for name, delta := range deltas {
+		digest ^= digestEngine(name, delta.Fence, delta.Residency)
 	}
 	return digest
 }
@@ -236,8 +244,8 @@
 	return (xxhash.Sum64String(string(name))+uint64(fence))*mixer ^ residency*mixer
 }
 
-// relays returns one daemon in each other data centre of the region that passes
-// this daemon's updates on there. Each origin has its own, so that the work
+// relays returns one daemon in each other data centre of the region that forwards
+// this daemon's updates there. Each sender uses its own relays, so that the work
 // spreads over all daemons.
 func (node *Node) relays() []ident.DaemonID {
 	var relays []ident.DaemonID
@@ -250,7 +258,8 @@
 	return relays
 }
 
-// groupDaemons sorts the region's daemons by data centre, after a change.
+// groupDaemons groups the region's daemons by data centre after a change of the VM
+// list.
 func (node *Node) groupDaemons() {
 	node.regionNames = node.regionDaemons()
 	node.localNames = node.vms.Present(func(vm *members.VM) bool {
@@ -262,15 +271,15 @@
 			node.remoteNames[vm.DataCentre] = append(node.remoteNames[vm.DataCentre], name)
 		}
 	}
-	for origin := range node.news.origins {
-		if _, listed := node.vms.Daemon(origin); !listed {
-			delete(node.news.origins, origin)
+	for daemon := range node.updates.peerEngines {
+		if _, listed := node.vms.Daemon(daemon); !listed {
+			delete(node.updates.peerEngines, daemon)
 		}
 	}
 }
 
-// updated takes in another daemon's update.
-func (node *Node) updated(update message.Update) {
+// updateReceived handles another daemon's update.
+func (node *Node) updateReceived(update message.Update) {
 	heard := node.peers.Heard(node.now, update.From, members.Peer{
 		Incarnation: update.Incarnation, ConfigVersion: update.ConfigVersion,
 		SentAt: update.SentAt, Leaving: update.Leaving,
@@ -280,18 +289,18 @@
 	}
 	node.homeEffects(node.home.Met(node.now, update.From, update.Incarnation))
 	if update.Relay {
-		node.passOn(update)
+		node.relayUpdate(update)
 	}
 	for _, name := range update.Departing {
-		node.owning.departing[name] = node.now
+		node.ownerRole.leavingReportedAt[name] = node.now
 	}
-	for _, news := range update.Engines {
-		node.engineNewsReceived(update, news)
+	for _, delta := range update.Engines {
+		node.engineDeltaReceived(update, delta)
 	}
 	node.checkDigest(update)
 }
 
-func (node *Node) passOn(update message.Update) {
+func (node *Node) relayUpdate(update message.Update) {
 	update.Relay = false
 	for _, peer := range node.localNames {
 		if peer != update.From {
@@ -300,60 +309,61 @@
 	}
 }
 
-// engineNewsReceived takes in a claim and what is new at its engine. Of two
-// claims the one with the higher number counts.
-func (node *Node) engineNewsReceived(update message.Update, news message.EngineNews) {
-	claim, known := node.owning.claims[news.Engine]
-	if known && news.Fence < claim.Fence {
+// engineDeltaReceived handles a claim to an engine and the changes of its state. Of
+// two claims, the one with the higher fencing number wins.
+func (node *Node) engineDeltaReceived(update message.Update, delta message.EngineNews) {
+	claim, known := node.ownerRole.claims[delta.Engine]
+	if known && delta.Fence < claim.Fence {
 		node.send(update.From, message.Outbid{
-			Engine: news.Engine, Owner: claim.Owner, Incarnation: claim.Incarnation, Fence: claim.Fence,
+			Engine: delta.Engine, Owner: claim.Owner, Incarnation: claim.Incarnation, Fence: claim.Fence,
 		})
 		return
 	}
 	if known && claim.Owner != update.From {
-		node.news.origin(claim.Owner).remove(news.Engine)
+		node.updates.enginesOf(claim.Owner).remove(delta.Engine)
 	}
-	node.owning.claims[news.Engine] = ownership.Heard{Owner: update.From, Incarnation: update.Incarnation, Fence: news.Fence}
-	node.outbid(news.Engine, "a higher claim was heard of")
+	node.ownerRole.claims[delta.Engine] = ownership.Heard{Owner: update.From, Incarnation: update.Incarnation, Fence: delta.Fence}
+	node.releaseOutbid(delta.Engine, "a higher claim was heard of")
 	state := message.EngineState{
-		Engine: news.Engine, Owner: update.From, Fence: news.Fence, Version: news.Version,
-		Queued: news.Queued, Running: news.Running, LoadsWaiting: news.LoadsWaiting, ReportAge: news.ReportAge, Spare: news.Spare,
-		Quarantined: news.Flags&message.NewsQuarantined != 0, Leaving: news.Flags&message.NewsLeaving != 0,
-	}
-	origin := node.news.origin(update.From)
-	told := toldEngine{fence: news.Fence, residency: origin.engines[news.Engine].residency}
-	if news.Detail != nil {
-		state.Resident, state.Wanted, state.Boot = news.Detail.Resident, news.Detail.Wanted, news.Detail.Boot
-		told.residency = news.Residency
-	} else if view := node.views.View(news.Engine); view != nil && view.State.Fence == news.Fence {
+		Engine: delta.Engine, Owner: update.From, Fence: delta.Fence, Version: delta.Version,
+		Queued: delta.Queued, Running: delta.Running, LoadsWaiting: delta.LoadsWaiting, ReportAge: delta.ReportAge, Spare: delta.Spare,
+		Quarantined: delta.Flags&message.NewsQuarantined != 0, Leaving: delta.Flags&message.NewsLeaving != 0,
+	}
+	engines := node.updates.enginesOf(update.From)
+	reported := reportedEngine{fence: delta.Fence, residency: engines.engines[delta.Engine].residency}
+	if delta.Detail != nil {
+		state.Resident, state.Wanted, state.Boot = delta.Detail.Resident, delta.Detail.Wanted, delta.Detail.Boot
+		reported.residency = delta.Residency
+	} else if view := node.views.View(delta.Engine); view != nil && view.State.Fence == delta.Fence {
 		state.Resident, state.Wanted, state.Boot = view.State.Resident, view.State.Wanted, view.State.Boot
 	}
-	origin.set(news.Engine, told)
+	engines.set(delta.Engine, reported)
 	node.views.Update(node.now, state)
 }
 
-// checkDigest compares what is known of a daemon's engines with its word, and
-// asks for all of it when updates have been missed.
+// checkDigest compares the known state of a daemon's engines with the digest of its
+// update, and requests a full update when earlier ones were missed.
 func (node *Node) checkDigest(update message.Update) {
-	origin := node.news.origin(update.From)
+	engines := node.updates.enginesOf(update.From)
 	if update.Full {
-		node.dropMissing(origin, update)
+		node.dropMissing(engines, update)
 	}
-	if origin.digest == update.Digest {
-		origin.mismatches = 0
-		node.renewViews(origin)
+	if engines.digest == update.Digest {
+		engines.digestMismatches = 0
+		node.confirmViews(engines)
 		return
 	}
-	origin.mismatches++
-	if origin.mismatches >= mismatchTries && node.now-origin.askedAt >= fullAskInterval {
-		origin.askedAt = node.now
+	engines.digestMismatches++
+	if engines.digestMismatches >= digestMismatchLimit && node.now-engines.fullAskedAt >= fullUpdateAskInterval {
+		engines.fullAskedAt = node.now
 		node.send(update.From, message.UpdateAsk{From: node.options.Self})
 	}
 }
 
-// renewViews notes that nothing else is new at a daemon's engines.
-func (node *Node) renewViews(origin *origin) {
-	for name := range origin.engines {
+// confirmViews marks the views of a daemon's engines as current, because its update
+// showed no other changes.
+func (node *Node) confirmViews(engines *peerEngines) {
+	for name := range engines.engines {
 		if view := node.views.View(name); view != nil && view.HeardAt < node.now {
 			view.HeardAt = node.now
 			view.Sent = 0
@@ -362,39 +372,39 @@
 	}
 }
 
-// dropMissing forgets engines that their owner no longer lists.
-func (node *Node) dropMissing(origin *origin, update message.Update) {
-	for name := range origin.engines {
-		if !slices.ContainsFunc(update.Engines, func(news message.EngineNews) bool { return news.Engine == name }) {
-			origin.remove(name)
+// dropMissing removes engines that a full update of their owner no longer lists.
+func (node *Node) dropMissing(engines *peerEngines, update message.Update) {
+	for name := range engines.engines {
+		if !slices.ContainsFunc(update.Engines, func(delta message.EngineNews) bool { return delta.Engine == name }) {
+			engines.remove(name)
 			node.views.Drop(name)
 		}
 	}
 }
 
-// updateAsked answers with everything.
-func (node *Node) updateAsked(ask message.UpdateAsk) {
-	update := node.emptyUpdate()
+// fullUpdateRequested replies with a full update.
+func (node *Node) fullUpdateRequested(ask message.UpdateAsk) {
+	update := node.updateWithoutEngines()
 	update.Full = true
-	told := map[ident.EngineID]message.EngineNews{}
+	deltas := map[ident.EngineID]message.EngineNews{}
 	for _, name := range node.ownedInOrder() {
-		if news := node.engineNews(node.owning.owned[name].owner); news.Engine != "" {
-			told[name] = news
-			update.Engines = append(update.Engines, news)
+		if delta := node.engineDelta(node.ownerRole.owned[name].owner); delta.Engine != "" {
+			deltas[name] = delta
+			update.Engines = append(update.Engines, delta)
 		}
 	}
 	slices.SortFunc(update.Engines, func(a, b message.EngineNews) int { return cmp.Compare(a.Engine, b.Engine) })
-	update.Digest = digestOf(told)
+	update.Digest = digestOf(deltas)
 	node.sendUpdate(ask.From, update)
 }
 
-// viewOwn keeps this daemon's own engines among the views that it places by.
-func (node *Node) viewOwn() {
+// refreshOwnViews updates the placement views of the engines that this daemon owns.
+func (node *Node) refreshOwnViews() {
 	for _, name := range node.ownedInOrder() {
-		held, view := node.owning.owned[name], node.views.View(name)
-		due := view == nil || view.State.Fence != held.owner.Fence || node.now-view.HeardAt >= node.options.StateInterval
-		if held.owner.Known() && (due || node.news.due) {
-			node.engineState(held.owner.State(node.now))
+		owned, view := node.ownerRole.owned[name], node.views.View(name)
+		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.HeardAt >= node.options.StateInterval
+		if owned.owner.Known() && (due || node.updates.urgent) {
+			node.engineState(owned.owner.State(node.now))
 		}
 	}
 }
--- a/internal/decide/node/membership_bench_test.go
+++ b/internal/decide/node/membership_bench_test.go
@@ -18,11 +18,12 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
-// packetBytes is added to each encoded message: 40 for TCP and IP headers, 4 for
-// the WebSocket frame and 1 for the frame kind. Batches would share them.
-const packetBytes = 45
+// packetOverhead is added to the size of each encoded message: 40 bytes for TCP and
+// IP headers, 4 for the WebSocket frame and 1 for the frame kind. Messages sent in
+// a batch would share it.
+const packetOverhead = 45
 
-// traffic adds up the control messages of a network.
+// traffic counts the control messages of a network.
 type traffic struct {
 	bytes    map[string]int // by type of message
 	messages int
@@ -36,7 +37,7 @@
 		}
 		encoded, err := cbor.Marshal(sent)
 		require.NoError(b, err)
-		traffic.bytes[fmt.Sprintf("%T", sent)] += len(encoded) + packetBytes
+		traffic.bytes[fmt.Sprintf("%T", sent)] += len(encoded) + packetOverhead
 		traffic.messages++
 	}
 }
@@ -49,9 +50,9 @@
 	return total
 }
 
-// BenchmarkControl gives the control traffic and the processor time of one
-// daemon, for a region with requests at a steady rate. Each byte that is sent is
-// received once, so that a daemon carries twice the figure given as sent.
+// BenchmarkControl measures the control traffic and processor time per daemon in a
+// region with a steady request rate. Each byte sent is also received once, so a
+// daemon carries twice the reported number of bytes.
 func BenchmarkControl(b *testing.B) {
 	for _, size := range []struct{ daemons, engines, requests int }{{7, 28, 110}, {78, 300, 1220}} {
 		for _, busy := range []bool{false, true} {
@@ -68,7 +69,7 @@
 	}
 }
 
-const measuredSpan = 20 * clock.Second
+const measuredDuration = 20 * clock.Second
 
 func measureControl(b *testing.B, daemons, engines, rate int) {
 	network, err := nodetest.New(nodetest.Options{
@@ -80,8 +81,8 @@
 	var control traffic
 	control.watch(b, network)
 	steps, started := network.Steps, time.Now()
-	arriveSteadily(network, daemons, rate)
-	seconds := measuredSpan.Seconds() * float64(daemons)
+	sendRequestsSteadily(network, daemons, rate)
+	seconds := measuredDuration.Seconds() * float64(daemons)
 	b.ReportMetric(float64(control.total())/seconds, "B-sent/s/daemon")
 	b.ReportMetric(float64(control.bytes["message.Update"])/seconds, "B-updates/s/daemon")
 	b.ReportMetric(float64(control.messages)/seconds, "msgs-sent/s/daemon")
@@ -89,12 +90,13 @@
 	b.ReportMetric(float64(network.Steps-steps)/seconds, "steps/s/daemon")
 }
 
-// arriveSteadily lets the measured span pass with requests for popular adapters.
-func arriveSteadily(network *nodetest.Network, daemons, rate int) {
+// sendRequestsSteadily sends requests for popular adapters at a steady rate for
+// measuredDuration.
+func sendRequestsSteadily(network *nodetest.Network, daemons, rate int) {
 	random := rand.New(rand.NewPCG(1, 1))
-	end := network.Now + measuredSpan
+	end := network.Now + measuredDuration
 	for sent := 0; network.Now < end; {
-		due := int((measuredSpan - (end - network.Now)).Seconds() * float64(rate))
+		due := int((measuredDuration - (end - network.Now)).Seconds() * float64(rate))
 		for ; sent < due; sent++ {
 			network.Arrive(ident.DaemonID(fmt.Sprintf("daemon-%d", random.IntN(daemons))), node.Arrived{
 				RequestID: fmt.Sprintf("r%d", sent), APIKey: callerKey, Path: "/v1/completions",
@@ -105,25 +107,25 @@
 	}
 }
 
-// BenchmarkTakeover gives the span from the death of an engine's owner to the
-// first run that the engine begins for its successor.
+// BenchmarkTakeover measures the time from the failure of an engine's owner to the
+// first run that the engine starts for the next owner.
 func BenchmarkTakeover(b *testing.B) {
-	listed := clock.Second // from the death to the VM list that shows it
+	listDelay := clock.Second // from the failure to the VM list that shows it
 	for _, kind := range []struct {
-		name   string
-		checks bool
-		listed clock.Millis
+		name      string
+		checks    bool
+		listDelay clock.Millis
 	}{
-		{"numbers checked", true, listed},
+		{"numbers checked", true, listDelay},
 		{"numbers checked, list silent", true, 0},
-		{"numbers ignored", false, listed},
+		{"numbers ignored", false, listDelay},
 		{"numbers ignored, list silent", false, 0},
 	} {
 		b.Run(kind.name, func(b *testing.B) {
 			for b.Loop() {
 				var spans []clock.Millis
 				for seed := range uint64(50) {
-					if span, served := takeover(b, seed, kind.checks, kind.listed); served {
+					if span, served := measureTakeover(b, seed, kind.checks, kind.listDelay); served {
 						spans = append(spans, span)
 					}
 				}
@@ -138,9 +140,10 @@
 	}
 }
 
-// takeover kills the owner of the only engine while requests arrive elsewhere.
-// With no list change the platform replaces the VM only after a minute.
-func takeover(b *testing.B, seed uint64, checks bool, listed clock.Millis) (clock.Millis, bool) {
+// measureTakeover kills the owner of the only engine while requests arrive
+// elsewhere. If listed is 0 the VM list does not change: the platform replaces the
+// VM only after a minute.
+func measureTakeover(b *testing.B, seed uint64, checks bool, listDelay clock.Millis) (clock.Millis, bool) {
 	published := smallConfig(1)
 	published.Engines[0].ChecksFencing, published.Engines[0].DataCentre = checks, "centre-0"
 	network, err := nodetest.New(nodetest.Options{
@@ -149,12 +152,12 @@
 	})
 	require.NoError(b, err)
 	network.Run(10*clock.Second + clock.Millis(seed*37))
-	owner := ownerOfEngine(network, "engine-0")
+	owner := ownerOf(network, "engine-0")
 	killed := network.Now
 	network.Kill(owner)
-	if listed > 0 {
+	if listDelay > 0 {
 		vms := slices.DeleteFunc(network.VMs(), func(vm members.VM) bool { return vm.Name == string(owner) })
-		network.After(listed, func() { network.SetVMs(vms) })
+		network.After(listDelay, func() { network.SetVMs(vms) })
 	}
 	entry := ident.DaemonID("daemon-0")
 	if owner == entry {
--- a/internal/decide/node/membership_test.go
+++ b/internal/decide/node/membership_test.go
@@ -16,8 +16,9 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// agree reports whether every daemon knows what each owner says of its engines.
-func agree(network *nodetest.Network, engines int) bool {
+// viewsAgree reports whether every daemon knows the state that each owner reports
+// for its engines.
+func viewsAgree(network *nodetest.Network, engines int) bool {
 	owned := map[ident.EngineID]message.EngineState{}
 	for _, name := range network.HostNames() {
 		for _, state := range network.Nodes[name].Node.Status(network.Now).Owned {
@@ -35,34 +36,34 @@
 	return len(owned) == engines
 }
 
-// TestMissedUpdatesAreAskedFor loses most updates while adapters are loaded; the
-// digest shows the gap afterwards.
-func TestMissedUpdatesAreAskedFor(t *testing.T) {
+// TestMissedUpdatesAreRequested drops most updates while adapters are loaded. The
+// digest must reveal the missed ones afterwards.
+func TestMissedUpdatesAreRequested(t *testing.T) {
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 3, Delay: 1, Jitter: 2, TickInterval: 50, Config: regionConfig(6, 40), VMs: regionView(9, 0).List.VMs,
 		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 100}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	network.Run(10 * clock.Second)
-	require.True(t, agree(network, 6))
+	require.True(t, viewsAgree(network, 6))
 	network.DropShare = 0.8
-	arriveSteadily(network, 9, 5)
-	require.False(t, agree(network, 6), "nothing was missed")
+	sendRequestsSteadily(network, 9, 5)
+	require.False(t, viewsAgree(network, 6), "no update was missed")
 	network.DropShare = 0
-	require.True(t, network.RunUntil(10*clock.Second, func() bool { return agree(network, 6) }))
+	require.True(t, network.RunUntil(10*clock.Second, func() bool { return viewsAgree(network, 6) }))
 }
 
-// TestLeavingServerGetsNoNewWork lets one daemon alone read that a backend
-// server leaves; the owner of its engine hears it from that daemon.
+// TestLeavingServerGetsNoNewWork checks that an engine's owner, which can't read
+// the VM list, learns from other daemons that the backend server is leaving.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	published := smallConfig(2)
 	for i := range published.Engines {
 		published.Engines[i].ChecksFencing = true
 		published.Engines[i].Address = []string{"10.0.0.1:80", "10.0.0.2:80"}[i]
 	}
-	network := networkOf(t, published)
+	network := networkWithConfig(t, published)
 	network.Run(6 * clock.Second)
-	owner := ownerOfEngine(network, "engine-0")
+	owner := ownerOf(network, "engine-0")
 	for _, name := range network.HostNames() {
 		network.ListDown[name] = name == owner
 	}
@@ -70,22 +71,22 @@
 		Name: "server-1", Address: "10.0.0.1", Role: members.BackendRole, DataCentre: "a", Region: "north", State: members.Leaving,
 	}))
 	network.Run(3 * clock.Second)
-	before := runsOf(network.Engines["engine-0"])
-	elsewhere := runsOf(network.Engines["engine-1"])
-	arriveReviews(network, 40)
-	require.Equal(t, before, runsOf(network.Engines["engine-0"]))
-	require.Greater(t, runsOf(network.Engines["engine-1"]), elsewhere)
+	before := totalRuns(network.Engines["engine-0"])
+	elsewhere := totalRuns(network.Engines["engine-1"])
+	sendReviewRequests(network, 40)
+	require.Equal(t, before, totalRuns(network.Engines["engine-0"]))
+	require.Greater(t, totalRuns(network.Engines["engine-1"]), elsewhere)
 }
 
-// TestShutdownHandsOver ends an owner gracefully while requests run and wait
-// there: all are answered, and the next owner waits for no hold-down.
+// TestShutdownHandsOver shuts down an owner gracefully while requests run and wait
+// there. All must be answered, and the next owner must not wait for the hold-down.
 func TestShutdownHandsOver(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		published := smallConfig(1)
 		published.Engines[0].ChecksFencing = checks
-		network := networkOf(t, published)
+		network := networkWithConfig(t, published)
 		network.Run(6 * clock.Second)
-		owner := ownerOfEngine(network, "engine-0")
+		owner := ownerOf(network, "engine-0")
 		entry := ident.DaemonID("daemon-0")
 		if owner == entry {
 			entry = "daemon-1"
@@ -98,17 +99,17 @@
 		network.Run(150)
 		leaving := network.Nodes[owner]
 		network.Feed(leaving, node.Shutdown{})
-		if !checks { // the platform's list has to say it as well, within the time that a daemon's own word counts
+		if !checks { // the VM list must show it too while the daemon's own report is still valid
 			vms := network.VMs()
 			vms[slices.IndexFunc(vms, func(vm members.VM) bool { return vm.Name == string(owner) })].State = members.Leaving
 			network.After(clock.Second, func() { network.SetVMs(vms) })
 		}
 		require.True(t, network.RunUntil(5*clock.Second, leaving.Node.Idle))
-		network.Run(10) // what is on its way arrives before the connections end
+		network.Run(10) // messages in transit arrive before the connections end
 		network.Kill(owner)
 		network.Run(100)
-		require.NotEqual(t, owner, ownerOfEngine(network, "engine-0"))
-		require.NotEmpty(t, ownerOfEngine(network, "engine-0"), "checks %v", checks)
+		require.NotEqual(t, owner, ownerOf(network, "engine-0"))
+		require.NotEmpty(t, ownerOf(network, "engine-0"), "checks %v", checks)
 		network.Run(15 * clock.Second)
 		for _, request := range []string{"0", "1", "2", "3", "4", "5", "6", "7"} {
 			require.Len(t, network.Answers[request], 1)
@@ -118,18 +119,19 @@
 	}
 }
 
-// TestPausedOwnerReadsBeforeItOrders lets a request wait at an owner that is
-// paused for less than its list may age. After the pause the report comes first.
-func TestPausedOwnerReadsBeforeItOrders(t *testing.T) {
+// TestPausedOwnerReadsReportBeforeOrders pauses an owner with a waiting request for
+// less than the permitted age of its VM list. After the pause it must read the
+// engine's report before it gives an order.
+func TestPausedOwnerReadsReportBeforeOrders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		published := smallConfig(1)
 		published.Engines[0].ChecksFencing = checks
-		network := networkOf(t, published)
+		network := networkWithConfig(t, published)
 		network.Run(6 * clock.Second)
-		owner := ownerOfEngine(network, "engine-0")
-		arriveReviews(network, 1)
+		owner := ownerOf(network, "engine-0")
+		sendReviewRequests(network, 1)
 		network.Run(2 * clock.Second)
-		before := runsOf(network.Engines["engine-0"])
+		before := totalRuns(network.Engines["engine-0"])
 		network.Pause(owner)
 		network.Run(600)
 		for _, name := range network.HostNames() {
@@ -139,30 +141,31 @@
 		}
 		network.Run(100)
 		network.Resume(owner)
-		network.Run(2) // an order given at once arrives
-		require.Equal(t, before, runsOf(network.Engines["engine-0"]))
+		network.Run(2) // an order given at once would have arrived
+		require.Equal(t, before, totalRuns(network.Engines["engine-0"]))
 		network.Run(clock.Second)
-		require.Equal(t, before+2, runsOf(network.Engines["engine-0"]), "checks %v", checks)
+		require.Equal(t, before+2, totalRuns(network.Engines["engine-0"]), "checks %v", checks)
 	}
 }
 
-// TestRemovedEngineIsReleased publishes a configuration without an engine.
+// TestRemovedEngineIsReleased checks that owners release an engine that a new
+// configuration no longer contains.
 func TestRemovedEngineIsReleased(t *testing.T) {
-	network := networkOf(t, smallConfig(2))
+	network := networkWithConfig(t, smallConfig(2))
 	network.Run(6 * clock.Second)
 	fewer := smallConfig(1)
 	fewer.Version = 2
 	snapshot, err := config.Compile(fewer)
 	require.NoError(t, err)
-	require.NotEmpty(t, ownerOfEngine(network, "engine-1"))
+	require.NotEmpty(t, ownerOf(network, "engine-1"))
 	for _, name := range network.HostNames() {
 		network.Feed(network.Nodes[name], node.ConfigRead{Snapshot: snapshot})
 	}
-	require.Empty(t, ownerOfEngine(network, "engine-1"))
-	require.NotEmpty(t, ownerOfEngine(network, "engine-0"))
+	require.Empty(t, ownerOf(network, "engine-1"))
+	require.NotEmpty(t, ownerOf(network, "engine-0"))
 }
 
-func networkOf(t testing.TB, published config.Config) *nodetest.Network {
+func networkWithConfig(t testing.TB, published config.Config) *nodetest.Network {
 	t.Helper()
 	var vms []members.VM
 	for _, name := range []string{"daemon-0", "daemon-1", "daemon-2"} {
@@ -176,7 +179,7 @@
 	return network
 }
 
-func ownerOfEngine(network *nodetest.Network, engine ident.EngineID) ident.DaemonID {
+func ownerOf(network *nodetest.Network, engine ident.EngineID) ident.DaemonID {
 	for _, name := range network.HostNames() {
 		for _, state := range network.Nodes[name].Node.Status(network.Now).Owned {
 			if state.Engine == engine {
@@ -187,7 +190,7 @@
 	return ""
 }
 
-func runsOf(engine *nodetest.Engine) int {
+func totalRuns(engine *nodetest.Engine) int {
 	total := 0
 	for _, count := range engine.Ran {
 		total += count
@@ -195,7 +198,7 @@
 	return total
 }
 
-func arriveReviews(network *nodetest.Network, count int) {
+func sendReviewRequests(network *nodetest.Network, count int) {
 	for i := range count {
 		network.Arrive("daemon-1", node.Arrived{
 			RequestID: string(rune('A' + i)), APIKey: callerKey, Path: "/v1/completions",
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -1,8 +1,8 @@
-// Package node joins the decision machines of one daemon: entry, owner, home
-// and load broker. A Node does no I/O, reads no clock and starts no goroutine:
-// Step takes the time and an event, and returns the effects to carry out. A
-// bench can therefore drive many nodes on virtual time; docs/DESIGN.md
-// describes this surface.
+// Package node combines the decision state machines of one daemon: entry, owner,
+// home and load broker. A Node does no I/O, reads no clock and starts no goroutine:
+// Step takes the time and an event and returns the effects to carry out, so that a
+// test can drive many nodes on virtual time. docs/DESIGN.md describes this
+// interface.
 //
 // A Node is not safe for concurrent use.
 package node
@@ -37,18 +37,20 @@
 	Loads       loads.Options
 	Weights     placement.Weights
 	Rollout     rollout.Options
-	// Placement makes the placement policy; nil makes the product's own, from Weights.
+	// Placement returns the placement policy; nil means the default policy with
+	// Weights.
 	Placement func() placement.Policy
 	Ownership ownership.Options
 	// RetryShare is the number of repeated attempts allowed per first attempt.
 	RetryShare float64
-	// StateInterval is the shortest span between two updates to other daemons.
+	// StateInterval is the minimum time between two updates to other daemons.
 	StateInterval clock.Millis
-	// ReadInterval is the span between two reads of an owned engine's report.
+	// ReadInterval is the time between two reads of an owned engine's report.
 	ReadInterval clock.Millis
 }
 
-// DefaultOptions returns options with every limit set, for a daemon to complete.
+// DefaultOptions returns options with default limits. The daemon fills in its
+// identity.
 func DefaultOptions() Options {
 	return Options{
 		Owner:         owner.DefaultOptions(),
@@ -68,59 +70,62 @@
 	options  Options
 	now      clock.Millis
 	sequence uint64
-	config   *config.Snapshot // what rollout has accepted
+	config   *config.Snapshot // accepted by rollout
 	rollout  *rollout.Rollout
 	vms      *members.View
 
-	requests map[ident.StreamID]*request // entry role
-	finishes map[ident.StreamID]*finish  // by a request's first stream
-	orphans  []orphan
-	retries  retryBudget
-	limits   limiter[string] // by caller
-	owning   owning          // owner role
-	repeats  repeats
-	peers    *members.Peers
-	news     news
-	views    *placement.Views
-	policy   placement.Policy
-	home     *home.Home               // home role
-	brokers  map[string]*loads.Broker // load broker role, by weight store
-	fallback map[string]clock.Millis  // next load without the broker, by weight store
+	requests           map[ident.StreamID]*request       // entry role
+	pendingFinishes    map[ident.StreamID]*pendingFinish // by the request's first stream
+	orphans            []orphan
+	retries            retryBudget
+	limits             limiter[string] // by caller
+	ownerRole          ownerRole       // owner role
+	submitHistory      submitHistory
+	peers              *members.Peers
+	updates            updateState
+	views              *placement.Views
+	policy             placement.Policy
+	home               *home.Home               // home role
+	brokers            map[string]*loads.Broker // load broker role, by weight store
+	nextFallbackLoadAt map[string]clock.Millis  // earliest next load without the broker, by weight store
 
-	// regionNames are the region's live daemons, and remoteNames those of each
-	// other data centre; localNames are those of the own one, leaving ones too.
+	// regionNames are the region's live daemons. remoteNames are those of each
+	// other data centre. localNames are those of this data centre, including
+	// leaving ones.
 	regionNames []ident.DaemonID
 	localNames  []ident.DaemonID
 	remoteNames map[string][]ident.DaemonID
 
 	draining bool
-	// drainingSince is when the graceful end began, busyAt when anything was last
-	// in progress since.
-	drainingSince, busyAt clock.Millis
-	// informed says that every engine of the region was heard of once.
-	informed bool
-	local    []message.Message // sent to itself, not delivered yet
-	effects  []effect.Effect
+	// drainingSince is when the shutdown began; lastBusyAt is when work was last in
+	// progress since then.
+	drainingSince, lastBusyAt clock.Millis
+	// enginesKnown is set once every engine of the region has been heard of, or the
+	// warm-up has timed out.
+	enginesKnown  bool
+	localMessages []message.Message // messages to itself that are not delivered yet
+	effects       []effect.Effect
 }
 
-// New returns the node of a daemon that knows nothing yet.
+// New returns the node of a daemon that has no configuration, VM list or engine
+// states yet.
 func New(options Options) *Node {
 	return &Node{
-		options:  options,
-		rollout:  rollout.New(options.Self, options.Rollout),
-		requests: map[ident.StreamID]*request{},
-		finishes: map[ident.StreamID]*finish{},
-		limits:   newLimiter[string](),
-		retries:  retryBudget{share: options.RetryShare},
-		owning:   newOwning(),
-		repeats:  newRepeats(),
-		peers:    members.NewPeers(options.StartedAt),
-		news:     newNews(),
-		views:    placement.NewViews(),
-		policy:   options.policy(),
-		home:     home.New(options.Self, options.Home),
-		brokers:  map[string]*loads.Broker{},
-		fallback: map[string]clock.Millis{},
+		options:            options,
+		rollout:            rollout.New(options.Self, options.Rollout),
+		requests:           map[ident.StreamID]*request{},
+		pendingFinishes:    map[ident.StreamID]*pendingFinish{},
+		limits:             newLimiter[string](),
+		retries:            retryBudget{share: options.RetryShare},
+		ownerRole:          newOwnerRole(),
+		submitHistory:      newSubmitHistory(),
+		peers:              members.NewPeers(options.StartedAt),
+		updates:            newUpdateState(),
+		views:              placement.NewViews(),
+		policy:             options.policy(),
+		home:               home.New(options.Self, options.Home),
+		brokers:            map[string]*loads.Broker{},
+		nextFallbackLoadAt: map[string]clock.Millis{},
 	}
 }
 
@@ -131,7 +136,7 @@
 	return placement.New(options.Weights)
 }
 
-// NewStream returns an id for an arriving request.
+// NewStream returns a new stream id for an arriving request.
 func (node *Node) NewStream() ident.StreamID {
 	node.sequence++
 	return ident.StreamID{
@@ -146,7 +151,7 @@
 	return node.config
 }
 
-// Step takes in one event and returns the effects, in order.
+// Step processes one event and returns the effects in order.
 func (node *Node) Step(now clock.Millis, event Event) []effect.Effect {
 	node.now = now
 	node.checkPause()
@@ -160,7 +165,7 @@
 func (node *Node) handle(event Event) {
 	switch event := event.(type) {
 	case Arrived:
-		node.arrived(event)
+		node.requestArrived(event)
 	case CallerGone:
 		node.callerGone(event.Stream)
 	case HeadArrived:
@@ -200,16 +205,16 @@
 	}
 }
 
-// received routes a message to the role that it is for.
+// received dispatches a message to the role that handles it.
 func (node *Node) received(from ident.DaemonID, received message.Message) {
 	node.peers.Touch(node.now, from)
 	switch received := received.(type) {
 	case message.Submit:
-		node.submitArrived(from, received)
+		node.submitReceived(from, received)
 	case message.Cancel:
-		node.cancelled(received)
+		node.cancelReceived(received)
 	case message.Dispatched:
-		node.dispatched(received)
+		node.attemptDispatched(received)
 	case message.Ended:
 		node.attemptEnded(from, received)
 	case message.HomeBegin:
@@ -243,17 +248,17 @@
 	case message.ConfigPart:
 		node.configEffects(node.rollout.Part(node.now, received))
 	case message.Update:
-		node.updated(received)
+		node.updateReceived(received)
 	case message.UpdateAsk:
-		node.updateAsked(received)
+		node.fullUpdateRequested(received)
 	case message.HandoverAsk:
-		node.handoverAsked(from, received)
+		node.handoverRequested(from, received)
 	case message.Outbid:
-		node.outbidHeard(received)
+		node.higherClaimReceived(received)
 	case message.Moved:
-		node.moved(received)
+		node.requestMoved(received)
 	case message.Handover:
-		node.handedOver(from, received)
+		node.handoverReceived(from, received)
 	}
 }
 
@@ -261,19 +266,19 @@
 	node.effects = append(node.effects, next...)
 }
 
-// send sends a message; one to itself is delivered within the same step.
-func (node *Node) send(to ident.DaemonID, sent message.Message) {
+// send emits a message. A message to this daemon is delivered within the same step.
+func (node *Node) send(to ident.DaemonID, message message.Message) {
 	if to == node.options.Self {
-		node.local = append(node.local, sent)
+		node.localMessages = append(node.localMessages, message)
 		return
 	}
-	node.emit(effect.Send{To: to, Message: sent})
+	node.emit(effect.Send{To: to, Message: message})
 }
 
 func (node *Node) deliverLocal() {
-	for len(node.local) > 0 {
-		next := node.local[0]
-		node.local = node.local[1:]
+	for len(node.localMessages) > 0 {
+		next := node.localMessages[0]
+		node.localMessages = node.localMessages[1:]
 		node.received(node.options.Self, next)
 	}
 }
@@ -286,13 +291,13 @@
 	}
 	node.reviseOwnership()
 	for _, engine := range node.ownedInOrder() {
-		held := node.owning.owned[engine]
-		node.tickOwned(engine, held)
-		node.tickYield(engine, held)
+		owned := node.ownerRole.owned[engine]
+		node.tickOwned(engine, owned)
+		node.tickYield(engine, owned)
 	}
-	node.expireEarly()
-	node.viewOwn()
-	node.tickNews()
+	node.expireEarlySubmits()
+	node.refreshOwnViews()
+	node.tickUpdates()
 	node.tickFallback()
 	node.tickRequests()
 	node.tickShutdown()
--- a/internal/decide/node/node_test.go
+++ b/internal/decide/node/node_test.go
@@ -73,8 +73,8 @@
 	return network
 }
 
-// TestOneRequestOnVirtualTime follows one request from call to answer.
-func TestOneRequestOnVirtualTime(t *testing.T) {
+// TestRequestIsAnswered follows one request from arrival to answer.
+func TestRequestIsAnswered(t *testing.T) {
 	network := newNetwork(t, 3, 2)
 	network.Run(5 * clock.Second)
 	network.Arrive("daemon-1", node.Arrived{RequestID: "r1", APIKey: callerKey, Model: "review-3@1", Path: "/v1/completions"})
@@ -83,10 +83,10 @@
 	require.Equal(t, outcome.Done(), network.Answers["r1"][0].Outcome)
 }
 
-// TestNotRepeatableRunsOnce sends the same key through two daemons at once.
+// TestNotRepeatableRunsOnce sends the same key through three daemons at once.
 func TestNotRepeatableRunsOnce(t *testing.T) {
 	network := newNetwork(t, 3, 2)
-	network.Run(10 * clock.Second) // until homes vouch for fresh keys
+	network.Run(10 * clock.Second) // until homes accept fresh keys
 	for i, daemon := range network.HostNames() {
 		network.Arrive(daemon, node.Arrived{
 			RequestID: fmt.Sprintf("r%d", i), APIKey: callerKey, Model: "quote-1@1", Path: "/v1/completions",
@@ -110,8 +110,9 @@
 	require.Equal(t, map[outcome.Reason]int{outcome.Complete: 1, outcome.KeyInProgress: 2}, kinds)
 }
 
-// TestReadyOnlyWhileListedLive: the balancer is to leave out a daemon that the VM
-// list names as leaving or does not name.
+// TestReadyOnlyWhileListedLive checks that a daemon is not ready, so that the load
+// balancer leaves it out, when the VM list shows it as leaving or does not contain
+// it.
 func TestReadyOnlyWhileListedLive(t *testing.T) {
 	network := newNetwork(t, 3, 2)
 	network.Run(15 * clock.Second)
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -11,50 +11,52 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// submitArrived takes in a request for an engine, once: late copies of a submit
-// are dropped. To resume a run twice does no harm.
-func (node *Node) submitArrived(from ident.DaemonID, submit message.Submit) {
-	if submit.Resume || node.repeats.first(node.now, submit) {
-		node.submitted(from, submit)
+// submitReceived admits a submit and drops duplicates of it. A resume is always
+// admitted, because resuming a run twice is harmless.
+func (node *Node) submitReceived(from ident.DaemonID, submit message.Submit) {
+	if submit.Resume || node.submitHistory.recordNew(node.now, submit) {
+		node.admitSubmit(from, submit)
 	}
 }
 
-// submitted queues a request at its engine, or sends it where the engine went.
-func (node *Node) submitted(from ident.DaemonID, submit message.Submit) {
+// admitSubmit queues a request at its engine, or forwards or refuses it if this
+// daemon does not own the engine.
+func (node *Node) admitSubmit(from ident.DaemonID, submit message.Submit) {
 	if submit.Entry != "" {
 		from = submit.Entry
 	}
-	held, known := node.owning.owned[submit.Engine]
+	owned, known := node.ownerRole.owned[submit.Engine]
 	if !known {
-		node.submittedElsewhere(from, submit)
+		node.forwardOrRefuseSubmit(from, submit)
 		return
 	}
-	node.permit(submit.Engine, held)
-	node.ownerEffects(held, held.owner.Submit(node.now, from, submit))
+	node.updatePermission(submit.Engine, owned)
+	node.ownerEffects(owned, owned.owner.Submit(node.now, from, submit))
 }
 
-// passOnSubmit sends a request after an engine that was handed over while the
-// request was on its way.
-func (node *Node) passOnSubmit(heir, entry ident.DaemonID, submit message.Submit) {
+// forwardSubmit forwards a request to the new owner of an engine that was handed
+// over while the request was in transit.
+func (node *Node) forwardSubmit(successor, entry ident.DaemonID, submit message.Submit) {
 	submit.Entry = entry
 	submit.Hops++
-	node.send(heir, submit)
-	node.send(entry, message.Moved{Stream: submit.Stream, Class: submit.Request.Class, Owner: heir})
+	node.send(successor, submit)
+	node.send(entry, message.Moved{Stream: submit.Stream, Class: submit.Request.Class, Owner: successor})
 }
 
-// submittedElsewhere refuses a request for an engine that this daemon does not
-// own, unless a former owner passed it on ahead of its handover.
-func (node *Node) submittedElsewhere(from ident.DaemonID, submit message.Submit) {
-	if heir, handed := node.owning.heirs[submit.Engine]; handed && !submit.Resume {
-		node.passOnSubmit(heir, from, submit)
+// forwardOrRefuseSubmit handles a request for an engine that this daemon does not
+// own. It forwards the request to the successor, holds it if a former owner
+// forwarded it before its handover, and otherwise refuses it.
+func (node *Node) forwardOrRefuseSubmit(from ident.DaemonID, submit message.Submit) {
+	if successor, handed := node.ownerRole.successors[submit.Engine]; handed && !submit.Resume {
+		node.forwardSubmit(successor, from, submit)
 		return
 	}
 	if submit.Entry != "" {
-		node.owning.early = append(node.owning.early, earlySubmit{submit: submit, at: node.now})
+		node.ownerRole.earlySubmits = append(node.ownerRole.earlySubmits, earlySubmit{submit: submit, receivedAt: node.now})
 		return
 	}
 	refusal := message.Ended{Stream: submit.Stream, Class: submit.Request.Class, Outcome: outcome.Refused(outcome.NotOwner, clock.Second)}
-	if claim, known := node.owning.claims[submit.Engine]; known && claim.Owner != node.options.Self {
+	if claim, known := node.ownerRole.claims[submit.Engine]; known && claim.Owner != node.options.Self {
 		refusal.Owner = claim.Owner
 	}
 	if submit.Resume {
@@ -63,90 +65,91 @@
 	node.send(from, refusal)
 }
 
-// cancelled gives up an attempt. Only the owner may order the engine, so a
-// former one passes the wish on.
-func (node *Node) cancelled(cancel message.Cancel) {
-	if held, known := node.owning.owned[cancel.Engine]; known {
-		node.ownerEffects(held, held.owner.Cancel(node.now, cancel.Stream))
+// cancelReceived cancels an attempt. Only the current owner may give orders to the
+// engine, so a former owner forwards the message.
+func (node *Node) cancelReceived(cancel message.Cancel) {
+	if owned, known := node.ownerRole.owned[cancel.Engine]; known {
+		node.ownerEffects(owned, owned.owner.Cancel(node.now, cancel.Stream))
 		return
 	}
-	claim, known := node.owning.claims[cancel.Engine]
-	if known && claim.Owner != node.options.Self && len(node.owning.former[cancel.Engine]) > 0 {
+	claim, known := node.ownerRole.claims[cancel.Engine]
+	if known && claim.Owner != node.options.Self && len(node.ownerRole.formerlyOwned[cancel.Engine]) > 0 {
 		node.send(claim.Owner, cancel)
 	}
 }
 
 func (node *Node) runEnded(event RunEnded) {
-	if held, known := node.owning.owned[event.Engine]; known {
-		if event.Result.Stream == node.numberStream(held) {
-			held.owner.NumberSeen(node.now + node.options.Ownership.ReportLag)
+	if owned, known := node.ownerRole.owned[event.Engine]; known {
+		if event.Result.Stream == node.fenceStream(owned) {
+			owned.owner.NumberSeen(node.now + node.options.Ownership.ReportLag)
 			return
 		}
-		node.permit(event.Engine, held)
-		node.ownerEffects(held, held.owner.RunEnded(node.now, event.Result))
+		node.updatePermission(event.Engine, owned)
+		node.ownerEffects(owned, owned.owner.RunEnded(node.now, event.Result))
 		if event.Result.Result == owner.ResultFenced {
-			node.fenced(event.Engine)
+			node.engineFenced(event.Engine)
 		}
 	}
-	for _, held := range node.owning.former[event.Engine] {
-		node.ownerEffects(held, held.owner.RunEnded(node.now, event.Result))
+	for _, owned := range node.ownerRole.formerlyOwned[event.Engine] {
+		node.ownerEffects(owned, owned.owner.RunEnded(node.now, event.Result))
 	}
-	node.forgetFormer(event.Engine)
+	node.dropFinishedFormer(event.Engine)
 }
 
-// showNumber lets an engine that checks fencing numbers see this owner's, by the
-// cancel of a run that never was.
-func (node *Node) showNumber(name ident.EngineID, held *owned) {
-	if held.owner.NumberUnseen() {
-		node.emit(effect.CancelRun{Stream: node.numberStream(held), Engine: name, Fence: held.owner.Fence})
+// presentFence shows this owner's fencing number to an engine that checks them, by
+// cancelling a run that does not exist.
+func (node *Node) presentFence(name ident.EngineID, owned *ownedEngine) {
+	if owned.owner.NumberUnseen() {
+		node.emit(effect.CancelRun{Stream: node.fenceStream(owned), Engine: name, Fence: owned.owner.Fence})
 	}
 }
 
-// numberStream is an id that no attempt has: the number stands for the life.
-func (node *Node) numberStream(held *owned) ident.StreamID {
-	return ident.StreamID{Daemon: node.options.Self, Incarnation: ident.Incarnation(held.owner.Fence)}
+// fenceStream returns a stream id that no attempt uses: it has the fencing number
+// in place of the incarnation.
+func (node *Node) fenceStream(owned *ownedEngine) ident.StreamID {
+	return ident.StreamID{Daemon: node.options.Self, Incarnation: ident.Incarnation(owned.owner.Fence)}
 }
 
-// fenced takes in that the engine has seen a higher number.
-func (node *Node) fenced(name ident.EngineID) {
-	node.outbid(name, "the engine refused an order for its old fencing number")
+// engineFenced releases an engine that has seen a higher fencing number.
+func (node *Node) engineFenced(name ident.EngineID) {
+	node.releaseOutbid(name, "the engine refused an order for its old fencing number")
 }
 
-func (node *Node) forgetFormer(name ident.EngineID) {
-	kept := slices.DeleteFunc(node.owning.former[name], func(held *owned) bool { return !held.owner.Busy() })
-	node.owning.former[name] = kept
+func (node *Node) dropFinishedFormer(name ident.EngineID) {
+	kept := slices.DeleteFunc(node.ownerRole.formerlyOwned[name], func(owned *ownedEngine) bool { return !owned.owner.Busy() })
+	node.ownerRole.formerlyOwned[name] = kept
 	if len(kept) == 0 {
-		delete(node.owning.former, name)
+		delete(node.ownerRole.formerlyOwned, name)
 	}
 }
 
 func (node *Node) loadEnded(event LoadEnded) {
-	held, known := node.owning.owned[event.Engine]
+	owned, known := node.ownerRole.owned[event.Engine]
 	if !known {
 		return
 	}
-	node.permit(event.Engine, held)
-	node.ownerEffects(held, held.owner.Loaded(node.now, event.Adapter, event.Failed))
-	node.news.due = true
+	node.updatePermission(event.Engine, owned)
+	node.ownerEffects(owned, owned.owner.Loaded(node.now, event.Adapter, event.Failed))
+	node.updates.urgent = true
 	if event.Fenced {
-		node.fenced(event.Engine)
+		node.engineFenced(event.Engine)
 	}
 }
 
 func (node *Node) unloadEnded(event UnloadEnded) {
-	held, known := node.owning.owned[event.Engine]
+	owned, known := node.ownerRole.owned[event.Engine]
 	if !known {
 		return
 	}
-	node.permit(event.Engine, held)
-	node.ownerEffects(held, held.owner.Unloaded(node.now, event.Adapter, event.Failed))
+	node.updatePermission(event.Engine, owned)
+	node.ownerEffects(owned, owned.owner.Unloaded(node.now, event.Adapter, event.Failed))
 	if event.Fenced {
-		node.fenced(event.Engine)
+		node.engineFenced(event.Engine)
 	}
 }
 
 func (node *Node) engineReported(event EngineReported) {
-	held, known := node.owning.owned[event.Engine]
+	owned, known := node.ownerRole.owned[event.Engine]
 	if !known {
 		return
 	}
@@ -154,15 +157,15 @@
 	if askedAt == 0 {
 		askedAt = node.now
 	}
-	if !held.owner.Known() {
-		node.news.due = true
+	if !owned.owner.Known() {
+		node.updates.urgent = true
 	}
-	held.askedAt = max(held.askedAt, askedAt)
-	node.permit(event.Engine, held)
-	node.ownerEffects(held, held.owner.ReportedAt(node.now, askedAt-event.Report.Age, event.Report))
+	owned.reportAskedAt = max(owned.reportAskedAt, askedAt)
+	node.updatePermission(event.Engine, owned)
+	node.ownerEffects(owned, owned.owner.ReportedAt(node.now, askedAt-event.Report.Age, event.Report))
 }
 
-// engineState takes in an owner's word on its engine.
+// engineState handles an owner's report of its engine's state.
 func (node *Node) engineState(state message.EngineState) {
 	node.views.Update(node.now, state)
 }
--- a/internal/decide/node/ownership_test.go
+++ b/internal/decide/node/ownership_test.go
@@ -16,31 +16,31 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// fewHistories is the number of histories that each proof draws in CI.
-const fewHistories = 25
+// historyCount is the number of histories that each property test draws in CI.
+const historyCount = 25
 
-// Bounds of the faults that a history draws. The list lag and the transit of an
-// order stay within what ownership.Options assume.
+// Bounds of the faults that a history draws. The list lag and the transit time of
+// an order stay within the assumptions of ownership.Options.
 const (
-	historyDaemons = 3
-	historyEngines = 2
-	longestList    = clock.Second
-	longestPause   = 12 * clock.Second
-	longestStep    = 4 * clock.Second
+	historyDaemons   = 3
+	historyEngines   = 2
+	maxListLag       = clock.Second
+	maxFaultDuration = 12 * clock.Second
+	maxStepDuration  = 4 * clock.Second
 )
 
-// history drives a network through faults.
-type history struct {
-	t       *rapid.T
-	network *nodetest.Network
-	names   []ident.DaemonID
-	engines []ident.EngineID
-	request int
-	left    map[ident.DaemonID]bool
-	faults  map[string]int
+// faultHistory drives a network through randomly drawn faults.
+type faultHistory struct {
+	t            *rapid.T
+	network      *nodetest.Network
+	names        []ident.DaemonID
+	engines      []ident.EngineID
+	requestCount int
+	left         map[ident.DaemonID]bool
+	faults       map[string]int
 }
 
-func newHistory(t *rapid.T, checksFencing bool) *history {
+func newHistory(t *rapid.T, checksFencing bool) *faultHistory {
 	published := smallConfig(historyEngines)
 	for i := range published.Engines {
 		published.Engines[i].ChecksFencing = checksFencing
@@ -62,191 +62,194 @@
 		Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
-	drawn := &history{t: t, network: network, left: map[ident.DaemonID]bool{}, faults: map[string]int{}}
-	drawn.names = network.HostNames()
+	history := &faultHistory{t: t, network: network, left: map[ident.DaemonID]bool{}, faults: map[string]int{}}
+	history.names = network.HostNames()
 	for _, engine := range published.Engines {
-		drawn.engines = append(drawn.engines, engine.Name)
+		history.engines = append(history.engines, engine.Name)
 	}
 	network.Run(6 * clock.Second)
-	return drawn
+	return history
 }
 
-func (history *history) daemon() ident.DaemonID {
-	return rapid.SampledFrom(history.names).Draw(history.t, "daemon")
+func (faultHistory *faultHistory) daemon() ident.DaemonID {
+	return rapid.SampledFrom(faultHistory.names).Draw(faultHistory.t, "daemon")
 }
 
-func (history *history) span(longest clock.Millis) clock.Millis {
-	share := rapid.SampledFrom([]clock.Millis{1, 5, 20, 50, 100}).Draw(history.t, "share of span")
+func (faultHistory *faultHistory) drawDuration(longest clock.Millis) clock.Millis {
+	share := rapid.SampledFrom([]clock.Millis{1, 5, 20, 50, 100}).Draw(faultHistory.t, "share of span")
 	return max(1, longest*share/100)
 }
 
-// flow lets a request arrive somewhere at a steady interval, so that any owner
-// that may order has something to order.
-func (history *history) flow(interval clock.Millis, left int) {
-	if left == 0 {
+// sendRequestsSteadily sends requests to the daemons in turn at a steady interval,
+// so that every owner with permission has orders to give.
+func (faultHistory *faultHistory) sendRequestsSteadily(interval clock.Millis, remaining int) {
+	if remaining == 0 {
 		return
 	}
-	network := history.network
-	name := history.names[left%len(history.names)]
+	network := faultHistory.network
+	name := faultHistory.names[remaining%len(faultHistory.names)]
 	if host := network.Nodes[name]; !host.Dead && !host.Paused {
 		network.Arrive(name, node.Arrived{
-			RequestID: fmt.Sprintf("flow %d", left), APIKey: callerKey, Path: "/v1/completions",
-			Model: fmt.Sprintf("review-%d@1", left*7%8),
+			RequestID: fmt.Sprintf("flow %d", remaining), APIKey: callerKey, Path: "/v1/completions",
+			Model: fmt.Sprintf("review-%d@1", remaining*7%8),
 		})
 	}
-	network.After(interval, func() { history.flow(interval, left-1) })
+	network.After(interval, func() { faultHistory.sendRequestsSteadily(interval, remaining-1) })
 }
 
-// split cuts one daemon off from the others, and changes the VM list.
-func (history *history) split() {
-	alone := history.daemon()
-	span := history.span(longestPause)
-	for _, name := range history.names {
-		for _, direction := range []nodetest.Direction{{From: alone, To: name}, {From: name, To: alone}} {
-			history.network.Blocked[direction] = true
-			history.network.After(span, func() { delete(history.network.Blocked, direction) })
+// partition cuts one daemon off from the others and changes the VM list.
+func (faultHistory *faultHistory) partition() {
+	isolated := faultHistory.daemon()
+	span := faultHistory.drawDuration(maxFaultDuration)
+	for _, name := range faultHistory.names {
+		for _, direction := range []nodetest.Direction{{From: isolated, To: name}, {From: name, To: isolated}} {
+			faultHistory.network.Blocked[direction] = true
+			faultHistory.network.After(span, func() { delete(faultHistory.network.Blocked, direction) })
 		}
 	}
-	history.relist()
+	faultHistory.changeVMList()
 }
 
-// requests lets several callers ask for different adapters, so that slots are
-// short and something has to be evicted.
-func (history *history) requests() {
-	for range rapid.SampledFrom([]int{1, 4, 8}).Draw(history.t, "requests") {
-		name := history.daemon()
-		host := history.network.Nodes[name]
+// sendRequests sends requests for different adapters, so that slots run out and
+// adapters are evicted.
+func (faultHistory *faultHistory) sendRequests() {
+	for range rapid.SampledFrom([]int{1, 4, 8}).Draw(faultHistory.t, "requests") {
+		name := faultHistory.daemon()
+		host := faultHistory.network.Nodes[name]
 		if host.Dead || host.Paused {
 			continue
 		}
-		history.request++
-		history.network.Arrive(name, node.Arrived{
-			RequestID: fmt.Sprintf("r%d", history.request), APIKey: callerKey, Path: "/v1/completions",
-			Model: fmt.Sprintf("review-%d@1", rapid.SampledFrom([]int{0, 1, 2, 3, 4, 5, 6, 7}).Draw(history.t, "adapter")),
+		faultHistory.requestCount++
+		faultHistory.network.Arrive(name, node.Arrived{
+			RequestID: fmt.Sprintf("r%d", faultHistory.requestCount), APIKey: callerKey, Path: "/v1/completions",
+			Model: fmt.Sprintf("review-%d@1", rapid.SampledFrom([]int{0, 1, 2, 3, 4, 5, 6, 7}).Draw(faultHistory.t, "adapter")),
 		})
-		if rapid.IntRange(0, 3).Draw(history.t, "gone") == 0 {
-			history.callerLeaves(name)
+		if rapid.IntRange(0, 3).Draw(faultHistory.t, "gone") == 0 {
+			faultHistory.disconnectCaller(name)
 		}
 	}
 }
 
-func (history *history) callerLeaves(name ident.DaemonID) {
-	gone := fmt.Sprintf("r%d", history.request)
-	host := history.network.Nodes[name]
-	history.network.After(history.span(2*clock.Second), func() { history.network.Leave(host, gone) })
+func (faultHistory *faultHistory) disconnectCaller(name ident.DaemonID) {
+	request := fmt.Sprintf("r%d", faultHistory.requestCount)
+	host := faultHistory.network.Nodes[name]
+	faultHistory.network.After(faultHistory.drawDuration(2*clock.Second), func() { faultHistory.network.Leave(host, request) })
 }
 
-func (history *history) pause() {
-	name := history.daemon()
-	if host := history.network.Nodes[name]; host.Dead || host.Paused {
+func (faultHistory *faultHistory) pause() {
+	name := faultHistory.daemon()
+	if host := faultHistory.network.Nodes[name]; host.Dead || host.Paused {
 		return
 	}
-	host := history.network.Nodes[name]
-	history.network.Pause(name)
-	history.network.After(history.span(longestPause), func() {
+	host := faultHistory.network.Nodes[name]
+	faultHistory.network.Pause(name)
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() {
 		if !host.Dead {
-			history.network.Resume(name)
+			faultHistory.network.Resume(name)
 		}
 	})
 }
 
-// kill ends a daemon and starts an empty one under its name later.
-func (history *history) kill() {
-	name := history.daemon()
-	host := history.network.Nodes[name]
+// kill kills a daemon and later starts an empty one under its name.
+func (faultHistory *faultHistory) kill() {
+	name := faultHistory.daemon()
+	host := faultHistory.network.Nodes[name]
 	if host.Dead {
 		return
 	}
-	history.network.Kill(name)
-	history.network.After(history.span(longestPause), func() { history.network.Boot(host.VM) })
+	faultHistory.network.Kill(name)
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { faultHistory.network.Boot(host.VM) })
 }
 
-func (history *history) block() {
-	direction := nodetest.Direction{From: history.daemon(), To: history.daemon()}
-	history.network.Blocked[direction] = true
-	history.network.After(history.span(longestPause), func() { delete(history.network.Blocked, direction) })
+func (faultHistory *faultHistory) block() {
+	direction := nodetest.Direction{From: faultHistory.daemon(), To: faultHistory.daemon()}
+	faultHistory.network.Blocked[direction] = true
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { delete(faultHistory.network.Blocked, direction) })
 }
 
-// relist takes a daemon off the VM list, marks it as leaving, or puts it back,
-// with readings that lag differently at each daemon.
-func (history *history) relist() {
-	for _, name := range history.names {
-		history.network.ListLag[name] = history.span(longestList)
+// changeVMList sets a daemon's state in the VM list to live or leaving, and gives
+// each daemon a different lag of its readings.
+func (faultHistory *faultHistory) changeVMList() {
+	for _, name := range faultHistory.names {
+		faultHistory.network.ListLag[name] = faultHistory.drawDuration(maxListLag)
 	}
-	vms := history.network.VMs()
-	changed := history.daemon()
-	state := rapid.SampledFrom([]members.State{members.Live, members.Leaving}).Draw(history.t, "state")
+	vms := faultHistory.network.VMs()
+	changed := faultHistory.daemon()
+	state := rapid.SampledFrom([]members.State{members.Live, members.Leaving}).Draw(faultHistory.t, "state")
 	for i := range vms {
 		if vms[i].Name == string(changed) {
 			vms[i].State = state
 		}
 	}
-	history.network.SetVMs(vms)
+	faultHistory.network.SetVMs(vms)
 }
 
-func (history *history) listFails() {
-	name := history.daemon()
-	history.network.ListDown[name] = true
-	history.network.After(history.span(longestPause), func() { delete(history.network.ListDown, name) })
+func (faultHistory *faultHistory) failVMListReads() {
+	name := faultHistory.daemon()
+	faultHistory.network.ListDown[name] = true
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { delete(faultHistory.network.ListDown, name) })
 }
 
-func (history *history) engineRestarts() {
-	history.network.Engines[rapid.SampledFrom(history.engines).Draw(history.t, "engine")].Restart()
+func (faultHistory *faultHistory) restartEngine() {
+	faultHistory.network.Engines[rapid.SampledFrom(faultHistory.engines).Draw(faultHistory.t, "engine")].Restart()
 }
 
-// lossy makes messages get lost, arrive twice, and overtake each other.
-func (history *history) lossy() {
-	network := history.network
+// degradeNetwork makes messages get lost, arrive twice and overtake each other.
+func (faultHistory *faultHistory) degradeNetwork() {
+	network := faultHistory.network
 	network.DropShare, network.DuplicateShare, network.SlowShare, network.SlowSpan = 0.1, 0.1, 0.1, 5*clock.Second
-	network.After(history.span(longestPause), func() {
+	network.After(faultHistory.drawDuration(maxFaultDuration), func() {
 		network.DropShare, network.DuplicateShare, network.SlowShare = 0, 0, 0
 	})
 }
 
-// leaves begins a graceful end; the VM list shows it a little later.
-func (history *history) leaves() {
-	name := history.daemon()
-	host := history.network.Nodes[name]
+// shutDown shuts a daemon down gracefully, kills it later and then starts an empty
+// one under its name.
+func (faultHistory *faultHistory) shutDown() {
+	name := faultHistory.daemon()
+	host := faultHistory.network.Nodes[name]
 	if host.Dead || host.Paused {
 		return
 	}
-	history.network.Feed(host, node.Shutdown{})
-	history.network.After(history.span(longestPause), func() {
+	faultHistory.network.Feed(host, node.Shutdown{})
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() {
 		if !host.Dead {
-			history.network.Kill(name)
-			history.network.After(history.span(longestPause), func() { history.network.Boot(host.VM) })
+			faultHistory.network.Kill(name)
+			faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { faultHistory.network.Boot(host.VM) })
 		}
 	})
 }
 
-// run draws the steps and lets the last faults pass.
-func (history *history) run() {
+// run draws and applies the steps, then checks that the network recovers and that
+// no engine saw a violation.
+func (faultHistory *faultHistory) run() {
 	steps := map[string]func(){
-		"requests": history.requests, "requests again": history.requests, "pause": history.pause,
-		"kill": history.kill, "block": history.block, "relist": history.relist, "list fails": history.listFails,
-		"engine restarts": history.engineRestarts, "split": history.split, "lossy": history.lossy, "leaves": history.leaves,
+		"requests": faultHistory.sendRequests, "requests again": faultHistory.sendRequests, "pause": faultHistory.pause,
+		"kill": faultHistory.kill, "block": faultHistory.block, "relist": faultHistory.changeVMList, "list fails": faultHistory.failVMListReads,
+		"engine restarts": faultHistory.restartEngine, "split": faultHistory.partition, "lossy": faultHistory.degradeNetwork, "leaves": faultHistory.shutDown,
 	}
 	names := []string{
 		"requests", "requests again", "pause", "kill", "block", "relist", "list fails", "engine restarts", "lossy", "leaves",
 		"split",
 	}
-	interval := rapid.SampledFrom([]clock.Millis{50, 200, 1000}).Draw(history.t, "request interval")
-	history.flow(interval, int(20*clock.Second/interval))
-	for range rapid.IntRange(4, 16).Draw(history.t, "steps") {
-		step := rapid.SampledFrom(names).Draw(history.t, "step")
-		history.faults[step]++
+	interval := rapid.SampledFrom([]clock.Millis{50, 200, 1000}).Draw(faultHistory.t, "request interval")
+	faultHistory.sendRequestsSteadily(interval, int(20*clock.Second/interval))
+	for range rapid.IntRange(4, 16).Draw(faultHistory.t, "steps") {
+		step := rapid.SampledFrom(names).Draw(faultHistory.t, "step")
+		faultHistory.faults[step]++
 		steps[step]()
-		history.network.Run(history.span(longestStep))
+		faultHistory.network.Run(faultHistory.drawDuration(maxStepDuration))
 	}
-	history.recover()
-	for _, engine := range history.engines {
-		require.Empty(history.t, history.network.Engines[engine].Violations)
+	faultHistory.recoverAndServe()
+	for _, engine := range faultHistory.engines {
+		require.Empty(faultHistory.t, faultHistory.network.Engines[engine].Violations)
 	}
 }
 
-// recover ends every fault and requires that each daemon serves again.
-func (history *history) recover() {
-	network := history.network
+// recoverAndServe ends every fault and requires that each daemon serves requests
+// again.
+func (faultHistory *faultHistory) recoverAndServe() {
+	network := faultHistory.network
 	clear(network.ListDown)
 	clear(network.ListLag)
 	vms := network.VMs()
@@ -254,52 +257,52 @@
 		vms[i].State = members.Live
 	}
 	network.SetVMs(vms)
-	network.Run(3 * longestPause)
+	network.Run(3 * maxFaultDuration)
 	for i, name := range network.HostNames() {
 		request := fmt.Sprintf("last %d", i)
 		network.Arrive(name, node.Arrived{
 			RequestID: request, APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1",
 		})
-		answered := network.RunUntil(longestPause+10*clock.Second, func() bool { return len(network.Answers[request]) > 0 })
-		require.True(history.t, answered, "daemon %s answers nothing", name)
-		require.Equal(history.t, outcome.Complete, network.Answers[request][0].Outcome.Reason, "daemon %s", name)
+		answered := network.RunUntil(maxFaultDuration+10*clock.Second, func() bool { return len(network.Answers[request]) > 0 })
+		require.True(faultHistory.t, answered, "daemon %s did not answer", name)
+		require.Equal(faultHistory.t, outcome.Complete, network.Answers[request][0].Outcome.Reason, "daemon %s", name)
 	}
 }
 
-// tally adds up what the histories of one proof went through.
-type tally struct{ faults map[string]int }
+// faultCounts sums up the faults and events of all histories of a test.
+type faultCounts struct{ counts map[string]int }
 
-func (tally *tally) add(drawn *history) {
-	if tally.faults == nil {
-		tally.faults = map[string]int{}
+func (faultCounts *faultCounts) add(history *faultHistory) {
+	if faultCounts.counts == nil {
+		faultCounts.counts = map[string]int{}
 	}
-	tally.faults["histories"]++
-	tally.faults["steps of nodes"] += drawn.network.Steps
-	for fault, count := range drawn.faults {
-		tally.faults[fault] += count
+	faultCounts.counts["histories"]++
+	faultCounts.counts["steps of nodes"] += history.network.Steps
+	for fault, count := range history.faults {
+		faultCounts.counts[fault] += count
 	}
-	for _, audit := range drawn.network.Audits {
+	for _, audit := range history.network.Audits {
 		switch audit.Kind {
 		case effect.OwnershipClaimed, effect.AdapterEvicted, effect.PauseDetected:
-			tally.faults[string(audit.Kind)]++
+			faultCounts.counts[string(audit.Kind)]++
 		}
 	}
 }
 
-// TestOrdersUnderFaults proves at both kinds of engine that no adapter is
-// unloaded while a run uses it, and at engines that ignore fencing numbers that
-// no order of a former owner comes after one of the next. The fake engines'
-// violations and the machines' own invariants are the judges.
+// TestOrdersUnderFaults checks for both kinds of engine that no adapter is unloaded
+// while a run uses it, and for engines that ignore fencing numbers that no order of
+// a former owner arrives after one of the next owner. The fake engines record
+// violations, and the state machines check their own invariants.
 func TestOrdersUnderFaults(t *testing.T) {
 	for name, checksFencing := range map[string]bool{"numbers checked": true, "numbers ignored": false} {
 		t.Run(name, func(t *testing.T) {
-			var total tally
-			nodetest.CheckHistories(t, fewHistories, func(t *rapid.T) {
-				drawn := newHistory(t, checksFencing)
-				drawn.run()
-				total.add(drawn)
+			var total faultCounts
+			nodetest.CheckHistories(t, historyCount, func(t *rapid.T) {
+				history := newHistory(t, checksFencing)
+				history.run()
+				total.add(history)
 			})
-			t.Logf("%v", total.faults)
+			t.Logf("%v", total.counts)
 		})
 	}
 }
--- a/internal/decide/node/repeats.go
+++ b/internal/decide/node/repeats.go
@@ -6,51 +6,52 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// submitMemory is how long a daemon remembers that it has had a submit: longer
-// than a copy of it can be under way.
-const submitMemory = clock.Minute
+// submitRetention is how long a daemon remembers a submit. It exceeds the time that
+// a duplicate can be in transit.
+const submitRetention = clock.Minute
 
-// repeats tells a submit from a late copy of it. An owner that refused a request
-// forgets it; a copy that arrived after that could still be run, by this daemon
-// or by one that it is passed on to, although its caller was told that it was not.
-// A request that comes back after it was passed on has more hops than before.
-type repeats struct {
-	hops  map[ident.StreamID]hopped
-	order []ident.StreamID // by time of arrival
+// submitHistory detects late duplicates of submits. An owner that refused a request
+// forgets it, so a duplicate that arrived later could still be run, here or at a
+// daemon that it is forwarded to, although the caller was told that the request did
+// not run. A request that returns after it was forwarded has a higher hop count and
+// is accepted.
+type submitHistory struct {
+	newest map[ident.StreamID]receivedSubmit
+	order  []ident.StreamID // by time of arrival
 }
 
-// hopped is the furthest copy of a submit that has arrived.
-type hopped struct {
-	hops int
-	at   clock.Millis
+// receivedSubmit is the copy of a submit with the highest hop count received.
+type receivedSubmit struct {
+	hops       int
+	receivedAt clock.Millis
 }
 
-func newRepeats() repeats {
-	return repeats{hops: map[ident.StreamID]hopped{}}
+func newSubmitHistory() submitHistory {
+	return submitHistory{newest: map[ident.StreamID]receivedSubmit{}}
 }
 
-// first reports whether a submit has not arrived before, and remembers it.
-func (repeats *repeats) first(now clock.Millis, submit message.Submit) bool {
-	repeats.forget(now)
-	known, found := repeats.hops[submit.Stream]
-	if found && submit.Hops <= known.hops {
+// recordNew records a submit and reports whether it is new.
+func (submitHistory *submitHistory) recordNew(now clock.Millis, submit message.Submit) bool {
+	submitHistory.expire(now)
+	previous, found := submitHistory.newest[submit.Stream]
+	if found && submit.Hops <= previous.hops {
 		return false
 	}
-	repeats.hops[submit.Stream] = hopped{hops: submit.Hops, at: now}
-	repeats.order = append(repeats.order, submit.Stream)
+	submitHistory.newest[submit.Stream] = receivedSubmit{hops: submit.Hops, receivedAt: now}
+	submitHistory.order = append(submitHistory.order, submit.Stream)
 	return true
 }
 
-// forget drops what arrived longer ago than the memory. A stream that came again
-// stands in the order twice and goes with its later place.
-func (repeats *repeats) forget(now clock.Millis) {
-	for len(repeats.order) > 0 {
-		oldest := repeats.order[0]
-		known, found := repeats.hops[oldest]
-		if found && now-known.at <= submitMemory {
+// expire removes submits that are older than the retention period. A stream that
+// was received again is in order twice and is removed with its later entry.
+func (submitHistory *submitHistory) expire(now clock.Millis) {
+	for len(submitHistory.order) > 0 {
+		oldest := submitHistory.order[0]
+		newest, found := submitHistory.newest[oldest]
+		if found && now-newest.receivedAt <= submitRetention {
 			return
 		}
-		delete(repeats.hops, oldest)
-		repeats.order = repeats.order[1:]
+		delete(submitHistory.newest, oldest)
+		submitHistory.order = submitHistory.order[1:]
 	}
 }
--- a/internal/decide/node/request.go
+++ b/internal/decide/node/request.go
@@ -16,14 +16,15 @@
 
 const (
 	requestNew requestState = "New"
-	// requestAtHome: the home of its key has been asked for leave.
-	requestAtHome requestState = "AtHome"
-	// requestSubmitted: handed on; the engine is not known to have it.
+	// requestAwaitingHome: the home of the request's key was asked for permission.
+	requestAwaitingHome requestState = "AtHome"
+	// requestSubmitted: submitted to an owner; the engine is not known to have the
+	// run.
 	requestSubmitted requestState = "Submitted"
-	// requestDispatched: the engine or service may have it.
+	// requestDispatched: the engine or service may have the run.
 	requestDispatched requestState = "Dispatched"
-	// requestResuming: its owner was lost; the run is sought at the engine's
-	// next owner.
+	// requestResuming: the owner was lost; the request waits for an owner of the
+	// engine that can resume the run.
 	requestResuming requestState = "Resuming"
 	requestAnswered requestState = "Answered"
 )
@@ -41,24 +42,24 @@
 )
 
 var requestTable = lifecycle.New("request", []lifecycle.Transition[requestState, requestEvent]{
-	{Event: askHome, From: []requestState{requestNew}, To: requestAtHome},
-	{Event: submitRequest, From: []requestState{requestNew, requestAtHome}, To: requestSubmitted},
-	{Event: dispatchRequest, From: []requestState{requestNew, requestAtHome, requestSubmitted, requestDispatched}, To: requestDispatched},
+	{Event: askHome, From: []requestState{requestNew}, To: requestAwaitingHome},
+	{Event: submitRequest, From: []requestState{requestNew, requestAwaitingHome}, To: requestSubmitted},
+	{Event: dispatchRequest, From: []requestState{requestNew, requestAwaitingHome, requestSubmitted, requestDispatched}, To: requestDispatched},
 	{Event: loseOwner, From: []requestState{requestSubmitted, requestDispatched}, To: requestResuming},
 	{Event: resumeRequest, From: []requestState{requestResuming}, To: requestDispatched},
 	{Event: retryRequest, From: []requestState{requestSubmitted, requestDispatched}, To: requestNew},
 	{
 		Event: answerRequest,
-		From:  []requestState{requestNew, requestAtHome, requestSubmitted, requestDispatched, requestResuming},
+		From:  []requestState{requestNew, requestAwaitingHome, requestSubmitted, requestDispatched, requestResuming},
 		To:    requestAnswered,
 	},
 })
 
-// request is one caller's request at its entry.
+// request is a caller's request at its entry.
 type request struct {
 	state    requestState
-	arrived  Arrived
-	stream   ident.StreamID // of the present attempt
+	arrival  Arrived
+	stream   ident.StreamID // of the current attempt
 	adapter  ident.Adapter
 	rule     config.Decision
 	caller   *config.Caller
@@ -66,45 +67,47 @@
 	deadline clock.Millis
 	record   outcome.Record
 
-	home     ident.DaemonID // that granted or was asked last
-	askAgain clock.Millis   // when the home is asked again
-	askUntil clock.Millis   // when the home is given up
+	home         ident.DaemonID // asked last, or granted the key
+	homeRetryAt  clock.Millis   // when the home is asked again
+	homeDeadline clock.Millis   // when waiting for the home ends
 
 	engine ident.EngineID
 	owner  ident.DaemonID
-	// priorFence and priorBoot are the owner's number and the engine's boot id
-	// when the present attempt was first handed on.
-	priorFence ident.Fence
-	priorBoot  ident.BootID
-	tried      []ident.EngineID
-	// redirects counts the owners that said they were not in charge.
+	// priorFence and priorBoot are the owner's fencing number and the engine's boot
+	// id when the current attempt was first submitted.
+	priorFence   ident.Fence
+	priorBoot    ident.BootID
+	triedEngines []ident.EngineID
+	// redirects counts the refusals by daemons that did not own the engine.
 	redirects int
-	// open says that the present attempt was handed on and has not ended.
-	open bool
-	// resumed says that the present attempt was lost once: only its engine's
-	// word can show that it did not run.
+	// attemptOpen is set while the current attempt has been submitted and has not
+	// ended.
+	attemptOpen bool
+	// resumed is set once the owner of the current attempt was lost. From then on
+	// only the engine's own refusal proves that the attempt did not run.
 	resumed bool
-	// mayHaveRun says that an earlier attempt may have run.
+	// mayHaveRun is set if an earlier attempt may have run.
 	mayHaveRun bool
-	// lostAt is when its owner was lost, resumeUntil when the search for the
-	// next one ends, probeAt when the owner is asked again.
+	// lostAt is when the owner was lost, resumeUntil when waiting for the next
+	// owner ends, and probeAt when the owner is asked again.
 	lostAt      clock.Millis
 	resumeUntil clock.Millis
 	probeAt     clock.Millis
 
-	// delivering says that the caller has had a part of the answer.
-	delivering bool
-	// content is what the home keeps of the answer.
-	content *message.StoredAnswer
-	// replay is what the caller is sent in place of a relayed answer.
-	replay *message.StoredAnswer
-	// chunks is the number of chunks that arrived, once counted is set.
-	chunks  uint64
-	counted bool
+	// answerStarted is set once the caller has received a part of the answer.
+	answerStarted bool
+	// contentForHome is the content of the answer for the home to store.
+	contentForHome *message.StoredAnswer
+	// storedAnswer is a stored answer that replaces the relayed one.
+	storedAnswer *message.StoredAnswer
+	// chunks is the number of chunks received, valid if chunksKnown is set.
+	chunks      uint64
+	chunksKnown bool
 }
 
-// handedOn reports whether an owner or service was given the present attempt.
-func (request *request) handedOn() bool {
+// inFlight reports whether the current attempt has been submitted to an owner or
+// service.
+func (request *request) inFlight() bool {
 	return request.state == requestSubmitted || request.state == requestDispatched
 }
 
@@ -112,8 +115,8 @@
 	return &request.record.Attempts[len(request.record.Attempts)-1]
 }
 
-// requestsInOrder returns the open requests in a fixed order, so that a replay
-// repeats itself.
+// requestsInOrder returns the open requests in a fixed order, so that replays are
+// deterministic.
 func (node *Node) requestsInOrder() []*request {
 	return slices.SortedFunc(maps.Values(node.requests), func(a, b *request) int {
 		return a.stream.Compare(b.stream)
--- a/internal/decide/node/resume.go
+++ b/internal/decide/node/resume.go
@@ -8,78 +8,82 @@
 )
 
 const (
-	// resumeSpan is the least span for which a lost run is sought.
-	resumeSpan = 10 * clock.Second
-	// submitGrace is the span past the deadline for which an owner may still say
-	// that it refused a request.
+	// minResumeTimeout is the minimum time for which a lost run's next owner is
+	// awaited.
+	minResumeTimeout = 10 * clock.Second
+	// submitGrace is how long after the deadline an owner may still report that it
+	// refused a request.
 	submitGrace = clock.Second
-	// orphanSpan is how long the next owner of a given-up run's engine is awaited.
-	orphanSpan = 30 * clock.Second
+	// orphanTimeout is how long the next owner of an orphan's engine is awaited.
+	orphanTimeout = 30 * clock.Second
 )
 
-// orphan is a run that nobody waits for any more, at an engine whose owner was
-// lost. The next owner is asked to cancel it.
+// orphan is a run whose request has ended, on an engine whose owner was lost. The
+// next owner is asked to cancel it.
 type orphan struct {
 	cancel message.Cancel
-	since  clock.Millis
+	lostAt clock.Millis
 }
 
-// peerLost deals with the attempts that were with a lost daemon.
+// peerLost handles the attempts that were in flight at a lost daemon.
 func (node *Node) peerLost(event PeerLost) {
-	for _, affected := range node.requestsInOrder() {
-		if affected.owner == event.Peer && message.LaneOf(affected.rule.Class) == event.Lane && affected.handedOn() {
-			node.ownerLost(affected)
+	for _, request := range node.requestsInOrder() {
+		if request.owner == event.Peer && message.LaneOf(request.rule.Class) == event.Lane && request.inFlight() {
+			node.ownerLost(request)
 		}
 	}
 }
 
-// ownerLost re-runs a repeatable request elsewhere. A request that must not be
-// repeated, or whose answer has begun, is resumed: the same run, never a second.
-func (node *Node) ownerLost(affected *request) {
+// ownerLost retries a repeatable request elsewhere. If the request must not be
+// repeated or its answer has begun, its run is resumed instead and no second run is
+// started.
+func (node *Node) ownerLost(request *request) {
 	lost := outcome.Lost(outcome.OwnerLost)
-	affected.lastAttempt().Outcome = lost
-	if !affected.rule.Repeatable || affected.delivering {
-		node.seekOwner(affected, "")
+	request.lastAttempt().Outcome = lost
+	if !request.rule.Repeatable || request.answerStarted {
+		node.awaitOwner(request, "")
 		return
 	}
-	affected.open = false
-	affected.mayHaveRun = true
-	node.cancelOrphan(affected)
-	if !node.mayRetry(affected, lost) {
-		node.answer(affected, lost)
+	request.attemptOpen = false
+	request.mayHaveRun = true
+	node.cancelOrphan(request)
+	if !node.mayRetry(request, lost) {
+		node.answer(request, lost)
 		return
 	}
-	affected.tried = append(affected.tried, affected.engine)
-	node.retry(affected)
+	request.triedEngines = append(request.triedEngines, request.engine)
+	node.retry(request)
 }
 
-// seekOwner waits for the engine's next owner, unless it is known already.
-func (node *Node) seekOwner(affected *request, hint ident.DaemonID) {
-	requestTable.Must(&affected.state, loseOwner)
-	affected.lostAt = node.now
-	if !affected.resumed {
-		affected.resumed = true
-		affected.resumeUntil = max(affected.deadline, node.now+resumeSpan)
+// awaitOwner waits for the engine's next owner, or resumes at once if the hint
+// names another owner.
+func (node *Node) awaitOwner(request *request, hint ident.DaemonID) {
+	requestTable.Must(&request.state, loseOwner)
+	request.lostAt = node.now
+	if !request.resumed {
+		request.resumed = true
+		request.resumeUntil = max(request.deadline, node.now+minResumeTimeout)
 	}
-	if hint != "" && hint != affected.owner {
-		node.resume(affected, hint)
+	if hint != "" && hint != request.owner {
+		node.resume(request, hint)
 	}
 }
 
-// tickResume resumes a run once an owner of its engine has been heard of since
-// the loss, be it the same one or the next.
-func (node *Node) tickResume(waiting *request) {
-	if waiting.resumeUntil <= node.now {
-		node.cancelOrphan(waiting)
-		node.answer(waiting, outcome.Lost(outcome.OwnerLost))
+// tickResume resumes a run once any owner of its engine, the same or another, has
+// been heard from since the loss.
+func (node *Node) tickResume(request *request) {
+	if request.resumeUntil <= node.now {
+		node.cancelOrphan(request)
+		node.answer(request, outcome.Lost(outcome.OwnerLost))
 		return
 	}
-	if owner, found := node.ownerSince(waiting.engine, waiting.lostAt); found {
-		node.resume(waiting, owner)
+	if owner, found := node.ownerSince(request.engine, request.lostAt); found {
+		node.resume(request, owner)
 	}
 }
 
-// ownerSince returns the owner of an engine that was heard of after a time.
+// ownerSince returns an engine's owner if its state was received after the given
+// time.
 func (node *Node) ownerSince(engine ident.EngineID, since clock.Millis) (ident.DaemonID, bool) {
 	view := node.views.View(engine)
 	if view == nil || view.HeardAt <= since {
@@ -88,54 +92,54 @@
 	return view.State.Owner, true
 }
 
-func (node *Node) resume(waiting *request, owner ident.DaemonID) {
-	waiting.owner = owner
-	requestTable.Must(&waiting.state, resumeRequest)
-	node.submit(waiting)
+func (node *Node) resume(request *request, owner ident.DaemonID) {
+	request.owner = owner
+	requestTable.Must(&request.state, resumeRequest)
+	node.submit(request)
 }
 
-// tickHandedOn gives up owners that never answer, and asks for attempts whose
-// end may have been lost on the way.
-func (node *Node) tickHandedOn(waiting *request) {
+// tickInFlight handles owners that have become silent, and asks again for attempts
+// whose end may have been lost in transit.
+func (node *Node) tickInFlight(request *request) {
 	switch {
-	case waiting.service != nil:
-	case node.ownerSilent(waiting):
-		node.ownerLost(waiting)
-	case waiting.state == requestSubmitted && !waiting.resumed && waiting.deadline+submitGrace <= node.now:
-		node.cancelOrphan(waiting)
-		node.answer(waiting, outcome.Lost(outcome.OwnerLost))
-	case waiting.probeAt <= node.now:
-		node.seekOwner(waiting, "")
+	case request.service != nil:
+	case node.ownerSilent(request):
+		node.ownerLost(request)
+	case request.state == requestSubmitted && !request.resumed && request.deadline+submitGrace <= node.now:
+		node.cancelOrphan(request)
+		node.answer(request, outcome.Lost(outcome.OwnerLost))
+	case request.probeAt <= node.now:
+		node.awaitOwner(request, "")
 	}
 }
 
-// ownerSilent reports whether nothing has come from a request's owner for so
-// long that it counts as lost, although no connection to it broke.
-func (node *Node) ownerSilent(waiting *request) bool {
-	if waiting.owner == node.options.Self || node.vms == nil {
+// ownerSilent reports whether a request's owner has been silent for so long that it
+// counts as lost although no connection to it broke.
+func (node *Node) ownerSilent(request *request) bool {
+	if request.owner == node.options.Self || node.vms == nil {
 		return false
 	}
-	return node.peers.Silent(node.now, waiting.owner, 2*node.suspicion(waiting.owner))
+	return node.peers.Silent(node.now, request.owner, 2*node.silenceTimeout(request.owner))
 }
 
-// cancelOrphan has a given-up run cancelled, by its owner or by the engine's
-// next one: it would go on using a share of the engine and its adapter's slot.
-func (node *Node) cancelOrphan(gone *request) {
-	cancel := message.Cancel{Stream: gone.stream, Engine: gone.engine, Class: gone.rule.Class}
-	node.send(gone.owner, cancel)
-	node.orphans = append(node.orphans, orphan{cancel: cancel, since: node.now})
+// cancelOrphan has an abandoned run cancelled by its owner or the engine's next
+// owner. Otherwise it would keep using the engine and its adapter's slot.
+func (node *Node) cancelOrphan(request *request) {
+	cancel := message.Cancel{Stream: request.stream, Engine: request.engine, Class: request.rule.Class}
+	node.send(request.owner, cancel)
+	node.orphans = append(node.orphans, orphan{cancel: cancel, lostAt: node.now})
 }
 
 func (node *Node) tickOrphans() {
-	left := node.orphans[:0]
+	remaining := node.orphans[:0]
 	for _, orphan := range node.orphans {
-		owner, found := node.ownerSince(orphan.cancel.Engine, orphan.since)
+		owner, found := node.ownerSince(orphan.cancel.Engine, orphan.lostAt)
 		switch {
 		case found:
 			node.send(owner, orphan.cancel)
-		case orphan.since+orphanSpan > node.now:
-			left = append(left, orphan)
+		case orphan.lostAt+orphanTimeout > node.now:
+			remaining = append(remaining, orphan)
 		}
 	}
-	node.orphans = left
+	node.orphans = remaining
 }
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -14,107 +14,109 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// course is one long run at an engine whose owner is not the entry.
-type course struct {
-	network *nodetest.Network
-	entry   ident.DaemonID
-	submits []message.Submit
-	cancels []ident.DaemonID // daemons that were sent a cancel
-	submit  message.Submit   // the first one
-	owner   ident.DaemonID
+// longRun is a long run on an engine whose owner is not the entry.
+type longRun struct {
+	network     *nodetest.Network
+	entry       ident.DaemonID
+	submits     []message.Submit
+	cancels     []ident.DaemonID // daemons that were sent a cancel
+	firstSubmit message.Submit   // the last submit that was not a resume
+	owner       ident.DaemonID
 }
 
-// startCourse sends a request and returns once its engine has begun to run it.
-func startCourse(t *testing.T, model string) *course {
+// startLongRun sends a request and returns once its engine has started to run it.
+func startLongRun(t *testing.T, model string) *longRun {
 	t.Helper()
 	network := newNetwork(t, 4, 1)
 	network.Engines["engine-0"].SetRunSpan(4 * clock.Second)
-	started := &course{network: network}
+	longRun := &longRun{network: network}
 	network.OnSend = func(_, to ident.DaemonID, sent message.Message) {
 		switch sent := sent.(type) {
 		case message.Submit:
-			started.submits = append(started.submits, sent)
+			longRun.submits = append(longRun.submits, sent)
 			if !sent.Resume {
-				started.submit, started.owner = sent, to
+				longRun.firstSubmit, longRun.owner = sent, to
 			}
 		case message.Cancel:
-			started.cancels = append(started.cancels, to)
+			longRun.cancels = append(longRun.cancels, to)
 		}
 	}
 	network.Run(10 * clock.Second)
 	for _, name := range network.HostNames() {
 		if len(network.Nodes[name].Node.Status(network.Now).Owned) == 0 {
-			started.entry = name
+			longRun.entry = name
 		}
 	}
-	network.Arrive(started.entry, node.Arrived{
+	network.Arrive(longRun.entry, node.Arrived{
 		RequestID: "r", APIKey: callerKey, Model: model, Path: "/v1/completions",
 		Key: "k", KeyIssuedAt: network.Now, BodyHash: "h",
 	})
-	began := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].Ran["r"] == 1 })
-	require.True(t, began)
-	return started
+	runStarted := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].Ran["r"] == 1 })
+	require.True(t, runStarted)
+	return longRun
 }
 
-func (course *course) feed(event node.Event) {
-	course.network.Feed(course.network.Nodes[course.entry], event)
+func (longRun *longRun) feed(event node.Event) {
+	longRun.network.Feed(longRun.network.Nodes[longRun.entry], event)
 }
 
-// killOwner ends the engine's owner and takes it off the VM list.
-func (course *course) killOwner() {
-	course.network.Kill(course.owner)
-	var left []members.VM
-	for _, vm := range course.network.VMs() {
-		if vm.Name != string(course.owner) {
-			left = append(left, vm)
+// killOwner kills the engine's owner and removes it from the VM list.
+func (longRun *longRun) killOwner() {
+	longRun.network.Kill(longRun.owner)
+	var remaining []members.VM
+	for _, vm := range longRun.network.VMs() {
+		if vm.Name != string(longRun.owner) {
+			remaining = append(remaining, vm)
 		}
 	}
-	course.network.SetVMs(left)
+	longRun.network.SetVMs(remaining)
 }
 
-func (course *course) requireAnswered(t *testing.T, want outcome.Outcome) {
+func (longRun *longRun) requireAnswered(t *testing.T, want outcome.Outcome) {
 	t.Helper()
-	course.network.Run(30 * clock.Second)
-	require.Len(t, course.network.Answers["r"], 1)
-	require.Equal(t, want, course.network.Answers["r"][0].Outcome)
-	require.Equal(t, 1, course.network.Engines["engine-0"].Ran["r"], "runs")
+	longRun.network.Run(30 * clock.Second)
+	require.Len(t, longRun.network.Answers["r"], 1)
+	require.Equal(t, want, longRun.network.Answers["r"][0].Outcome)
+	require.Equal(t, 1, longRun.network.Engines["engine-0"].Ran["r"], "runs")
 }
 
-// TestLostRunIsResumed kills the owner of an engine in the middle of a run that
-// must not begin again: by its rule, or because its answer has begun.
+// TestLostRunIsResumed kills the owner of an engine during a run that must not be
+// started again, because its rule forbids it or its answer has begun.
 func TestLostRunIsResumed(t *testing.T) {
 	for name, model := range map[string]string{"not repeatable": "quote-1@1", "answer begun": "review-1@1"} {
 		t.Run(name, func(t *testing.T) {
-			course := startCourse(t, model)
+			longRun := startLongRun(t, model)
 			if model == "review-1@1" {
-				course.feed(node.HeadArrived{Stream: course.submit.Stream, From: course.owner, Status: 200})
+				longRun.feed(node.HeadArrived{Stream: longRun.firstSubmit.Stream, From: longRun.owner, Status: 200})
 			}
-			course.killOwner()
-			course.requireAnswered(t, outcome.Done())
-			last := course.submits[len(course.submits)-1]
+			longRun.killOwner()
+			longRun.requireAnswered(t, outcome.Done())
+			last := longRun.submits[len(longRun.submits)-1]
 			require.True(t, last.Resume)
-			require.Equal(t, course.submit.Stream, last.Stream, "the same run id")
+			require.Equal(t, longRun.firstSubmit.Stream, last.Stream, "the resumed run must have the same id")
 			require.NotZero(t, last.PriorFence)
 		})
 	}
 }
 
-// TestGapInAnswer lets an owner send more chunks than arrived.
-func TestGapInAnswer(t *testing.T) {
-	course := startCourse(t, "quote-1@1")
-	course.feed(node.HeadArrived{Stream: course.submit.Stream, From: course.owner, Status: 200})
-	course.feed(node.AnswerReceived{Stream: course.submit.Stream, Chunks: 2})
-	course.requireAnswered(t, outcome.Lost(outcome.Truncated))
+// TestMissingChunksEndAsTruncated checks the outcome when fewer chunks arrived than
+// the owner sent.
+func TestMissingChunksEndAsTruncated(t *testing.T) {
+	longRun := startLongRun(t, "quote-1@1")
+	longRun.feed(node.HeadArrived{Stream: longRun.firstSubmit.Stream, From: longRun.owner, Status: 200})
+	longRun.feed(node.AnswerReceived{Stream: longRun.firstSubmit.Stream, Chunks: 2})
+	longRun.requireAnswered(t, outcome.Lost(outcome.Truncated))
 }
 
-// TestOrphanIsCancelled lets the caller go while the owner of its run is dead.
+// TestOrphanIsCancelled disconnects the caller while the owner of its run is dead,
+// and checks that the next owner is asked to cancel the run.
 func TestOrphanIsCancelled(t *testing.T) {
-	course := startCourse(t, "quote-1@1")
-	course.killOwner()
-	course.network.Run(10)
-	course.feed(node.CallerGone{Stream: course.submit.Stream})
-	require.Equal(t, outcome.Lost(outcome.CallerGone), course.network.Answers["r"][0].Outcome, "at once")
-	course.network.Run(20 * clock.Second)
-	require.NotEmpty(t, course.cancels)
-	require.NotEqual(t, course.owner, course.cancels[len(course.cancels)-1], "the next owner is told")
+	longRun := startLongRun(t, "quote-1@1")
+	longRun.killOwner()
+	longRun.network.Run(10)
+	longRun.feed(node.CallerGone{Stream: longRun.firstSubmit.Stream})
+	require.Equal(t, outcome.Lost(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
+	longRun.network.Run(20 * clock.Second)
+	require.NotEmpty(t, longRun.cancels)
+	require.NotEqual(t, longRun.owner, longRun.cancels[len(longRun.cancels)-1], "the cancel must go to the next owner")
 }
--- a/internal/decide/node/retry.go
+++ b/internal/decide/node/retry.go
@@ -5,7 +5,7 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// retryBudget allows repeated attempts as a share of first ones, so that a
+// retryBudget limits repeated attempts to a share of first attempts, so that a
 // fault does not multiply the load.
 type retryBudget struct {
 	share  float64
@@ -15,11 +15,11 @@
 // maxRetryTokens is the number of repeated attempts allowed in a burst.
 const maxRetryTokens = 20
 
-func (budget *retryBudget) first() {
+func (budget *retryBudget) addFirstAttempt() {
 	budget.tokens = min(maxRetryTokens, budget.tokens+budget.share)
 }
 
-func (budget *retryBudget) take() bool {
+func (budget *retryBudget) takeRetry() bool {
 	if budget.tokens < 1 {
 		return false
 	}
@@ -27,36 +27,37 @@
 	return true
 }
 
-// mayRetry reports whether another attempt is allowed: after a true not-run
-// always, after a dispatch only for repeatable requests; never once the caller
-// has had a part of the answer, nor past the deadline or the budget.
-func (node *Node) mayRetry(failed *request, ended outcome.Outcome) bool {
-	if failed.delivering || failed.deadline <= node.now || failed.service != nil {
+// mayRetry reports whether another attempt is allowed: always after an attempt that
+// did not run, and only for repeatable requests after one that may have run. No
+// attempt is allowed once the answer has begun, after the deadline or beyond the
+// retry budget.
+func (node *Node) mayRetry(request *request, ended outcome.Outcome) bool {
+	if request.answerStarted || request.deadline <= node.now || request.service != nil {
 		return false
 	}
-	if ended.Kind == outcome.Unknown && !failed.rule.Repeatable {
+	if ended.Kind == outcome.Unknown && !request.rule.Repeatable {
 		return false
 	}
 	switch ended.Reason {
 	case outcome.DeadlinePassed, outcome.CallerGone, outcome.DeadlineUnreachable:
 		return false
 	}
-	return node.retries.take()
+	return node.retries.takeRetry()
 }
 
-// retry places a request anew.
-func (node *Node) retry(failed *request) {
-	node.renew(failed)
-	node.place(failed)
+// retry places a request again as a new attempt.
+func (node *Node) retry(request *request) {
+	node.startNewAttempt(request)
+	node.place(request)
 }
 
-// renew begins another attempt: a new stream id, which no engine has seen.
-func (node *Node) renew(failed *request) {
-	requestTable.Must(&failed.state, retryRequest)
+// startNewAttempt gives a request a new stream id, which no engine has seen.
+func (node *Node) startNewAttempt(request *request) {
+	requestTable.Must(&request.state, retryRequest)
 	next := node.NewStream()
-	delete(node.requests, failed.stream)
-	node.emit(effect.Rebind{From: failed.stream, To: next})
-	failed.stream = next
-	failed.resumed = false
-	node.requests[next] = failed
+	delete(node.requests, request.stream)
+	node.emit(effect.Rebind{From: request.stream, To: next})
+	request.stream = next
+	request.resumed = false
+	node.requests[next] = request
 }
