--- a/internal/decide/node/shutdown.go
+++ b/internal/decide/node/shutdown.go
@@ -6,61 +6,63 @@
 )
 
 const (
-	// drainGrace is the least span between the announcement of a graceful end and
-	// the end: what others sent before they heard of it still arrives.
+	// drainGrace is the minimum time between the announcement of the shutdown and
+	// the exit. Messages sent by daemons that did not know of it yet still arrive.
 	drainGrace = clock.Second
-	// drainSettle is the span between the end of the last thing in progress and
-	// the end of the daemon, so that what was sent last gets out.
+	// drainSettle is the time between the end of the last work in progress and the
+	// exit, so that the last messages are sent.
 	drainSettle = 200 * clock.Millisecond
-	// drainHandover is the span for which a leaving daemon waits for others to
-	// take its engines over.
-	drainHandover = 10 * clock.Second
+	// drainHandoverTimeout is how long a leaving daemon waits until others have
+	// taken over its engines.
+	drainHandoverTimeout = 10 * clock.Second
 )
 
-// shutdown begins a graceful end: no new requests, records of keys to the next
-// homes, engines to the next owners.
+// shutdown begins a graceful shutdown: no new requests are accepted, key records
+// move to the next homes, and engines are handed over to the next owners.
 func (node *Node) shutdown() {
 	if node.draining {
 		return
 	}
 	node.draining = true
-	node.drainingSince, node.busyAt = node.now, node.now
-	node.news.due = true
+	node.drainingSince, node.lastBusyAt = node.now, node.now
+	node.updates.urgent = true
 	node.homeEffects(node.home.Shutdown(node.now))
 	node.emit(effect.Audit{At: node.now, Kind: effect.ShutdownStarted, Object: string(node.options.Self), Cause: "signal"})
 }
 
-// Idle reports whether nothing is in progress, so that a draining daemon may
-// exit: not in the moment in which the last answer goes out.
+// Idle reports whether no work is in progress, so that a draining daemon may exit.
+// A draining daemon becomes idle drainSettle after the last work ended, not at
+// once.
 func (node *Node) Idle() bool {
-	return !node.busy() && (!node.draining || node.now-node.busyAt >= drainSettle)
+	return !node.busy() && (!node.draining || node.now-node.lastBusyAt >= drainSettle)
 }
 
-// tickShutdown notes when something was last in progress.
+// tickShutdown records when work was last in progress.
 func (node *Node) tickShutdown() {
 	if node.draining && node.busy() {
-		node.busyAt = node.now
+		node.lastBusyAt = node.now
 	}
 }
 
 func (node *Node) busy() bool {
-	if len(node.requests) > 0 || len(node.finishes) > 0 || !node.home.Idle() || len(node.owning.former) > 0 {
+	if len(node.requests) > 0 || len(node.pendingFinishes) > 0 || !node.home.Idle() || len(node.ownerRole.formerlyOwned) > 0 {
 		return true
 	}
-	for _, held := range node.owning.owned {
-		if held.owner.Busy() {
+	for _, owned := range node.ownerRole.owned {
+		if owned.owner.Busy() {
 			return true
 		}
 	}
-	return !node.left()
+	return !node.handoverComplete()
 }
 
-// left reports whether a draining daemon's engines are with others, and what was
-// sent to it before they knew has arrived. A daemon without others leaves at once.
-func (node *Node) left() bool {
+// handoverComplete reports whether a draining daemon has handed over its engines
+// and has waited for messages that were sent to it before the others knew of the
+// shutdown. A daemon without live peers does not wait.
+func (node *Node) handoverComplete() bool {
 	if !node.draining || len(node.regionNames) <= 1 {
 		return true
 	}
 	since := node.now - node.drainingSince
-	return since >= drainGrace && (node.released() || since >= drainHandover)
+	return since >= drainGrace && (node.allEnginesHandedOver() || since >= drainHandoverTimeout)
 }
--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -7,36 +7,36 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// Status is what a daemon knows, for operators.
+// Status is a daemon's state, for operators.
 type Status struct {
 	Daemon        ident.DaemonID
 	DataCentre    string
 	Region        string
 	ConfigVersion uint64
 	VMListVersion uint64
-	// VMListAge is the span since the list was read.
+	// VMListAge is the time since the list was read.
 	VMListAge clock.Millis
 	Draining  bool
 	Requests  int
 	Keys      int
-	// Members are the daemons of the region, as listed and as heard of.
+	// Members are the other listed daemons of the region.
 	Members []Member
 	Owned   []message.EngineState
 	Known   []EngineKnowledge
 }
 
-// Member is what a daemon knows of another of its region.
+// Member is what a daemon knows of another daemon of its region.
 type Member struct {
 	Daemon     ident.DaemonID
 	DataCentre string
 	// Listed is its state in the VM list.
 	Listed members.State
-	// Heard tells whether anything has come from it; Age is the span since.
+	// Heard is set if anything was received from it; Age is the time since.
 	Heard bool
 	Age   clock.Millis
-	// ConfigVersion is the configuration that it said to be in force.
+	// ConfigVersion is the version that it last reported as in force.
 	ConfigVersion uint64
-	// Leaving says that it told of its shutdown; Lost, that its connection broke.
+	// Leaving is set if it reported its shutdown; Lost, if its connection broke.
 	Leaving bool
 	Lost    bool
 }
@@ -47,7 +47,7 @@
 	Age   clock.Millis
 }
 
-// Status describes the node at a time.
+// Status returns the node's state at the given time.
 func (node *Node) Status(now clock.Millis) Status {
 	status := Status{
 		Daemon: node.options.Self, DataCentre: node.options.DataCentre, Region: node.options.Region,
@@ -62,7 +62,7 @@
 		status.Members = node.membersAt(now)
 	}
 	for _, name := range node.ownedInOrder() {
-		status.Owned = append(status.Owned, node.owning.owned[name].owner.State(now))
+		status.Owned = append(status.Owned, node.ownerRole.owned[name].owner.State(now))
 	}
 	for view := range node.views.All() {
 		status.Known = append(status.Known, EngineKnowledge{State: view.State, Age: now - view.HeardAt})
@@ -70,9 +70,9 @@
 	return status
 }
 
-// membersAt describes the listed daemons of the region, in the list's order.
+// membersAt returns the other listed daemons of the region, in the list's order.
 func (node *Node) membersAt(now clock.Millis) []Member {
-	var listed []Member
+	var listedMembers []Member
 	for i := range node.vms.List.VMs {
 		vm := &node.vms.List.VMs[i]
 		if vm.Role != members.EntryRole || vm.Region != node.options.Region || vm.Name == string(node.options.Self) {
@@ -83,15 +83,15 @@
 			member.Heard, member.Age = true, now-peer.HeardAt
 			member.ConfigVersion, member.Leaving, member.Lost = peer.ConfigVersion, peer.Leaving, peer.Lost
 		}
-		listed = append(listed, member)
+		listedMembers = append(listedMembers, member)
 	}
-	return listed
+	return listedMembers
 }
 
-// Ready reports whether the daemon can serve callers. One that the VM list does
-// not name as live has no engines or keys of its own, and is about to end.
+// Ready reports whether the daemon can serve callers. A daemon that is not live in
+// the VM list owns no engines or keys and is about to exit.
 func (node *Node) Ready() bool {
-	return node.listedLive() && node.rollout.Ready() && node.config != nil && node.vms != nil && !node.draining && (node.informed || node.informedNow()) &&
+	return node.listedLive() && node.rollout.Ready() && node.config != nil && node.vms != nil && !node.draining && (node.enginesKnown || node.knowsAllEngines()) &&
 		node.home.VouchesFresh(node.now)
 }
 
@@ -103,23 +103,24 @@
 	return listed && vm.State == members.Live
 }
 
-// warmUp is the span after which a daemon serves callers although it has not
-// heard of every engine.
-const warmUp = 10 * clock.Second
+// warmUpTimeout is the time after which a new daemon serves callers although it has
+// not heard of every engine.
+const warmUpTimeout = 10 * clock.Second
 
-// informedNow reports whether every engine of the region has been heard of, so
-// that a new daemon does not refuse what others would serve. Where others are
-// heard from, the engines that it waits to own itself do not count.
-func (node *Node) informedNow() bool {
-	if node.now-node.options.StartedAt < warmUp {
+// knowsAllEngines reports whether every engine of the region has been heard of, so
+// that a new daemon does not refuse requests that others would serve. If other
+// daemons are heard from, engines that this daemon is itself waiting to own do not
+// count. After warmUpTimeout it reports true in any case.
+func (node *Node) knowsAllEngines() bool {
+	if node.now-node.options.StartedAt < warmUpTimeout {
 		for i := range node.config.Config.Engines {
 			engine := &node.config.Config.Engines[i]
-			own := node.peers.AnyHeard() && node.firstCandidate(engine) == node.options.Self
-			if node.views.View(engine.Name) == nil && engine.Region == node.options.Region && !own {
+			awaited := node.peers.AnyHeard() && node.firstCandidate(engine) == node.options.Self
+			if node.views.View(engine.Name) == nil && engine.Region == node.options.Region && !awaited {
 				return false
 			}
 		}
 	}
-	node.informed = true
+	node.enginesKnown = true
 	return true
 }
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -40,10 +40,10 @@
 	network *Network
 	mode    ServiceMode
 	values  map[string]serviceValue
-	old     map[string]serviceValue
-	waiting []*waitingWatch
-	// remembered says that old does not change any more.
-	remembered bool
+	staleValues     map[string]serviceValue
+	pendingWatches []*pendingWatch
+	// staleValuesFixed says that old does not change any more.
+	staleValuesFixed bool
 	// assembled caches assemblies, which depend on the mark alone.
 	assembled map[config.Mark]node.ConfigAssembled
 }
@@ -53,9 +53,9 @@
 	body    []byte
 }
 
-type waitingWatch struct {
+type pendingWatch struct {
 	host  *Host
-	life  uint64
+	generation  uint64
 	after uint64
 	done  bool
 }
@@ -63,7 +63,7 @@
 func newConfigService(network *Network) *ConfigService {
 	return &ConfigService{
 		Unreachable: map[ident.DaemonID]bool{}, network: network,
-		values: map[string]serviceValue{}, old: map[string]serviceValue{},
+		values: map[string]serviceValue{}, staleValues: map[string]serviceValue{},
 		assembled: map[config.Mark]node.ConfigAssembled{},
 	}
 }
@@ -97,29 +97,29 @@
 		return
 	}
 	service.values[key] = serviceValue{version: service.values[key].version + 1, body: body}
-	service.wake()
+	service.answerWatches()
 }
 
 // Remember makes the values of this moment the stale ones, for good.
 func (service *ConfigService) Remember() {
-	service.old = maps.Clone(service.values)
-	service.remembered = true
+	service.staleValues = maps.Clone(service.values)
+	service.staleValuesFixed = true
 }
 
 // SetMode changes how the service behaves; the values of this moment become
 // the stale ones when it was up, unless others are remembered.
 func (service *ConfigService) SetMode(mode ServiceMode) {
-	if service.mode == ServiceUp && !service.remembered {
-		service.old = maps.Clone(service.values)
+	if service.mode == ServiceUp && !service.staleValuesFixed {
+		service.staleValues = maps.Clone(service.values)
 	}
 	service.mode = mode
-	service.wake()
+	service.answerWatches()
 }
 
-func (service *ConfigService) shown(key string) (serviceValue, bool) {
+func (service *ConfigService) visibleValue(key string) (serviceValue, bool) {
 	values := service.values
 	if service.mode == ServiceStale || service.mode == ServiceFlapping && service.Calls%2 == 0 {
-		values = service.old
+		values = service.staleValues
 	}
 	value, found := values[key]
 	if found && service.Corrupt != nil {
@@ -132,20 +132,20 @@
 	return service.mode != ServiceDown && !service.Unreachable[host.Name]
 }
 
-// wake answers the waiting watches that have something to see.
-func (service *ConfigService) wake() {
-	waiting := service.waiting
-	service.waiting = nil
+// answerWatches answers the waiting watches that have something to see.
+func (service *ConfigService) answerWatches() {
+	waiting := service.pendingWatches
+	service.pendingWatches = nil
 	for _, watch := range waiting {
 		if !watch.done && !service.tryWatch(watch) {
-			service.waiting = append(service.waiting, watch)
+			service.pendingWatches = append(service.pendingWatches, watch)
 		}
 	}
 }
 
 // tryWatch answers a watch, unless there is nothing new to see.
-func (service *ConfigService) tryWatch(watch *waitingWatch) bool {
-	value, found := service.shown(manifestKey)
+func (service *ConfigService) tryWatch(watch *pendingWatch) bool {
+	value, found := service.visibleValue(manifestKey)
 	switch {
 	case !service.up(watch.host):
 		service.endWatch(watch, rollout.WatchResult{Cause: "down"})
@@ -157,27 +157,27 @@
 	return true
 }
 
-func (service *ConfigService) endWatch(watch *waitingWatch, result rollout.WatchResult) {
+func (service *ConfigService) endWatch(watch *pendingWatch, result rollout.WatchResult) {
 	watch.done = true
-	service.reply(watch.host, watch.life, node.ConfigWatched{Result: result})
+	service.reply(watch.host, watch.generation, node.ConfigWatched{Result: result})
 }
 
 func (service *ConfigService) reply(host *Host, life uint64, event node.Event) {
 	service.network.after(service.network.options.Delay, func() {
-		if host.life == life {
+		if host.generation == life {
 			service.network.Feed(host, event)
 		}
 	})
 }
 
 func (service *ConfigService) watch(host *Host, asked effect.WatchConfig) {
-	watch := &waitingWatch{host: host, life: host.life, after: asked.After}
+	watch := &pendingWatch{host: host, generation: host.generation, after: asked.After}
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
 		if service.tryWatch(watch) {
 			return
 		}
-		service.waiting = append(service.waiting, watch)
+		service.pendingWatches = append(service.pendingWatches, watch)
 		service.network.after(asked.Wait, func() {
 			if !watch.done {
 				service.endWatch(watch, rollout.WatchResult{})
@@ -187,19 +187,19 @@
 }
 
 func (service *ConfigService) read(host *Host, name string) {
-	life := host.life
+	life := host.generation
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
-		value, found := service.shown(name)
+		value, found := service.visibleValue(name)
 		service.reply(host, life, node.ConfigPartRead{
 			Name: name, Body: value.body, Failed: !found || !service.up(host),
 		})
 	})
 }
 
-// assemblySpan is the time that a daemon takes to assemble a configuration of
+// assemblyDuration is the time that a daemon takes to assemble a configuration of
 // full size, rounded up from the benchmark.
-const assemblySpan = 400 * clock.Millisecond
+const assemblyDuration = 400 * clock.Millisecond
 
 func (service *ConfigService) assemble(host *Host, order effect.AssembleConfig) {
 	known, found := service.assembled[order.Mark]
@@ -207,17 +207,17 @@
 		known = node.Assemble(order)
 		service.assembled[order.Mark] = known
 	}
-	life := host.life
-	service.network.after(assemblySpan, func() {
-		if host.life == life {
+	life := host.generation
+	service.network.after(assemblyDuration, func() {
+		if host.generation == life {
 			service.network.Feed(host, known)
 		}
 	})
 }
 
-// performConfig carries out what concerns the configuration service. Networks
+// performConfigEffect carries out what concerns the configuration service. Networks
 // whose daemons were handed their configuration have no service to call.
-func (network *Network) performConfig(host *Host, next effect.Effect) {
+func (network *Network) performConfigEffect(host *Host, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.WatchConfig:
 		if network.options.Published {
@@ -236,13 +236,13 @@
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
 		if !host.Dead {
-			versions[version(host)]++
+			versions[versionInForce(host)]++
 		}
 	}
 	return versions
 }
 
-func version(host *Host) uint64 {
+func versionInForce(host *Host) uint64 {
 	if host.Node.Config() == nil {
 		return 0
 	}
@@ -252,6 +252,6 @@
 // Everywhere reports whether every live daemon that is not paused has a version in force.
 func (network *Network) Everywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
-		return !host.Dead && !host.Paused && version(host) != wanted
+		return !host.Dead && !host.Paused && versionInForce(host) != wanted
 	})
 }
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -52,8 +52,8 @@
 	request   string
 	ended     bool
 	cancelled bool
-	// tokens is the number of steps left, with batching.
-	tokens int
+	// tokensLeft is the number of steps left, with batching.
+	tokensLeft int
 	// waiters are called at the end, with batching.
 	waiters []func()
 }
@@ -90,7 +90,7 @@
 	engine.batch = nil
 	engine.stepping = false
 	for _, stream := range slices.SortedFunc(maps.Keys(lost), ident.StreamID.Compare) {
-		engine.wake(lost[stream])
+		engine.notifyWaiters(lost[stream])
 	}
 }
 
@@ -98,8 +98,8 @@
 	return ident.BootID(fmt.Sprintf("%s-%d", engine.config.Name, engine.boots))
 }
 
-// fenced takes in an order's fencing number and reports whether it is refused.
-func (engine *Engine) fenced(fence ident.Fence) bool {
+// rejectsFence takes in an order's fencing number and reports whether it is refused.
+func (engine *Engine) rejectsFence(fence ident.Fence) bool {
 	if fence < engine.fence && engine.config.ChecksFencing {
 		return true
 	}
@@ -111,15 +111,15 @@
 	return false
 }
 
-// order carries an order to the engine after the transit time.
-func (engine *Engine) order(do func()) {
+// afterDelay carries an order to the engine after the transit time.
+func (engine *Engine) afterDelay(do func()) {
 	engine.network.after(engine.network.options.Delay, do)
 }
 
 func (engine *Engine) reply(host *Host, event node.Event) {
-	life := host.life
+	life := host.generation
 	engine.network.after(engine.network.options.Delay, func() {
-		if host.life == life {
+		if host.generation == life {
 			engine.network.Feed(host, event)
 		}
 	})
@@ -132,17 +132,17 @@
 }
 
 func (engine *Engine) start(host *Host, start effect.StartRun) {
-	engine.order(func() {
+	engine.afterDelay(func() {
 		known, found := engine.runs[start.Stream]
 		switch {
-		case start.Resume && engine.config.ChecksFencing && start.Fence < engine.fence, !start.Resume && engine.fenced(start.Fence):
+		case start.Resume && engine.config.ChecksFencing && start.Fence < engine.fence, !start.Resume && engine.rejectsFence(start.Fence):
 			engine.replyRun(host, start.Stream, owner.ResultFenced)
 		case found && known.cancelled:
 			engine.replyRun(host, start.Stream, owner.ResultCancelled)
 		case found && known.ended:
 			engine.replyRun(host, start.Stream, owner.ResultComplete)
 		case found:
-			engine.await(host, start.Stream, known)
+			engine.reportEnd(host, start.Stream, known)
 		case start.Resume:
 			engine.replyRun(host, start.Stream, owner.ResultUnknownRun)
 		case !engine.loaded[start.Request.Adapter]:
@@ -159,9 +159,9 @@
 	engine.Ran[start.Request.ID]++
 	engine.network.options.Observer.began(engine.network.Now, start.Request.ID, engine.config.Name)
 	if engine.options.Step.Base > 0 {
-		began.tokens = tokensOf(start.Request.Body)
-		engine.await(host, start.Stream, began)
-		engine.join(began)
+		began.tokensLeft = tokensOf(start.Request.Body)
+		engine.reportEnd(host, start.Stream, began)
+		engine.addToBatch(began)
 		return
 	}
 	boots := engine.boots
@@ -170,11 +170,11 @@
 			began.ended = true
 		}
 	})
-	engine.await(host, start.Stream, began)
+	engine.reportEnd(host, start.Stream, began)
 }
 
-// await tells a host of the end of a run, or of its loss in a restart.
-func (engine *Engine) await(host *Host, stream ident.StreamID, awaited *run) {
+// reportEnd tells a host of the end of a run, or of its loss in a restart.
+func (engine *Engine) reportEnd(host *Host, stream ident.StreamID, awaited *run) {
 	boots := engine.boots
 	ended := func() {
 		switch {
@@ -194,8 +194,8 @@
 }
 
 func (engine *Engine) cancel(host *Host, cancel effect.CancelRun) {
-	engine.order(func() {
-		if engine.config.ChecksFencing && engine.fenced(cancel.Fence) {
+	engine.afterDelay(func() {
+		if engine.config.ChecksFencing && engine.rejectsFence(cancel.Fence) {
 			return // no confirmation
 		}
 		known, found := engine.runs[cancel.Stream]
@@ -205,14 +205,14 @@
 		}
 		known.cancelled = known.cancelled || !known.ended
 		known.ended = true
-		engine.wake(known)
+		engine.notifyWaiters(known)
 		engine.replyRun(host, cancel.Stream, owner.ResultCancelled)
 	})
 }
 
 func (engine *Engine) load(host *Host, load effect.Load) {
-	engine.order(func() {
-		if engine.fenced(load.Fence) {
+	engine.afterDelay(func() {
+		if engine.rejectsFence(load.Fence) {
 			engine.reply(host, node.LoadEnded{Engine: engine.config.Name, Adapter: load.Adapter, Failed: true, Fenced: true})
 			return
 		}
@@ -234,8 +234,8 @@
 }
 
 func (engine *Engine) unload(host *Host, unload effect.Unload) {
-	engine.order(func() {
-		failed := engine.fenced(unload.Fence)
+	engine.afterDelay(func() {
+		failed := engine.rejectsFence(unload.Fence)
 		if !failed {
 			engine.checkUnload(host, unload)
 			delete(engine.loaded, unload.Adapter)
@@ -255,7 +255,7 @@
 }
 
 func (engine *Engine) read(host *Host, read effect.ReadEngine) {
-	engine.order(func() {
+	engine.afterDelay(func() {
 		now := engine.network.Now
 		engine.reports = append(engine.reports, timedReport{at: now, report: engine.report()})
 		chosen := 0
--- a/internal/decide/nodetest/history.go
+++ b/internal/decide/nodetest/history.go
@@ -62,7 +62,7 @@
 	// Drawn counts the faults, by kind.
 	Drawn map[string]int
 
-	renamed int
+	replacements int
 }
 
 // faultKinds are the faults that Draw chooses from.
@@ -76,10 +76,10 @@
 	kind := rapid.SampledFrom(faultKinds).Draw(t, "fault")
 	name := rapid.SampledFrom(faults.Network.HostNames()).Draw(t, "daemon")
 	faults.Drawn[kind]++
-	faults.bringAbout(t, kind, name)
+	faults.apply(t, kind, name)
 }
 
-func (faults *Faults) bringAbout(t *rapid.T, kind string, name ident.DaemonID) {
+func (faults *Faults) apply(t *rapid.T, kind string, name ident.DaemonID) {
 	network := faults.Network
 	host := network.Nodes[name]
 	switch kind {
@@ -146,8 +146,8 @@
 		}
 		network.Kill(name)
 		delete(network.Nodes, name)
-		faults.renamed++
-		vms[i].Name = fmt.Sprintf("replacement-%03d", faults.renamed)
+		faults.replacements++
+		vms[i].Name = fmt.Sprintf("replacement-%03d", faults.replacements)
 		vms[i].State = members.Live
 	}
 	network.SetVMs(vms)
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -77,11 +77,11 @@
 
 	options  Options
 	random   *rand.Rand
-	queue    timeline
+	queue    eventQueue
 	sequence uint64
 	store    store
 	snapshot *config.Snapshot
-	lists    []timedList // every version of the VM list, in order
+	listVersions    []timedList // every version of the VM list, in order
 }
 
 type timedList struct {
@@ -101,7 +101,7 @@
 	Dead   bool
 	VM     members.VM
 
-	life    uint64
+	generation    uint64
 	backlog []node.Event
 	streams map[ident.StreamID]string // request ids by present stream
 }
@@ -141,7 +141,7 @@
 	options.Self, options.DataCentre, options.Region = name, vm.DataCentre, vm.Region
 	options.StartedAt, options.Incarnation = network.Now, ident.Incarnation(network.Now)
 	network.sequence++
-	host := &Host{Name: name, Node: node.New(options), VM: vm, life: network.sequence, streams: map[ident.StreamID]string{}}
+	host := &Host{Name: name, Node: node.New(options), VM: vm, generation: network.sequence, streams: map[ident.StreamID]string{}}
 	network.Nodes[name] = host
 	if !network.options.Published {
 		network.Feed(host, node.ConfigRead{Snapshot: network.snapshot})
@@ -153,8 +153,8 @@
 
 // publishVMs adds a version of the VM list.
 func (network *Network) publishVMs() {
-	version := uint64(len(network.lists) + 1)
-	network.lists = append(network.lists, timedList{at: network.Now, list: members.List{
+	version := uint64(len(network.listVersions) + 1)
+	network.listVersions = append(network.listVersions, timedList{at: network.Now, list: members.List{
 		Version: version, VMs: slices.Clone(network.options.VMs),
 	}})
 }
@@ -179,9 +179,9 @@
 
 func (network *Network) readLists(host *Host) {
 	network.readList(host)
-	life := host.life
+	life := host.generation
 	network.after(listInterval, func() {
-		if !host.Dead && host.life == life {
+		if !host.Dead && host.generation == life {
 			network.readLists(host)
 		}
 	})
@@ -193,8 +193,8 @@
 	if host.Paused || host.Dead || network.ListDown[host.Name] {
 		return
 	}
-	shown := network.lists[0].list
-	for _, version := range network.lists {
+	shown := network.listVersions[0].list
+	for _, version := range network.listVersions {
 		if network.Now-version.at >= network.ListLag[host.Name] {
 			shown = version.list
 		}
@@ -206,11 +206,11 @@
 func (network *Network) Kill(name ident.DaemonID) {
 	network.Nodes[name].Dead = true
 	for _, host := range network.hosts() {
-		network.loseLanes(host, name)
+		network.reportLostLanes(host, name)
 	}
 }
 
-func (network *Network) loseLanes(host *Host, peer ident.DaemonID) {
+func (network *Network) reportLostLanes(host *Host, peer ident.DaemonID) {
 	for lane := range message.LaneCount {
 		network.after(network.options.Delay, func() { network.Feed(host, node.PeerLost{Peer: peer, Lane: lane}) })
 	}
@@ -236,9 +236,9 @@
 	if !host.Paused {
 		network.Feed(host, node.Tick{})
 	}
-	life := host.life
+	life := host.generation
 	network.after(network.options.TickInterval, func() {
-		if !host.Dead && host.life == life {
+		if !host.Dead && host.generation == life {
 			network.tick(host)
 		}
 	})
@@ -248,7 +248,7 @@
 func (network *Network) Arrive(name ident.DaemonID, arrived node.Arrived) {
 	host := network.Nodes[name]
 	if network.options.Instant {
-		network.refresh(host)
+		network.sendEngineStates(host)
 	}
 	arrived.Stream = host.Node.NewStream()
 	host.streams[arrived.Stream] = arrived.RequestID
@@ -312,7 +312,7 @@
 			})
 		})
 	case effect.WatchConfig, effect.ReadConfigPart, effect.AssembleConfig:
-		network.performConfig(host, next)
+		network.performConfigEffect(host, next)
 	case effect.Audit:
 		network.Audits = append(network.Audits, next)
 	}
@@ -333,20 +333,20 @@
 			network.Feed(to, node.Received{From: from.Name, Message: sent.Message})
 		}
 	}
-	network.after(network.transit(), deliver)
-	if network.chance(network.DuplicateShare) {
-		network.after(network.transit(), deliver)
+	network.after(network.transitTime(), deliver)
+	if network.draw(network.DuplicateShare) {
+		network.after(network.transitTime(), deliver)
 	}
 }
 
-// chance draws only for shares above zero, so that a fault that is off does not
+// draw draws only for shares above zero, so that a fault that is off does not
 // change what others draw.
-func (network *Network) chance(share float64) bool {
+func (network *Network) draw(share float64) bool {
 	return share > 0 && network.random.Float64() < share
 }
 
-func (network *Network) transit() clock.Millis {
-	if network.chance(network.SlowShare) {
+func (network *Network) transitTime() clock.Millis {
+	if network.draw(network.SlowShare) {
 		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.SlowSpan)+1))
 	}
 	if network.options.Jitter <= 0 {
@@ -359,9 +359,9 @@
 func (network *Network) Run(span clock.Millis) {
 	end := network.Now + span
 	for len(network.queue) > 0 && network.queue[0].at <= end {
-		next := heap.Pop(&network.queue).(happening)
+		next := heap.Pop(&network.queue).(scheduledEvent)
 		network.Now = next.at
-		next.do()
+		next.run()
 	}
 	network.Now = end
 }
@@ -374,9 +374,9 @@
 		if len(network.queue) == 0 || network.queue[0].at > end {
 			return false
 		}
-		next := heap.Pop(&network.queue).(happening)
+		next := heap.Pop(&network.queue).(scheduledEvent)
 		network.Now = next.at
-		next.do()
+		next.run()
 	}
 	return true
 }
@@ -388,5 +388,5 @@
 
 func (network *Network) after(span clock.Millis, do func()) {
 	network.sequence++
-	heap.Push(&network.queue, happening{at: network.Now + span, order: network.sequence, do: do})
+	heap.Push(&network.queue, scheduledEvent{at: network.Now + span, order: network.sequence, run: do})
 }
--- a/internal/decide/nodetest/observer.go
+++ b/internal/decide/nodetest/observer.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// refresh gives a daemon the present state of every engine.
-func (network *Network) refresh(host *Host) {
+// sendEngineStates gives a daemon the present state of every engine.
+func (network *Network) sendEngineStates(host *Host) {
 	for _, other := range network.hosts() {
 		if other.Dead {
 			continue
--- a/internal/decide/nodetest/steps.go
+++ b/internal/decide/nodetest/steps.go
@@ -19,8 +19,8 @@
 	PerAdapter clock.Millis
 }
 
-// span returns how long a step of the batch takes.
-func (options StepOptions) span(runs, adapters int) clock.Millis {
+// stepDuration returns how long a step of the batch takes.
+func (options StepOptions) stepDuration(runs, adapters int) clock.Millis {
 	return options.Base + options.PerRun*clock.Millis(runs) + options.PerAdapter*clock.Millis(adapters)
 }
 
@@ -34,8 +34,8 @@
 	return tokens
 }
 
-// join adds a run to the batch and starts stepping if the engine was idle.
-func (engine *Engine) join(joined *run) {
+// addToBatch adds a run to the batch and starts stepping if the engine was idle.
+func (engine *Engine) addToBatch(joined *run) {
 	engine.batch = append(engine.batch, joined)
 	if !engine.stepping {
 		engine.stepping = true
@@ -57,12 +57,12 @@
 	engine.network.options.Observer.stepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
 	stepped := append([]*run(nil), engine.batch...)
 	boots := engine.boots
-	engine.network.after(engine.options.Step.span(len(stepped), len(adapters)), func() {
+	engine.network.after(engine.options.Step.stepDuration(len(stepped), len(adapters)), func() {
 		if engine.boots != boots {
 			return
 		}
 		for _, running := range stepped {
-			engine.token(running)
+			engine.generateToken(running)
 		}
 		engine.step()
 	})
@@ -79,20 +79,20 @@
 	engine.batch = kept
 }
 
-// token gives a run one token; the last one ends it.
-func (engine *Engine) token(running *run) {
+// generateToken gives a run one token; the last one ends it.
+func (engine *Engine) generateToken(running *run) {
 	if running.ended {
 		return
 	}
-	running.tokens--
-	if running.tokens <= 0 {
+	running.tokensLeft--
+	if running.tokensLeft <= 0 {
 		running.ended = true
-		engine.wake(running)
+		engine.notifyWaiters(running)
 	}
 }
 
-// wake tells those who await a run that it has ended.
-func (engine *Engine) wake(ended *run) {
+// notifyWaiters tells those who await a run that it has ended.
+func (engine *Engine) notifyWaiters(ended *run) {
 	waiters := ended.waiters
 	ended.waiters = nil
 	for _, waiter := range waiters {
--- a/internal/decide/nodetest/timeline.go
+++ b/internal/decide/nodetest/timeline.go
@@ -8,34 +8,34 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// happening is something that takes place at a point in virtual time.
-type happening struct {
+// scheduledEvent is something that takes place at a point in virtual time.
+type scheduledEvent struct {
 	at    clock.Millis
 	order uint64 // breaks ties
-	do    func()
+	run    func()
 }
 
-// timeline is a heap of happenings, earliest first.
-type timeline []happening
+// eventQueue is a heap of happenings, earliest first.
+type eventQueue []scheduledEvent
 
-func (timeline timeline) Len() int { return len(timeline) }
+func (eventQueue eventQueue) Len() int { return len(eventQueue) }
 
-func (timeline timeline) Less(i, j int) bool {
-	if timeline[i].at != timeline[j].at {
-		return timeline[i].at < timeline[j].at
+func (eventQueue eventQueue) Less(i, j int) bool {
+	if eventQueue[i].at != eventQueue[j].at {
+		return eventQueue[i].at < eventQueue[j].at
 	}
-	return timeline[i].order < timeline[j].order
+	return eventQueue[i].order < eventQueue[j].order
 }
 
-func (timeline timeline) Swap(i, j int) { timeline[i], timeline[j] = timeline[j], timeline[i] }
+func (eventQueue eventQueue) Swap(i, j int) { eventQueue[i], eventQueue[j] = eventQueue[j], eventQueue[i] }
 
-func (timeline *timeline) Push(added any) { *timeline = append(*timeline, added.(happening)) }
+func (eventQueue *eventQueue) Push(added any) { *eventQueue = append(*eventQueue, added.(scheduledEvent)) }
 
-func (timeline *timeline) Pop() any {
-	last := len(*timeline) - 1
-	taken := (*timeline)[last]
-	(*timeline)[last] = happening{}
-	*timeline = (*timeline)[:last]
+func (eventQueue *eventQueue) Pop() any {
+	last := len(*eventQueue) - 1
+	taken := (*eventQueue)[last]
+	(*eventQueue)[last] = scheduledEvent{}
+	*eventQueue = (*eventQueue)[:last]
 	return taken
 }
 
