--- a/internal/decide/effect/configuration.go
+++ b/internal/decide/effect/configuration.go
@@ -5,8 +5,8 @@
 	"teaselmoor/internal/control/config"
 )
 
-// WatchConfig reads the manifest from the configuration service, waiting up to
-// a span for a value above After.
+// WatchConfig reads the manifest from the configuration service. It waits up to
+// Wait for a version above After.
 type WatchConfig struct {
 	// After is a version of the service's value, not of the configuration.
 	After uint64
@@ -16,8 +16,8 @@
 // ReadConfigPart reads one part from the configuration service.
 type ReadConfigPart struct{ Name string }
 
-// AssembleConfig joins, validates and compiles a configuration. It takes long
-// at full size, so the runtime does it outside the node's lock.
+// AssembleConfig joins, validates and compiles a configuration. This is slow for a
+// full-size configuration, so the runtime does it without holding the node's lock.
 type AssembleConfig struct {
 	Mark     config.Mark
 	Manifest config.Manifest
--- a/internal/decide/effect/effect.go
+++ b/internal/decide/effect/effect.go
@@ -1,6 +1,6 @@
-// Package effect defines what decision machines ask the runtime to do, and the
-// audit events that they report. A machine returns effects in order and does
-// none of them itself.
+// Package effect defines the effects that the decision state machines ask the
+// runtime to carry out, and the audit events that they report. A state machine
+// returns effects in order and carries out none of them itself.
 package effect
 
 import (
@@ -10,25 +10,26 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Effect is one thing for the runtime to carry out.
+// Effect is an action for the runtime to carry out.
 type Effect interface{ effect() }
 
-// Send sends a message to a daemon; to itself it is delivered without a connection.
+// Send sends a message to a daemon. A message to the daemon itself is delivered
+// without a connection.
 type Send struct {
 	To      ident.DaemonID
 	Message message.Message
 }
 
-// Answer ends a caller's request. The runtime delivers it at once.
+// Answer ends a caller's request. The runtime sends the answer at once.
 type Answer struct {
 	Stream  ident.StreamID
 	Outcome outcome.Outcome
 	Record  outcome.Record
-	// Stored replaces the stream's own content, for a repeated idempotency key.
+	// Stored replaces the stream's own content when an idempotency key is repeated.
 	Stored *message.StoredAnswer
 }
 
-// Open lets the answer of an attempt through to the caller.
+// Open starts to forward the answer of an attempt to the caller.
 type Open struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
@@ -37,13 +38,14 @@
 	ContentType string
 }
 
-// Rebind tells the runtime that a request goes on under another attempt.
+// Rebind informs the runtime that a request continues under the stream id of
+// another attempt.
 type Rebind struct {
 	From ident.StreamID
 	To   ident.StreamID
 }
 
-// StartRun sends a run to an engine and pipes its chunks to the entry.
+// StartRun sends a run to an engine and relays its chunks to the entry.
 type StartRun struct {
 	Stream   ident.StreamID
 	Engine   ident.EngineID
@@ -52,7 +54,8 @@
 	Request  message.Request
 	Resume   bool
 	Received uint64
-	// Until is when the leave to begin this run ends; a resume has no such end.
+	// Until is the time after which the run must not be started. It is not set for
+	// a resume.
 	Until clock.Millis
 }
 
@@ -68,7 +71,7 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is when the leave to give this order ends.
+	// Until is the time after which the order must not be given.
 	Until clock.Millis
 }
 
@@ -77,7 +80,7 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is when the leave to give this order ends.
+	// Until is the time after which the order must not be given.
 	Until clock.Millis
 }
 
@@ -85,21 +88,22 @@
 type ReadEngine struct {
 	Engine ident.EngineID
 	Fence  ident.Fence
-	// At is when the report was asked for; its event carries it back.
+	// At is when the report was asked for. The EngineReported event returns it as
+	// AskedAt.
 	At clock.Millis
 }
 
-// ReadVMs asks for the VM list at once.
+// ReadVMs asks for a reading of the VM list without delay.
 type ReadVMs struct{}
 
-// CallService sends a request to a plain service.
+// CallService sends a request to a service that is not a model engine.
 type CallService struct {
 	Stream  ident.StreamID
 	Service string
 	Address string
 }
 
-// Audit reports a change, with its cause.
+// Audit reports a change and its cause.
 type Audit struct {
 	At     clock.Millis
 	Kind   AuditKind
@@ -109,10 +113,10 @@
 	After  string
 }
 
-// AuditKind names what changed.
+// AuditKind names the kind of a change.
 type AuditKind string
 
-// Kinds of audited change.
+// Kinds of audited changes.
 const (
 	ConfigAccepted    AuditKind = "ConfigAccepted"
 	ConfigRefused     AuditKind = "ConfigRefused"
--- a/internal/decide/message/configuration.go
+++ b/internal/decide/message/configuration.go
@@ -2,21 +2,21 @@
 
 import "teaselmoor/internal/control/config"
 
-// ConfigOffer tells a daemon which configuration the sender has accepted.
+// ConfigOffer announces which configuration the sender has accepted.
 type ConfigOffer struct {
-	// Mark is the zero value while the sender has accepted none.
+	// Mark is the zero value if the sender has not accepted any configuration.
 	Mark config.Mark
-	// Contact says that the sender watches the configuration service and that
-	// its last call did not fail.
+	// Contact is set if the sender watches the configuration service and its last
+	// call succeeded.
 	Contact bool
-	// Reply says that this answers an offer; a reply is never answered.
+	// Reply is set if the message answers another offer; a reply is never answered.
 	Reply bool
 }
 
 // ConfigFetch asks for one part of an offered configuration.
 type ConfigFetch struct {
 	Mark config.Mark
-	// Part is the part's name; empty asks for the manifest.
+	// Part is the name of the part; empty asks for the manifest.
 	Part string
 }
 
@@ -25,11 +25,11 @@
 	Mark config.Mark
 	Part string
 	Body []byte
-	// Missing says that the sender no longer holds it.
+	// Missing is set if the sender no longer has the part.
 	Missing bool
 }
 
-// Lane implementations.
+// Lane implementations of the configuration messages.
 func (offer ConfigOffer) Lane() Lane { return ControlLane }
 func (fetch ConfigFetch) Lane() Lane { return ControlLane }
 func (part ConfigPart) Lane() Lane   { return ControlLane }
--- a/internal/decide/message/home.go
+++ b/internal/decide/message/home.go
@@ -7,12 +7,12 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// HomeBegin asks the home of an idempotency key for leave to run. The entry
-// repeats it until it has a verdict.
+// HomeBegin asks the home of an idempotency key for permission to run the request.
+// The entry repeats it until a HomeVerdict arrives.
 type HomeBegin struct {
 	Key    string
 	Caller string
-	// Region is the caller's region, empty when the configuration names none.
+	// Region is the caller's region; empty if the configuration names none.
 	Region     string
 	BodyHash   string
 	Stream     ident.StreamID
@@ -21,16 +21,16 @@
 	EntryClass config.Class
 }
 
-// HomeVerdict is the home's answer.
+// HomeVerdict answers a HomeBegin.
 type HomeVerdict struct {
 	Key     string
 	Stream  ident.StreamID
 	Granted bool
-	// Copied says that a second daemon holds the record of a granted attempt.
+	// Copied is set if a second daemon holds the record of the granted attempt.
 	Copied bool
-	// Outcome is what the caller is told when leave was not granted.
+	// Outcome is the outcome for the caller if the request was not granted.
 	Outcome outcome.Outcome
-	// Stored is the body of the first attempt's answer, when there is one.
+	// Stored is the body of the first attempt's answer, if there is one.
 	Stored *StoredAnswer
 }
 
@@ -41,8 +41,8 @@
 	Body        []byte
 }
 
-// HomeFinish records the outcome of a granted attempt. The entry repeats it
-// until HomeFinished arrives.
+// HomeFinish records the outcome of a granted attempt. The entry repeats it until a
+// HomeFinished arrives.
 type HomeFinish struct {
 	Key     string
 	Stream  ident.StreamID
@@ -56,7 +56,7 @@
 	Stream ident.StreamID
 }
 
-// HomeCopy hands a record to the daemon that would be home next.
+// HomeCopy replicates a record to the daemon that would be the next home.
 type HomeCopy struct {
 	From     ident.DaemonID
 	Key      string
@@ -77,13 +77,13 @@
 	Finished bool
 }
 
-// HomeForget withdraws the copy of a record whose attempt did not run.
+// HomeForget deletes the copy of a record whose attempt did not run.
 type HomeForget struct {
 	Key    string
 	Stream ident.StreamID
 }
 
-// Lane implementations.
+// Lane implementations of the messages about idempotency keys.
 func (begin HomeBegin) Lane() Lane       { return ControlLane }
 func (verdict HomeVerdict) Lane() Lane   { return ControlLane }
 func (finish HomeFinish) Lane() Lane     { return ControlLane }
--- a/internal/decide/message/membership.go
+++ b/internal/decide/message/membership.go
@@ -6,48 +6,49 @@
 	"teaselmoor/internal/control/config"
 )
 
-// Update is what a daemon tells the daemons of its region at intervals: that it
-// lives, what it has accepted, and what is new at the engines that it owns. An
-// engine that it lists is also a claim under the number given.
+// Update is sent to the daemons of the region at intervals. It shows that the
+// sender is alive and what it has accepted, and carries the changes of the engines
+// that it owns. Listing an engine also claims it under the given fencing number.
 type Update struct {
 	_           struct{} `cbor:",toarray"`
 	From        ident.DaemonID
 	Incarnation ident.Incarnation
-	// SentAt is the sender's wall clock.
+	// SentAt is the sender's wall-clock time.
 	SentAt        clock.Millis
 	ConfigVersion uint64
 	Leaving       bool
-	// Relay asks the receiver to pass the update on within its data centre.
+	// Relay asks the receiver to forward the update within its data centre.
 	Relay bool
-	// Full says that every engine owned is listed, with its detail.
+	// Full is set if every owned engine is listed with its detail.
 	Full bool
-	// Digest sums up all engines owned, so that a receiver notices what it missed.
+	// Digest covers all owned engines, so that a receiver detects missed updates.
 	Digest  uint64
 	Engines []EngineNews
-	// Departing names engines that the sender itself has read to be leaving.
+	// Departing lists engines that are leaving according to what the sender itself
+	// has read.
 	Departing []ident.EngineID
 }
 
-// EngineNews is what is new at one engine.
+// EngineNews is the changed state of one engine.
 type EngineNews struct {
 	_       struct{} `cbor:",toarray"`
 	Engine  ident.EngineID
 	Fence   ident.Fence
 	Version uint64
-	// Residency rises with every change of what is loaded or wanted.
+	// Residency increases with every change of the resident or wanted adapters.
 	Residency    uint64
 	Queued       int
 	Running      int
 	LoadsWaiting int
-	// Spare is as in EngineState; its slow decay alone is no news.
+	// Spare is as in EngineState. Its slow decay alone does not cause an update.
 	Spare     float64
 	ReportAge clock.Millis
 	Flags     NewsFlags
-	// Detail is left out while Residency is as in the update before.
+	// Detail is omitted if Residency is the same as in the previous update.
 	Detail *EngineDetail
 }
 
-// NewsFlags are yes-or-no facts on an engine.
+// NewsFlags are boolean properties of an engine.
 type NewsFlags uint8
 
 // Flags of EngineNews.
@@ -56,7 +57,7 @@
 	NewsLeaving
 )
 
-// EngineDetail is what seldom changes at an engine.
+// EngineDetail is the state of an engine that changes rarely.
 type EngineDetail struct {
 	_        struct{} `cbor:",toarray"`
 	Resident []ident.Adapter
@@ -64,14 +65,14 @@
 	Boot     ident.BootID
 }
 
-// UpdateAsk asks a daemon for a full update, after a gap.
+// UpdateAsk asks a daemon for a full update after missed ones.
 type UpdateAsk struct {
 	_    struct{} `cbor:",toarray"`
 	From ident.DaemonID
 }
 
-// Outbid tells a daemon that claims an engine of a claim with a higher number,
-// which it may have missed.
+// Outbid informs a daemon that claims an engine of a claim with a higher fencing
+// number that it may have missed.
 type Outbid struct {
 	_           struct{} `cbor:",toarray"`
 	Engine      ident.EngineID
@@ -80,25 +81,25 @@
 	Fence       ident.Fence
 }
 
-// HandoverAsk asks an owner to pass an engine on: the sender has read a list
+// HandoverAsk asks an owner to hand over an engine. The sender has read a VM list
 // that makes it the first candidate.
 type HandoverAsk struct {
 	_      struct{} `cbor:",toarray"`
 	Engine ident.EngineID
 }
 
-// Handover passes an engine on: the sender gives it no more orders.
+// Handover hands over an engine. The sender gives it no more orders.
 type Handover struct {
 	Engine ident.EngineID
 	Fence  ident.Fence
-	// SentAt is the former owner's wall clock.
+	// SentAt is the former owner's wall-clock time.
 	SentAt clock.Millis
 	Runs   []HandedRun
-	// Owner is the former owner, when another daemon passes its handover on.
+	// Owner is the former owner if another daemon forwards the handover.
 	Owner ident.DaemonID
 }
 
-// Moved tells an entry that its waiting request went on to another owner.
+// Moved informs an entry that its waiting request was forwarded to another owner.
 type Moved struct {
 	_      struct{} `cbor:",toarray"`
 	Stream ident.StreamID
@@ -106,8 +107,8 @@
 	Owner  ident.DaemonID
 }
 
-// HandedRun is an unfinished run, whose adapter stays pinned. The sender goes on
-// relaying its answer.
+// HandedRun is an unfinished run. Its adapter stays pinned, and the former owner
+// continues to relay its answer.
 type HandedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Stream  ident.StreamID
@@ -115,7 +116,7 @@
 	Adapter ident.Adapter
 }
 
-// Lane implementations.
+// Lane implementations of the membership and ownership messages.
 func (update Update) Lane() Lane     { return ControlLane }
 func (ask UpdateAsk) Lane() Lane     { return ControlLane }
 func (ask HandoverAsk) Lane() Lane   { return ControlLane }
--- a/internal/decide/message/message.go
+++ b/internal/decide/message/message.go
@@ -1,5 +1,5 @@
-// Package message defines what daemons tell each other. The types are plain
-// data; package link gives them their encoded form and carries them.
+// Package message defines the messages between daemons. The types are plain data;
+// package link encodes and transports them.
 package message
 
 import (
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Lane is the connection that a message travels on. Lanes never share a queue.
+// Lane is the connection that carries a message. Lanes have separate queues.
 type Lane uint8
 
 // Lanes of a connection set.
@@ -21,7 +21,7 @@
 	LaneCount
 )
 
-// LaneOf returns the lane that carries requests of a class.
+// LaneOf returns the lane for requests of a class.
 func LaneOf(class config.Class) Lane {
 	if class == config.Urgent {
 		return UrgentLane
@@ -29,13 +29,13 @@
 	return RoutineLane
 }
 
-// Message is one typed message between daemons.
+// Message is a message between daemons.
 type Message interface {
-	// Lane says which connection carries the message.
+	// Lane returns the connection that carries the message.
 	Lane() Lane
 }
 
-// Request is what a daemon needs to run a model request for another.
+// Request is what a daemon needs to run a model request for another daemon.
 type Request struct {
 	ID         string
 	Caller     string
@@ -44,7 +44,7 @@
 	Repeatable bool
 	// Path is the engine's API path, for example /v1/completions.
 	Path string
-	// Streaming says that the caller asked for server-sent events.
+	// Streaming is set if the caller asked for server-sent events.
 	Streaming bool
 	Body      []byte
 }
@@ -54,52 +54,53 @@
 	Stream  ident.StreamID
 	Engine  ident.EngineID
 	Request Request
-	// Budget is the span left until the answer must begin. A span, because
-	// daemons' clocks differ.
+	// Budget is the time left until the answer must begin. It is relative, because
+	// the daemons' clocks differ.
 	Budget clock.Millis
 	// Resume asks for the rest of a run that the engine may already have.
 	Resume bool
-	// Received is the number of chunks of the run already delivered.
+	// Received is the number of chunks of the run already received.
 	Received uint64
-	// PriorFence and PriorBoot are the owner's number and the engine's boot id
-	// when the entry first handed the attempt on; a resumed attempt that the
-	// engine does not know is judged by them.
+	// PriorFence and PriorBoot are the owner's fencing number and the engine's boot
+	// id when the entry first submitted the attempt. They decide the outcome of a
+	// resumed attempt that the engine does not know.
 	PriorFence ident.Fence
 	PriorBoot  ident.BootID
-	// Entry is set when an owner passes a waiting request on to the next one.
+	// Entry is the request's entry; it is set if an owner forwards a waiting
+	// request to the next owner.
 	Entry ident.DaemonID
-	// Hops counts how often the request was passed on.
+	// Hops is the number of times that the request was forwarded.
 	Hops int
 }
 
-// Dispatched tells the entry that the engine has been sent the run.
+// Dispatched informs the entry that the run was sent to the engine.
 type Dispatched struct {
 	Stream ident.StreamID
 	Class  config.Class
 	Fence  ident.Fence
 }
 
-// Ended tells the entry how an attempt ended.
+// Ended informs the entry how an attempt ended.
 type Ended struct {
 	Stream  ident.StreamID
 	Class   config.Class
 	Outcome outcome.Outcome
-	// Dispatched tells whether the engine may have received the run.
+	// Dispatched is set if the engine may have received the run.
 	Dispatched bool
-	// Chunks is the number of chunks sent in all, to detect a gap.
+	// Chunks is the number of chunks sent, so that the entry detects missing ones.
 	Chunks uint64
-	// Owner is the engine's present owner where a daemon that is not knows it.
+	// Owner is the engine's current owner, if the sender is not and knows it.
 	Owner ident.DaemonID
 }
 
-// Cancel asks the owner to give up an attempt.
+// Cancel asks the owner to cancel an attempt.
 type Cancel struct {
 	Stream ident.StreamID
 	Engine ident.EngineID
 	Class  config.Class
 }
 
-// LoadAsk asks the broker of a weight store for leave to load.
+// LoadAsk asks the broker of a weight store for permission to load an adapter.
 type LoadAsk struct {
 	Store    string
 	Engine   ident.EngineID
@@ -110,37 +111,37 @@
 	Withdraw bool
 }
 
-// LoadGrant gives leave to load once, until the lease ends.
+// LoadGrant permits one load until the lease ends.
 type LoadGrant struct {
 	Store   string
 	Engine  ident.EngineID
 	Adapter ident.Adapter
-	Lease   clock.Millis // span
+	Lease   clock.Millis // duration
 }
 
-// LoadVerdict is the broker's answer to an ask.
+// LoadVerdict is the broker's answer to a LoadAsk.
 type LoadVerdict struct {
 	Store   string
 	Engine  ident.EngineID
 	Adapter ident.Adapter
-	// Refused says that the load cannot end within its budget.
+	// Refused is set if the load cannot end within its budget.
 	Refused bool
-	// Wait is the span until the load ends; of a refused one, the span until the
-	// loads that wait now are done.
+	// Wait is the expected time until the load ends, or for a refused load until
+	// all loads that wait now have ended.
 	Wait clock.Millis
 }
 
-// LoadDone gives a lease back.
+// LoadDone returns a lease.
 type LoadDone struct {
 	Store   string
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Failed  bool
-	// Unused says that no load was begun.
+	// Unused is set if no load was started.
 	Unused bool
 }
 
-// Heartbeat shows that a daemon lives, and what it has accepted.
+// Heartbeat shows that a daemon is alive and what it has accepted.
 type Heartbeat struct {
 	From          ident.DaemonID
 	Incarnation   ident.Incarnation
@@ -148,33 +149,33 @@
 	Leaving       bool
 }
 
-// EngineState is an owner's word on one of its engines, for placement.
+// EngineState is an owner's report on one of its engines, used for placement.
 type EngineState struct {
 	Engine  ident.EngineID
 	Owner   ident.DaemonID
 	Fence   ident.Fence
-	Version uint64 // rises with every change at this owner
+	Version uint64 // increases with every change at this owner
 	// Resident lists adapters that are loaded or being loaded.
 	Resident []ident.Adapter
-	// Wanted lists adapters that requests wait for and no slot holds.
+	// Wanted lists adapters that requests wait for and that are in no slot.
 	Wanted []ident.Adapter
-	// Spare is the number of requests that asked lately for the adapter that the
-	// engine would evict next: 0 with an empty slot.
+	// Spare is the number of recent requests for the adapter that the engine would
+	// evict next; 0 if a slot is empty.
 	Spare   float64
 	Queued  int
 	Running int
-	// LoadsWaiting is the number of loads not begun yet.
+	// LoadsWaiting is the number of loads that have not started.
 	LoadsWaiting int
-	// Reported is the age of the engine's own report when this was sent.
+	// ReportAge is the age of the engine's own report when this message was sent.
 	ReportAge   clock.Millis
 	Quarantined bool
-	// Leaving says that the engine gets no new work.
+	// Leaving is set if the engine gets no new work.
 	Leaving bool
 	// Boot is the engine's boot id in the owner's last report.
 	Boot ident.BootID
 }
 
-// Lane implementations.
+// Lane implementations of the request, load and engine state messages.
 func (submit Submit) Lane() Lane         { return LaneOf(submit.Request.Class) }
 func (dispatched Dispatched) Lane() Lane { return LaneOf(dispatched.Class) }
 func (ended Ended) Lane() Lane           { return LaneOf(ended.Class) }
