--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -20,9 +20,9 @@
 	ServiceUp ServiceMode = iota
 	// ServiceDown: every call fails.
 	ServiceDown
-	// ServiceStale: values published since stay hidden.
+	// ServiceStale: calls return the stale values; later publications are hidden.
 	ServiceStale
-	// ServiceFlapping: calls show the present and the stale values in turn.
+	// ServiceFlapping: calls alternate between the current and the stale values.
 	ServiceFlapping
 )
 
@@ -34,17 +34,18 @@
 	Calls int
 	// Unreachable lists the daemons whose calls fail.
 	Unreachable map[ident.DaemonID]bool
-	// Corrupt, when set, alters the values that are read.
+	// Corrupt, if set, alters the values that are read.
 	Corrupt func(key string, body []byte) []byte
 
-	network *Network
-	mode    ServiceMode
-	values  map[string]serviceValue
-	staleValues     map[string]serviceValue
+	network        *Network
+	mode           ServiceMode
+	values         map[string]serviceValue
+	staleValues    map[string]serviceValue
 	pendingWatches []*pendingWatch
-	// staleValuesFixed says that old does not change any more.
+	// staleValuesFixed is set once staleValues no longer changes.
 	staleValuesFixed bool
-	// assembled caches assemblies, which depend on the mark alone.
+	// assembled caches assembled configurations by mark; the result depends only on
+	// it.
 	assembled map[config.Mark]node.ConfigAssembled
 }
 
@@ -54,10 +55,10 @@
 }
 
 type pendingWatch struct {
-	host  *Host
-	generation  uint64
-	after uint64
-	done  bool
+	host       *Host
+	generation uint64
+	after      uint64
+	done       bool
 }
 
 func newConfigService(network *Network) *ConfigService {
@@ -68,7 +69,8 @@
 	}
 }
 
-// Publish publishes a configuration as operators do: parts first.
+// Publish publishes a configuration as operators do: parts first, then the
+// manifest.
 func (service *ConfigService) Publish(published config.Config) error {
 	manifest, parts, err := config.Pack(published)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// PutManifest publishes the text of a manifest, right or wrong.
+// PutManifest publishes a manifest, valid or not.
 func (service *ConfigService) PutManifest(text []byte) {
 	service.Put(manifestKey, text)
 }
@@ -100,14 +102,14 @@
 	service.answerWatches()
 }
 
-// Remember makes the values of this moment the stale ones, for good.
+// Remember makes the current values the stale ones permanently.
 func (service *ConfigService) Remember() {
 	service.staleValues = maps.Clone(service.values)
 	service.staleValuesFixed = true
 }
 
-// SetMode changes how the service behaves; the values of this moment become
-// the stale ones when it was up, unless others are remembered.
+// SetMode changes how the service behaves. If the service was up, the current
+// values become the stale ones, unless Remember has fixed others.
 func (service *ConfigService) SetMode(mode ServiceMode) {
 	if service.mode == ServiceUp && !service.staleValuesFixed {
 		service.staleValues = maps.Clone(service.values)
@@ -132,18 +134,18 @@
 	return service.mode != ServiceDown && !service.Unreachable[host.Name]
 }
 
-// answerWatches answers the waiting watches that have something to see.
+// answerWatches answers the pending watches that have a result.
 func (service *ConfigService) answerWatches() {
-	waiting := service.pendingWatches
+	watches := service.pendingWatches
 	service.pendingWatches = nil
-	for _, watch := range waiting {
+	for _, watch := range watches {
 		if !watch.done && !service.tryWatch(watch) {
 			service.pendingWatches = append(service.pendingWatches, watch)
 		}
 	}
 }
 
-// tryWatch answers a watch, unless there is nothing new to see.
+// tryWatch answers a watch if there is a new version or the service is down.
 func (service *ConfigService) tryWatch(watch *pendingWatch) bool {
 	value, found := service.visibleValue(manifestKey)
 	switch {
@@ -170,15 +172,15 @@
 	})
 }
 
-func (service *ConfigService) watch(host *Host, asked effect.WatchConfig) {
-	watch := &pendingWatch{host: host, generation: host.generation, after: asked.After}
+func (service *ConfigService) watch(host *Host, effect effect.WatchConfig) {
+	watch := &pendingWatch{host: host, generation: host.generation, after: effect.After}
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
 		if service.tryWatch(watch) {
 			return
 		}
 		service.pendingWatches = append(service.pendingWatches, watch)
-		service.network.after(asked.Wait, func() {
+		service.network.after(effect.Wait, func() {
 			if !watch.done {
 				service.endWatch(watch, rollout.WatchResult{})
 			}
@@ -197,26 +199,27 @@
 	})
 }
 
-// assemblyDuration is the time that a daemon takes to assemble a configuration of
-// full size, rounded up from the benchmark.
+// assemblyDuration is how long a daemon takes to assemble a configuration of full
+// size, rounded up from the benchmark.
 const assemblyDuration = 400 * clock.Millisecond
 
 func (service *ConfigService) assemble(host *Host, order effect.AssembleConfig) {
-	known, found := service.assembled[order.Mark]
+	assembled, found := service.assembled[order.Mark]
 	if !found {
-		known = node.Assemble(order)
-		service.assembled[order.Mark] = known
+		assembled = node.Assemble(order)
+		service.assembled[order.Mark] = assembled
 	}
 	life := host.generation
 	service.network.after(assemblyDuration, func() {
 		if host.generation == life {
-			service.network.Feed(host, known)
+			service.network.Feed(host, assembled)
 		}
 	})
 }
 
-// performConfigEffect carries out what concerns the configuration service. Networks
-// whose daemons were handed their configuration have no service to call.
+// performConfigEffect carries out the effects that use the configuration service.
+// Daemons that were given their configuration at the start do not watch the
+// service.
 func (network *Network) performConfigEffect(host *Host, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.WatchConfig:
@@ -230,8 +233,8 @@
 	}
 }
 
-// InForce returns the versions in force and the number of live daemons that
-// have each; daemons without a configuration count under 0.
+// InForce returns the number of live daemons per version in force; daemons without
+// a configuration count under 0.
 func (network *Network) InForce() map[uint64]int {
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
@@ -249,7 +252,8 @@
 	return host.Node.Config().Version()
 }
 
-// Everywhere reports whether every live daemon that is not paused has a version in force.
+// Everywhere reports whether every live daemon that is not paused has the version
+// in force.
 func (network *Network) Everywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
 		return !host.Dead && !host.Paused && versionInForce(host) != wanted
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -14,9 +14,10 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// EngineOptions describe the fake engines and the weight store behind them.
+// EngineOptions describe the fake engines and the weight store that they load from.
 type EngineOptions struct {
-	// RunSpan is how long a run takes; LoadSpan how long the store takes for a load.
+	// RunSpan is how long a run takes; LoadSpan is how long the store takes for a
+	// load.
 	RunSpan  clock.Millis
 	LoadSpan clock.Millis
 	// ReportLag is the age of a state report.
@@ -27,11 +28,12 @@
 	Step StepOptions
 }
 
-// Engine is a fake model engine. Its ledger and violations are the judge.
+// Engine is a fake model engine. Tests check its runs and violations.
 type Engine struct {
-	// Ran counts the runs begun, by request id.
+	// Ran counts the runs started, by request id.
 	Ran map[string]int
-	// Violations lists orders that broke a promise, such as an unload in use.
+	// Violations lists orders that broke a guarantee, such as an unload of an
+	// adapter in use.
 	Violations []string
 
 	network *Network
@@ -52,9 +54,9 @@
 	request   string
 	ended     bool
 	cancelled bool
-	// tokensLeft is the number of steps left, with batching.
+	// tokensLeft is the number of remaining steps; used with batching.
 	tokensLeft int
-	// waiters are called at the end, with batching.
+	// waiters are called when the run ends; used with batching.
 	waiters []func()
 }
 
@@ -63,7 +65,7 @@
 	report owner.Report
 }
 
-// store serves loads one after the other.
+// store serves one load at a time.
 type store struct {
 	freeAt clock.Millis
 	loads  int
@@ -80,17 +82,17 @@
 	engine.options.RunSpan = span
 }
 
-// Restart voids slots and runs, as a cold start does.
+// Restart discards slots and runs, as a cold start does.
 func (engine *Engine) Restart() {
-	lost := engine.runs
+	lostRuns := engine.runs
 	engine.boots++
 	engine.loaded = map[ident.Adapter]bool{}
 	engine.runs = map[ident.StreamID]*run{}
 	engine.reports = nil
 	engine.batch = nil
 	engine.stepping = false
-	for _, stream := range slices.SortedFunc(maps.Keys(lost), ident.StreamID.Compare) {
-		engine.notifyWaiters(lost[stream])
+	for _, stream := range slices.SortedFunc(maps.Keys(lostRuns), ident.StreamID.Compare) {
+		engine.notifyWaiters(lostRuns[stream])
 	}
 }
 
@@ -98,7 +100,8 @@
 	return ident.BootID(fmt.Sprintf("%s-%d", engine.config.Name, engine.boots))
 }
 
-// rejectsFence takes in an order's fencing number and reports whether it is refused.
+// rejectsFence records an order's fencing number and reports whether the engine
+// rejects it.
 func (engine *Engine) rejectsFence(fence ident.Fence) bool {
 	if fence < engine.fence && engine.config.ChecksFencing {
 		return true
@@ -111,7 +114,7 @@
 	return false
 }
 
-// afterDelay carries an order to the engine after the transit time.
+// afterDelay calls a function after the transit time of an order.
 func (engine *Engine) afterDelay(do func()) {
 	engine.network.after(engine.network.options.Delay, do)
 }
@@ -133,16 +136,16 @@
 
 func (engine *Engine) start(host *Host, start effect.StartRun) {
 	engine.afterDelay(func() {
-		known, found := engine.runs[start.Stream]
+		run, known := engine.runs[start.Stream]
 		switch {
 		case start.Resume && engine.config.ChecksFencing && start.Fence < engine.fence, !start.Resume && engine.rejectsFence(start.Fence):
 			engine.replyRun(host, start.Stream, owner.ResultFenced)
-		case found && known.cancelled:
+		case known && run.cancelled:
 			engine.replyRun(host, start.Stream, owner.ResultCancelled)
-		case found && known.ended:
+		case known && run.ended:
 			engine.replyRun(host, start.Stream, owner.ResultComplete)
-		case found:
-			engine.reportEnd(host, start.Stream, known)
+		case known:
+			engine.reportEnd(host, start.Stream, run)
 		case start.Resume:
 			engine.replyRun(host, start.Stream, owner.ResultUnknownRun)
 		case !engine.loaded[start.Request.Adapter]:
@@ -154,58 +157,58 @@
 }
 
 func (engine *Engine) begin(host *Host, start effect.StartRun) {
-	began := &run{adapter: start.Request.Adapter, request: start.Request.ID}
-	engine.runs[start.Stream] = began
+	run := &run{adapter: start.Request.Adapter, request: start.Request.ID}
+	engine.runs[start.Stream] = run
 	engine.Ran[start.Request.ID]++
 	engine.network.options.Observer.began(engine.network.Now, start.Request.ID, engine.config.Name)
 	if engine.options.Step.Base > 0 {
-		began.tokensLeft = tokensOf(start.Request.Body)
-		engine.reportEnd(host, start.Stream, began)
-		engine.addToBatch(began)
+		run.tokensLeft = tokensOf(start.Request.Body)
+		engine.reportEnd(host, start.Stream, run)
+		engine.addToBatch(run)
 		return
 	}
 	boots := engine.boots
 	engine.network.after(engine.options.RunSpan, func() {
 		if engine.boots == boots {
-			began.ended = true
+			run.ended = true
 		}
 	})
-	engine.reportEnd(host, start.Stream, began)
+	engine.reportEnd(host, start.Stream, run)
 }
 
-// reportEnd tells a host of the end of a run, or of its loss in a restart.
-func (engine *Engine) reportEnd(host *Host, stream ident.StreamID, awaited *run) {
+// reportEnd reports the end of a run to a host, or its loss in a restart.
+func (engine *Engine) reportEnd(host *Host, stream ident.StreamID, run *run) {
 	boots := engine.boots
-	ended := func() {
+	onEnd := func() {
 		switch {
 		case engine.boots != boots:
 			engine.replyRun(host, stream, owner.ResultLost)
-		case awaited.cancelled:
+		case run.cancelled:
 			engine.replyRun(host, stream, owner.ResultCancelled)
 		default:
 			engine.replyRun(host, stream, owner.ResultComplete)
 		}
 	}
 	if engine.options.Step.Base > 0 {
-		awaited.waiters = append(awaited.waiters, ended)
+		run.waiters = append(run.waiters, onEnd)
 		return
 	}
-	engine.network.after(engine.options.RunSpan, ended)
+	engine.network.after(engine.options.RunSpan, onEnd)
 }
 
 func (engine *Engine) cancel(host *Host, cancel effect.CancelRun) {
 	engine.afterDelay(func() {
 		if engine.config.ChecksFencing && engine.rejectsFence(cancel.Fence) {
-			return // no confirmation
+			return // rejected orders are not confirmed
 		}
-		known, found := engine.runs[cancel.Stream]
-		if !found {
-			known = &run{}
-			engine.runs[cancel.Stream] = known
+		target, known := engine.runs[cancel.Stream]
+		if !known {
+			target = &run{}
+			engine.runs[cancel.Stream] = target
 		}
-		known.cancelled = known.cancelled || !known.ended
-		known.ended = true
-		engine.notifyWaiters(known)
+		target.cancelled = target.cancelled || !target.ended
+		target.ended = true
+		engine.notifyWaiters(target)
 		engine.replyRun(host, cancel.Stream, owner.ResultCancelled)
 	})
 }
@@ -246,8 +249,8 @@
 }
 
 func (engine *Engine) checkUnload(host *Host, unload effect.Unload) {
-	for stream, running := range engine.runs {
-		if !running.ended && running.adapter == unload.Adapter {
+	for stream, run := range engine.runs {
+		if !run.ended && run.adapter == unload.Adapter {
 			engine.Violations = append(engine.Violations, fmt.Sprintf(
 				"%s unloaded %s from %s while run %s used it", host.Name, unload.Adapter, engine.config.Name, stream))
 		}
@@ -258,13 +261,13 @@
 	engine.afterDelay(func() {
 		now := engine.network.Now
 		engine.reports = append(engine.reports, timedReport{at: now, report: engine.report()})
-		chosen := 0
+		first := 0
 		for i, report := range engine.reports {
 			if now-report.at >= engine.options.ReportLag {
-				chosen = i
+				first = i
 			}
 		}
-		engine.reports = engine.reports[chosen:]
+		engine.reports = engine.reports[first:]
 		report := engine.reports[0].report
 		report.Age = now - engine.reports[0].at
 		engine.reply(host, node.EngineReported{Engine: engine.config.Name, Report: report, AskedAt: read.At})
@@ -277,8 +280,8 @@
 		return strings.Compare(a.String(), b.String())
 	})
 	for _, stream := range slices.SortedFunc(maps.Keys(engine.runs), ident.StreamID.Compare) {
-		if running := engine.runs[stream]; !running.ended {
-			report.Runs = append(report.Runs, owner.ReportedRun{Run: stream.String(), Adapter: running.adapter})
+		if run := engine.runs[stream]; !run.ended {
+			report.Runs = append(report.Runs, owner.ReportedRun{Run: stream.String(), Adapter: run.adapter})
 		}
 	}
 	return report
--- a/internal/decide/nodetest/history.go
+++ b/internal/decide/nodetest/history.go
@@ -15,24 +15,24 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// CheckHistories checks a property on histories drawn by rapid: a fixed seed and
-// the given count, so that CI repeats itself, unless the flags -rapid.seed and
-// -rapid.checks ask for others.
+// CheckHistories checks a property on histories drawn by rapid. It uses a fixed
+// seed and the given count, so that CI runs are reproducible, unless the flags
+// -rapid.seed and -rapid.checks set others.
 func CheckHistories(t *testing.T, count int, property func(*rapid.T)) {
 	t.Helper()
-	given := map[string]bool{}
-	flag.Visit(func(set *flag.Flag) { given[set.Name] = true })
-	if !given["rapid.checks"] {
+	setFlags := map[string]bool{}
+	flag.Visit(func(flagSet *flag.Flag) { setFlags[flagSet.Name] = true })
+	if !setFlags["rapid.checks"] {
 		setFlag(t, "rapid.checks", strconv.Itoa(count))
 	}
-	if !given["rapid.seed"] {
+	if !setFlags["rapid.seed"] {
 		setFlag(t, "rapid.seed", "1")
 	}
 	rapid.Check(t, property)
 }
 
-// CheckSeeds checks a property on the histories of single seeds: those that have
-// shown a fault.
+// CheckSeeds checks a property on the histories of single seeds that have shown a
+// fault.
 func CheckSeeds(t *testing.T, seeds []uint64, property func(*rapid.T)) {
 	t.Helper()
 	setFlag(t, "rapid.checks", "1")
@@ -42,22 +42,22 @@
 	}
 }
 
-// setFlag sets a flag for the time of one test.
+// setFlag sets a flag for the duration of a test.
 func setFlag(t *testing.T, name, value string) {
 	t.Helper()
-	known := flag.Lookup(name)
-	before := known.Value.String()
-	if err := known.Value.Set(value); err != nil {
+	found := flag.Lookup(name)
+	previous := found.Value.String()
+	if err := found.Value.Set(value); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = known.Value.Set(before) })
+	t.Cleanup(func() { _ = found.Value.Set(previous) })
 }
 
-// Faults draws faults of daemons, their network and their VM list, and heals
-// them in the end.
+// Faults applies randomly drawn faults to daemons, their network and their VM list,
+// and ends them all with Heal.
 type Faults struct {
 	Network *Network
-	// MaxListLag bounds how far a daemon's reading of the VM list lags.
+	// MaxListLag is the maximum lag of a daemon's reading of the VM list.
 	MaxListLag clock.Millis
 	// Drawn counts the faults, by kind.
 	Drawn map[string]int
@@ -71,7 +71,7 @@
 	"duplicate", "list lag", "list down", "leaving", "replace all", "shutdown",
 }
 
-// Draw brings about one fault, or ends one.
+// Draw draws a kind of fault and a daemon, and starts or ends that fault.
 func (faults *Faults) Draw(t *rapid.T) {
 	kind := rapid.SampledFrom(faultKinds).Draw(t, "fault")
 	name := rapid.SampledFrom(faults.Network.HostNames()).Draw(t, "daemon")
@@ -135,7 +135,7 @@
 	faults.Network.Boot(host.VM)
 }
 
-// ReplaceAll kills every daemon and starts as many under other names.
+// ReplaceAll kills every daemon and starts as many under new names.
 func (faults *Faults) ReplaceAll() {
 	network := faults.Network
 	vms := network.VMs()
@@ -158,7 +158,7 @@
 	}
 }
 
-// Heal ends every fault and starts what is dead or leaving anew.
+// Heal ends every fault, restarts the dead daemons and lists all VMs as live.
 func (faults *Faults) Heal() {
 	network := faults.Network
 	clear(network.Blocked)
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -1,7 +1,6 @@
-// Package nodetest drives several nodes of the decision machines in one
-// goroutine on virtual time, joined by a small network and served by fake
-// engines and a fake weight store. It is for tests and replays: everything it
-// does follows from its seed.
+// Package nodetest drives several nodes in one goroutine on virtual time, with a
+// simulated network, fake engines and a fake weight store. It is for tests and
+// replays. Its behaviour is determined by the seed.
 package nodetest
 
 import (
@@ -19,69 +18,70 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Start is the point in virtual time at which every network begins.
+// Start is the virtual time at which every network begins.
 const Start clock.Millis = 1_000_000_000
 
 // Options describe a network.
 type Options struct {
 	Seed uint64
-	// Delay is the span that a message takes; Jitter is added at random.
+	// Delay is the transit time of a message. A random share of Jitter is added.
 	Delay  clock.Millis
 	Jitter clock.Millis
-	// TickInterval is the span between two ticks of a node.
+	// TickInterval is the time between two ticks of a node.
 	TickInterval clock.Millis
 	Config       config.Config
 	VMs          []members.VM
 	Engine       EngineOptions
-	// Published says that daemons learn the configuration from the network's
-	// configuration service; otherwise it is handed to each at its start.
+	// Published is set if daemons read the configuration from the network's
+	// configuration service; otherwise each is given it at its start.
 	Published bool
-	// Node completes the options of each node; identity is set by the network.
+	// Node holds the options of each node; the network sets the identity.
 	Node node.Options
-	// Observer is told what happens.
+	// Observer is notified of events.
 	Observer Observer
-	// Instant gives every daemon the present state of every engine before each
-	// arrival: the perfect knowledge that baselines of a replay have.
+	// Instant gives every daemon the current state of every engine before each
+	// arrival. Baselines of a replay use this perfect knowledge.
 	Instant bool
 }
 
-// Network is a set of nodes with everything around them.
+// Network is a set of nodes with their simulated environment.
 type Network struct {
 	Now     clock.Millis
 	Nodes   map[ident.DaemonID]*Host
 	Engines map[ident.EngineID]*Engine
 	Service *ConfigService
-	// Answers holds what callers were told, by request id.
+	// Answers holds the answers that callers received, by request id.
 	Answers map[string][]effect.Answer
 	// Audits holds every audited change, in order.
 	Audits []effect.Audit
-	// Ledger counts the calls that plain services ran, by stream.
+	// Ledger counts the calls that services ran, by service and request id.
 	Ledger map[string]int
-	// Blocked lists directions in which nothing arrives.
+	// Blocked lists the directions in which all messages are lost.
 	Blocked map[Direction]bool
 	// DropShare is the share of messages that are lost, from 0 to 1.
 	DropShare float64
-	// DuplicateShare is the share of messages that arrive twice, and SlowShare the
-	// share that takes up to SlowSpan longer, overtaken by later ones.
+	// DuplicateShare is the share of messages that arrive twice. SlowShare is the
+	// share that takes up to SlowSpan longer, so that later messages may overtake
+	// them.
 	DuplicateShare float64
 	SlowShare      float64
 	SlowSpan       clock.Millis
-	// ListLag is how old the VM list is that a daemon reads; ListDown lists the
+	// ListLag is the age of the VM list that a daemon reads. ListDown lists the
 	// daemons that cannot read it.
 	ListLag  map[ident.DaemonID]clock.Millis
 	ListDown map[ident.DaemonID]bool
-	// Steps counts the events that nodes have taken in.
+	// Steps counts the events that nodes have processed.
 	Steps int
-	// OnSend sees every message that one daemon sends to another.
+	// OnSend is called for every message that one daemon sends to another.
 	OnSend func(from, to ident.DaemonID, sent message.Message)
 
-	options  Options
-	random   *rand.Rand
-	queue    eventQueue
-	sequence uint64
-	store    store
-	snapshot *config.Snapshot
-	listVersions    []timedList // every version of the VM list, in order
+	options      Options
+	random       *rand.Rand
+	queue        eventQueue
+	sequence     uint64
+	store        store
+	snapshot     *config.Snapshot
+	listVersions []timedList // every version of the VM list, in order
 }
 
 type timedList struct {
@@ -89,24 +89,25 @@
 	list members.List
 }
 
-// Direction is one way between two daemons.
+// Direction is one direction of the connection between two daemons.
 type Direction struct{ From, To ident.DaemonID }
 
-// Host is one daemon's place in the network.
+// Host runs one daemon in the network.
 type Host struct {
 	Name ident.DaemonID
 	Node *node.Node
-	// Paused hosts keep what arrives until they are resumed.
+	// Paused hosts keep arriving events until they are resumed.
 	Paused bool
 	Dead   bool
 	VM     members.VM
 
-	generation    uint64
-	backlog []node.Event
-	streams map[ident.StreamID]string // request ids by present stream
+	generation uint64
+	backlog    []node.Event
+	streams    map[ident.StreamID]string // request ids by current stream
 }
 
-// New returns a network whose nodes have read the configuration and VM list.
+// New returns a network whose nodes have read the VM list and, unless Published is
+// set, the configuration.
 func New(options Options) (*Network, error) {
 	snapshot, err := config.Compile(options.Config)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return network, nil
 }
 
-// Boot starts a daemon that knows nothing, on a VM of the list.
+// Boot starts a daemon without any state on a VM of the list.
 func (network *Network) Boot(vm members.VM) *Host {
 	name := ident.DaemonID(vm.Name)
 	options := network.options.Node
@@ -159,13 +160,13 @@
 	}})
 }
 
-// VMs returns a copy of the VM list as last published.
+// VMs returns a copy of the latest VM list.
 func (network *Network) VMs() []members.VM {
 	return slices.Clone(network.options.VMs)
 }
 
-// SetVMs publishes a VM list. Daemons read it at once, unless their reading lags
-// or fails.
+// SetVMs publishes a VM list. Daemons read it at once, unless their readings lag or
+// fail.
 func (network *Network) SetVMs(vms []members.VM) {
 	network.options.VMs = vms
 	network.publishVMs()
@@ -174,7 +175,7 @@
 	}
 }
 
-// listInterval is the span between two readings of the VM list.
+// listInterval is the time between two readings of the VM list.
 const listInterval = clock.Second
 
 func (network *Network) readLists(host *Host) {
@@ -187,22 +188,22 @@
 	})
 }
 
-// readList lets a daemon read the VM list, as old as its lag makes it. A paused
-// daemon reads nothing.
+// readList makes a daemon read the VM list with its lag. A paused daemon reads
+// nothing.
 func (network *Network) readList(host *Host) {
 	if host.Paused || host.Dead || network.ListDown[host.Name] {
 		return
 	}
-	shown := network.listVersions[0].list
-	for _, version := range network.listVersions {
-		if network.Now-version.at >= network.ListLag[host.Name] {
-			shown = version.list
+	list := network.listVersions[0].list
+	for _, timed := range network.listVersions {
+		if network.Now-timed.at >= network.ListLag[host.Name] {
+			list = timed.list
 		}
 	}
-	network.Feed(host, node.VMListRead{View: members.NewView(shown, network.Now)})
+	network.Feed(host, node.VMListRead{View: members.NewView(list, network.Now)})
 }
 
-// Kill ends a daemon without a word. Its peers notice the lost connections.
+// Kill ends a daemon without notice. Its peers detect the lost connections.
 func (network *Network) Kill(name ident.DaemonID) {
 	network.Nodes[name].Dead = true
 	for _, host := range network.hosts() {
@@ -216,7 +217,7 @@
 	}
 }
 
-// Pause freezes a daemon; Resume lets it go on with what arrived meanwhile.
+// Pause pauses a daemon. It processes what arrived meanwhile after Resume.
 func (network *Network) Pause(name ident.DaemonID) {
 	network.Nodes[name].Paused = true
 }
@@ -244,7 +245,7 @@
 	})
 }
 
-// Arrive brings a caller's request to a daemon.
+// Arrive sends a caller's request to a daemon.
 func (network *Network) Arrive(name ident.DaemonID, arrived node.Arrived) {
 	host := network.Nodes[name]
 	if network.options.Instant {
@@ -255,7 +256,7 @@
 	network.Feed(host, arrived)
 }
 
-// Leave closes the connection of the caller of a request.
+// Leave closes the connection of a request's caller.
 func (network *Network) Leave(host *Host, request string) {
 	for stream, id := range host.streams {
 		if id == request {
@@ -265,7 +266,7 @@
 	}
 }
 
-// Feed steps a node with an event and carries out what follows.
+// Feed passes an event to a node and carries out its effects.
 func (network *Network) Feed(host *Host, event node.Event) {
 	if host.Dead {
 		return
@@ -339,8 +340,8 @@
 	}
 }
 
-// draw draws only for shares above zero, so that a fault that is off does not
-// change what others draw.
+// draw reports true for the given share of calls. It draws no random number for a
+// share of 0, so that a disabled fault does not change the other draws.
 func (network *Network) draw(share float64) bool {
 	return share > 0 && network.random.Float64() < share
 }
@@ -355,33 +356,33 @@
 	return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.options.Jitter)+1))
 }
 
-// Run lets virtual time pass.
+// Run advances the virtual time.
 func (network *Network) Run(span clock.Millis) {
 	end := network.Now + span
 	for len(network.queue) > 0 && network.queue[0].at <= end {
-		next := heap.Pop(&network.queue).(scheduledEvent)
-		network.Now = next.at
-		next.run()
+		event := heap.Pop(&network.queue).(scheduledEvent)
+		network.Now = event.at
+		event.run()
 	}
 	network.Now = end
 }
 
-// RunUntil lets time pass until the condition holds or the span has passed, and
-// reports whether it holds.
+// RunUntil advances the virtual time until the condition holds or the span has
+// passed, and reports whether the condition holds.
 func (network *Network) RunUntil(span clock.Millis, condition func() bool) bool {
 	end := network.Now + span
 	for !condition() {
 		if len(network.queue) == 0 || network.queue[0].at > end {
 			return false
 		}
-		next := heap.Pop(&network.queue).(scheduledEvent)
-		network.Now = next.at
-		next.run()
+		event := heap.Pop(&network.queue).(scheduledEvent)
+		network.Now = event.at
+		event.run()
 	}
 	return true
 }
 
-// After does something once the span has passed.
+// After calls a function once the span has passed.
 func (network *Network) After(span clock.Millis, do func()) {
 	network.after(span, do)
 }
--- a/internal/decide/nodetest/observer.go
+++ b/internal/decide/nodetest/observer.go
@@ -7,18 +7,18 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// Observer is told what happens in a network as it happens. Functions that are
-// not set are not called.
+// Observer is notified of events in a network. Functions that are not set are not
+// called.
 type Observer struct {
-	// Began: an engine began a run of the request.
+	// Began: an engine started a run of the request.
 	Began func(at clock.Millis, request string, engine ident.EngineID)
-	// Answered: a caller was told the end of its request.
+	// Answered: a caller received the outcome of its request.
 	Answered func(at clock.Millis, request string, answer effect.Answer)
 	// Stepped: an engine made one step for a batch of this many runs.
 	Stepped func(engine ident.EngineID, batch, capacity int)
 	// Loaded: a load ended.
 	Loaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool)
-	// Unloaded: an adapter left its slot.
+	// Unloaded: an adapter was removed from its slot.
 	Unloaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter)
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// sendEngineStates gives a daemon the present state of every engine.
+// sendEngineStates gives a daemon the current state of every engine.
 func (network *Network) sendEngineStates(host *Host) {
 	for _, other := range network.hosts() {
 		if other.Dead {
--- a/internal/decide/nodetest/steps.go
+++ b/internal/decide/nodetest/steps.go
@@ -7,13 +7,13 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// StepOptions describe continuous batching: one step gives a token to each run
-// of the batch.
+// StepOptions describe continuous batching: each step produces one token for each
+// run of the batch.
 type StepOptions struct {
-	// Base is the span of a step; 0 leaves batching out, so that every run
-	// takes RunSpan.
+	// Base is the minimum duration of a step; 0 disables batching, so that every
+	// run takes RunSpan.
 	Base clock.Millis
-	// PerRun and PerAdapter lengthen a step for each run and each distinct
+	// PerRun and PerAdapter are added to a step for each run and each distinct
 	// adapter of the batch.
 	PerRun     clock.Millis
 	PerAdapter clock.Millis
@@ -24,8 +24,8 @@
 	return options.Base + options.PerRun*clock.Millis(runs) + options.PerAdapter*clock.Millis(adapters)
 }
 
-// tokensOf reads the length of the answer from a request's body, which holds
-// it as a decimal number.
+// tokensOf returns the length of the answer, which a request's body holds as a
+// decimal number.
 func tokensOf(body []byte) int {
 	tokens, err := strconv.Atoi(string(body))
 	if err != nil || tokens < 1 {
@@ -35,8 +35,8 @@
 }
 
 // addToBatch adds a run to the batch and starts stepping if the engine was idle.
-func (engine *Engine) addToBatch(joined *run) {
-	engine.batch = append(engine.batch, joined)
+func (engine *Engine) addToBatch(run *run) {
+	engine.batch = append(engine.batch, run)
 	if !engine.stepping {
 		engine.stepping = true
 		engine.step()
@@ -51,18 +51,18 @@
 		return
 	}
 	adapters := map[ident.Adapter]bool{}
-	for _, running := range engine.batch {
-		adapters[running.adapter] = true
+	for _, run := range engine.batch {
+		adapters[run.adapter] = true
 	}
 	engine.network.options.Observer.stepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
-	stepped := append([]*run(nil), engine.batch...)
+	batch := append([]*run(nil), engine.batch...)
 	boots := engine.boots
-	engine.network.after(engine.options.Step.stepDuration(len(stepped), len(adapters)), func() {
+	engine.network.after(engine.options.Step.stepDuration(len(batch), len(adapters)), func() {
 		if engine.boots != boots {
 			return
 		}
-		for _, running := range stepped {
-			engine.generateToken(running)
+		for _, run := range batch {
+			engine.generateToken(run)
 		}
 		engine.step()
 	})
@@ -70,31 +70,31 @@
 
 func (engine *Engine) dropEnded() {
 	kept := engine.batch[:0]
-	for _, running := range engine.batch {
-		if !running.ended {
-			kept = append(kept, running)
+	for _, run := range engine.batch {
+		if !run.ended {
+			kept = append(kept, run)
 		}
 	}
 	clear(engine.batch[len(kept):])
 	engine.batch = kept
 }
 
-// generateToken gives a run one token; the last one ends it.
-func (engine *Engine) generateToken(running *run) {
-	if running.ended {
+// generateToken produces one token for a run; the last one ends the run.
+func (engine *Engine) generateToken(run *run) {
+	if run.ended {
 		return
 	}
-	running.tokensLeft--
-	if running.tokensLeft <= 0 {
-		running.ended = true
-		engine.notifyWaiters(running)
+	run.tokensLeft--
+	if run.tokensLeft <= 0 {
+		run.ended = true
+		engine.notifyWaiters(run)
 	}
 }
 
-// notifyWaiters tells those who await a run that it has ended.
-func (engine *Engine) notifyWaiters(ended *run) {
-	waiters := ended.waiters
-	ended.waiters = nil
+// notifyWaiters calls the waiters of a run that has ended.
+func (engine *Engine) notifyWaiters(run *run) {
+	waiters := run.waiters
+	run.waiters = nil
 	for _, waiter := range waiters {
 		waiter()
 	}
--- a/internal/decide/nodetest/timeline.go
+++ b/internal/decide/nodetest/timeline.go
@@ -8,14 +8,14 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// scheduledEvent is something that takes place at a point in virtual time.
+// scheduledEvent is a function to call at a point in virtual time.
 type scheduledEvent struct {
 	at    clock.Millis
 	order uint64 // breaks ties
-	run    func()
+	run   func()
 }
 
-// eventQueue is a heap of happenings, earliest first.
+// eventQueue is a heap of scheduled events, earliest first.
 type eventQueue []scheduledEvent
 
 func (eventQueue eventQueue) Len() int { return len(eventQueue) }
@@ -27,16 +27,20 @@
 	return eventQueue[i].order < eventQueue[j].order
 }
 
-func (eventQueue eventQueue) Swap(i, j int) { eventQueue[i], eventQueue[j] = eventQueue[j], eventQueue[i] }
+func (eventQueue eventQueue) Swap(i, j int) {
+	eventQueue[i], eventQueue[j] = eventQueue[j], eventQueue[i]
+}
 
-func (eventQueue *eventQueue) Push(added any) { *eventQueue = append(*eventQueue, added.(scheduledEvent)) }
+func (eventQueue *eventQueue) Push(event any) {
+	*eventQueue = append(*eventQueue, event.(scheduledEvent))
+}
 
 func (eventQueue *eventQueue) Pop() any {
 	last := len(*eventQueue) - 1
-	taken := (*eventQueue)[last]
+	event := (*eventQueue)[last]
 	(*eventQueue)[last] = scheduledEvent{}
 	*eventQueue = (*eventQueue)[:last]
-	return taken
+	return event
 }
 
 // hosts returns the hosts in a fixed order.
