--- a/internal/decide/message/home.go
+++ b/internal/decide/message/home.go
@@ -8,7 +8,7 @@
 )
 
 // HomeBegin asks the home of an idempotency key for permission to run the request.
-// The entry repeats it until a HomeVerdict arrives.
+// The entry repeats it until the home has answered.
 type HomeBegin struct {
 	Key    string
 	Caller string
@@ -21,7 +21,7 @@
 	EntryClass config.Class
 }
 
-// HomeVerdict answers a HomeBegin.
+// HomeVerdict is the answer to a HomeBegin.
 type HomeVerdict struct {
 	Key     string
 	Stream  ident.StreamID
@@ -84,10 +84,10 @@
 }
 
 // Lane implementations of the messages about idempotency keys.
-func (begin HomeBegin) Lane() Lane       { return ControlLane }
-func (verdict HomeVerdict) Lane() Lane   { return ControlLane }
-func (finish HomeFinish) Lane() Lane     { return ControlLane }
-func (finished HomeFinished) Lane() Lane { return ControlLane }
-func (copied HomeCopy) Lane() Lane       { return ControlLane }
-func (ack HomeCopyAck) Lane() Lane       { return ControlLane }
-func (forget HomeForget) Lane() Lane     { return ControlLane }
+func (begin HomeBegin) Lane() Lane         { return ControlLane }
+func (homeVerdict HomeVerdict) Lane() Lane { return ControlLane }
+func (finish HomeFinish) Lane() Lane       { return ControlLane }
+func (finished HomeFinished) Lane() Lane   { return ControlLane }
+func (copied HomeCopy) Lane() Lane         { return ControlLane }
+func (ack HomeCopyAck) Lane() Lane         { return ControlLane }
+func (homeForget HomeForget) Lane() Lane   { return ControlLane }
--- a/internal/decide/message/membership.go
+++ b/internal/decide/message/membership.go
@@ -51,7 +51,7 @@
 // NewsFlags are boolean properties of an engine.
 type NewsFlags uint8
 
-// Flags of EngineNews.
+// Flags of an engine.
 const (
 	NewsQuarantined NewsFlags = 1 << iota
 	NewsLeaving
@@ -117,9 +117,9 @@
 }
 
 // Lane implementations of the membership and ownership messages.
-func (update Update) Lane() Lane     { return ControlLane }
-func (ask UpdateAsk) Lane() Lane     { return ControlLane }
-func (ask HandoverAsk) Lane() Lane   { return ControlLane }
-func (outbid Outbid) Lane() Lane     { return ControlLane }
-func (moved Moved) Lane() Lane       { return LaneOf(moved.Class) }
-func (handover Handover) Lane() Lane { return ControlLane }
+func (update Update) Lane() Lane           { return ControlLane }
+func (updateAsk UpdateAsk) Lane() Lane     { return ControlLane }
+func (handoverAsk HandoverAsk) Lane() Lane { return ControlLane }
+func (outbid Outbid) Lane() Lane           { return ControlLane }
+func (moved Moved) Lane() Lane             { return LaneOf(moved.Class) }
+func (handover Handover) Lane() Lane       { return ControlLane }
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -61,8 +61,8 @@
 	return options
 }
 
-func (node *Node) loadAsk(from ident.DaemonID, ask message.LoadAsk) {
-	node.sendReplies(node.broker(ask.Store).Ask(node.now, from, ask))
+func (node *Node) loadRequested(from ident.DaemonID, request message.LoadAsk) {
+	node.sendReplies(node.broker(request.Store).Ask(node.now, from, request))
 }
 
 func (node *Node) loadDone(done message.LoadDone) {
@@ -118,10 +118,10 @@
 	return engine, adapter, found
 }
 
-// loadVerdict passes the broker's decision to the engine's owner state machine.
-func (node *Node) loadVerdict(verdict message.LoadVerdict) {
-	if owned, known := node.ownerRole.owned[verdict.Engine]; known {
-		node.ownerEffects(owned, owned.owner.Judged(node.now, verdict))
+// loadDecided passes the broker's decision to the engine's owner state machine.
+func (node *Node) loadDecided(decision message.LoadVerdict) {
+	if owned, known := node.ownerRole.owned[decision.Engine]; known {
+		node.ownerEffects(owned, owned.owner.Judged(node.now, decision))
 	}
 }
 
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -10,9 +10,9 @@
 
 // Timing of handovers.
 const (
-	// handoverAskInterval is the minimum time between two handover requests for the
+	// handoverRequestInterval is the minimum time between two handover requests for the
 	// same engine.
-	handoverAskInterval = 500 * clock.Millisecond
+	handoverRequestInterval = 500 * clock.Millisecond
 	// yieldTimeout is how long a handover waits for an unload order in progress.
 	yieldTimeout = 2 * clock.Second
 )
@@ -28,22 +28,22 @@
 // new first candidate.
 func (node *Node) requestHandover(name ident.EngineID) {
 	claim, known := node.ownerRole.claims[name]
-	if !known || claim.Owner == node.options.Self || node.now-node.ownerRole.handoverAskSentAt[name] < handoverAskInterval {
+	if !known || claim.Owner == node.options.Self || node.now-node.ownerRole.handoverRequestSentAt[name] < handoverRequestInterval {
 		return
 	}
-	node.ownerRole.handoverAskSentAt[name] = node.now
+	node.ownerRole.handoverRequestSentAt[name] = node.now
 	node.send(claim.Owner, message.HandoverAsk{Engine: name})
 }
 
 // handoverRequested records that another daemon asks for an engine. The engine is
 // handed over once this daemon also sees that daemon as the first candidate.
-func (node *Node) handoverRequested(from ident.DaemonID, ask message.HandoverAsk) {
-	if _, known := node.ownerRole.owned[ask.Engine]; !known || node.config == nil || node.vms == nil {
+func (node *Node) handoverRequested(from ident.DaemonID, request message.HandoverAsk) {
+	if _, known := node.ownerRole.owned[request.Engine]; !known || node.config == nil || node.vms == nil {
 		return
 	}
-	engine, known := node.config.Engine(ask.Engine)
+	engine, known := node.config.Engine(request.Engine)
 	if known && node.firstCandidate(engine) == from {
-		node.ownerRole.handoverRequestedAt[ask.Engine] = node.now
+		node.ownerRole.handoverRequestedAt[request.Engine] = node.now
 		node.revise(engine)
 	}
 }
@@ -156,14 +156,14 @@
 // higherClaimReceived handles a report of a claim with a higher fencing number. An
 // owner that missed the claim, because it was paused or partitioned, releases its
 // engine.
-func (node *Node) higherClaimReceived(outbid message.Outbid) {
-	if outbid.Fence <= node.ownerRole.claims[outbid.Engine].Fence {
+func (node *Node) higherClaimReceived(higherClaim message.Outbid) {
+	if higherClaim.Fence <= node.ownerRole.claims[higherClaim.Engine].Fence {
 		return
 	}
-	node.ownerRole.claims[outbid.Engine] = ownership.Heard{
-		Owner: outbid.Owner, Incarnation: outbid.Incarnation, Fence: outbid.Fence,
+	node.ownerRole.claims[higherClaim.Engine] = ownership.Heard{
+		Owner: higherClaim.Owner, Incarnation: higherClaim.Incarnation, Fence: higherClaim.Fence,
 	}
-	node.releaseOutbid(outbid.Engine, "a higher claim was heard of")
+	node.releaseOutbid(higherClaim.Engine, "a higher claim was heard of")
 }
 
 // allEnginesHandedOver reports whether a draining daemon has handed over every
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -91,38 +91,38 @@
 	}
 }
 
-func (node *Node) homeVerdict(from ident.DaemonID, verdict message.HomeVerdict) {
-	request, known := node.requests[verdict.Stream]
+func (node *Node) homeDecided(from ident.DaemonID, decision message.HomeVerdict) {
+	request, known := node.requests[decision.Stream]
 	if !known || request.state != requestAwaitingHome {
-		if verdict.Granted {
-			node.releaseUnusedGrant(from, verdict)
+		if decision.Granted {
+			node.releaseUnusedGrant(from, decision)
 		}
 		return
 	}
-	if verdict.Granted {
+	if decision.Granted {
 		request.home = from
-		request.record.Home, request.record.HomeCopied = from, verdict.Copied
+		request.record.Home, request.record.HomeCopied = from, decision.Copied
 		node.place(request)
 		return
 	}
-	if verdict.Outcome.Reason == outcome.HomeUnreachable {
+	if decision.Outcome.Reason == outcome.HomeUnreachable {
 		return // that daemon is not the key's home; the next try may reach another
 	}
-	request.storedAnswer = verdict.Stored
+	request.storedAnswer = decision.Stored
 	request.home = ""
-	node.answer(request, verdict.Outcome)
+	node.answer(request, decision.Outcome)
 }
 
 // releaseUnusedGrant releases a key that was granted after its request had ended.
-// It does nothing for a duplicate verdict, whose request is still open or whose
-// outcome is being sent to the home, nor for a verdict to an earlier incarnation of
+// It does nothing for a duplicate decision, whose request is still open or whose
+// outcome is being sent to the home, nor for a decision for an earlier incarnation of
 // this daemon, because only that incarnation knew whether the request ran.
-func (node *Node) releaseUnusedGrant(from ident.DaemonID, verdict message.HomeVerdict) {
-	if verdict.Stream.Incarnation != node.options.Incarnation || node.pendingFinishes[verdict.Stream] != nil || node.hasOpenRequest(verdict.Stream) {
+func (node *Node) releaseUnusedGrant(from ident.DaemonID, decision message.HomeVerdict) {
+	if decision.Stream.Incarnation != node.options.Incarnation || node.pendingFinishes[decision.Stream] != nil || node.hasOpenRequest(decision.Stream) {
 		return
 	}
 	node.send(from, message.HomeFinish{
-		Key: verdict.Key, Stream: verdict.Stream, Outcome: outcome.Refused(outcome.CallerGone, 0),
+		Key: decision.Key, Stream: decision.Stream, Outcome: outcome.Refused(outcome.CallerGone, 0),
 	})
 }
 
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -24,9 +24,9 @@
 	// deltaIntervalPerDaemon is the part of deltaInterval added for each daemon of
 	// the region.
 	deltaIntervalPerDaemon = 25 * clock.Millisecond
-	// fullUpdateAskInterval is the minimum time between two requests for a full
+	// fullUpdateRequestInterval is the minimum time between two requests for a full
 	// update from the same daemon.
-	fullUpdateAskInterval = 2 * clock.Second
+	fullUpdateRequestInterval = 2 * clock.Second
 	// digestMismatchLimit is the number of consecutive updates with a different
 	// digest after which a full update is requested.
 	digestMismatchLimit = 2
@@ -52,7 +52,7 @@
 	// digestMismatches counts consecutive updates whose digest differed from the
 	// one above.
 	digestMismatches int
-	fullAskedAt      clock.Millis // last request for a full update
+	fullRequestedAt  clock.Millis // last request for a full update
 }
 
 // reportedEngine identifies the reported state of an engine.
@@ -354,8 +354,8 @@
 		return
 	}
 	engines.digestMismatches++
-	if engines.digestMismatches >= digestMismatchLimit && node.now-engines.fullAskedAt >= fullUpdateAskInterval {
-		engines.fullAskedAt = node.now
+	if engines.digestMismatches >= digestMismatchLimit && node.now-engines.fullRequestedAt >= fullUpdateRequestInterval {
+		engines.fullRequestedAt = node.now
 		node.send(update.From, message.UpdateAsk{From: node.options.Self})
 	}
 }
@@ -383,7 +383,7 @@
 }
 
 // fullUpdateRequested replies with a full update.
-func (node *Node) fullUpdateRequested(ask message.UpdateAsk) {
+func (node *Node) fullUpdateRequested(request message.UpdateAsk) {
 	update := node.updateWithoutEngines()
 	update.Full = true
 	deltas := map[ident.EngineID]message.EngineNews{}
@@ -395,7 +395,7 @@
 	}
 	slices.SortFunc(update.Engines, func(a, b message.EngineNews) int { return cmp.Compare(a.Engine, b.Engine) })
 	update.Digest = digestOf(deltas)
-	node.sendUpdate(ask.From, update)
+	node.sendUpdate(request.From, update)
 }
 
 // refreshOwnViews updates the placement views of the engines that this daemon owns.
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -79,7 +79,7 @@
 	orphans            []orphan
 	retries            retryBudget
 	limits             limiter[string] // by caller
-	ownerRole          ownerRole       // owner role
+	ownerRole          ownerRole
 	submitHistory      submitHistory
 	peers              *members.Peers
 	updates            updateState
@@ -220,7 +220,7 @@
 	case message.HomeBegin:
 		node.homeEffects(node.home.Begin(node.now, received))
 	case message.HomeVerdict:
-		node.homeVerdict(from, received)
+		node.homeDecided(from, received)
 	case message.HomeFinish:
 		node.homeEffects(node.home.Finish(node.now, received))
 	case message.HomeFinished:
@@ -232,11 +232,11 @@
 	case message.HomeForget:
 		node.homeEffects(node.home.Forgotten(received))
 	case message.LoadAsk:
-		node.loadAsk(from, received)
+		node.loadRequested(from, received)
 	case message.LoadGrant:
 		node.loadGrant(received)
 	case message.LoadVerdict:
-		node.loadVerdict(received)
+		node.loadDecided(received)
 	case message.LoadDone:
 		node.loadDone(received)
 	case message.EngineState:
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -33,10 +33,10 @@
 	// successors holds the daemons that engines were handed over to.
 	successors map[ident.EngineID]ident.DaemonID
 	// handoverRequestedAt holds when the first candidate last asked this daemon for
-	// an engine; handoverAskSentAt holds when this daemon last asked another one
+	// an engine; handoverRequestSentAt holds when this daemon last asked another one
 	// for an engine.
-	handoverRequestedAt map[ident.EngineID]clock.Millis
-	handoverAskSentAt   map[ident.EngineID]clock.Millis
+	handoverRequestedAt   map[ident.EngineID]clock.Millis
+	handoverRequestSentAt map[ident.EngineID]clock.Millis
 	// earlySubmits holds requests that a former owner forwarded before its handover
 	// arrived.
 	earlySubmits []earlySubmit
@@ -59,16 +59,16 @@
 
 func newOwnerRole() ownerRole {
 	return ownerRole{
-		candidates:          map[ident.EngineID][]ident.DaemonID{},
-		tenures:             map[ident.EngineID]*ownership.Tenure{},
-		owned:               map[ident.EngineID]*ownedEngine{},
-		formerlyOwned:       map[ident.EngineID][]*ownedEngine{},
-		claims:              map[ident.EngineID]ownership.Heard{},
-		receivedHandovers:   map[ident.EngineID]message.Handover{},
-		successors:          map[ident.EngineID]ident.DaemonID{},
-		handoverRequestedAt: map[ident.EngineID]clock.Millis{},
-		handoverAskSentAt:   map[ident.EngineID]clock.Millis{},
-		leavingReportedAt:   map[ident.EngineID]clock.Millis{},
+		candidates:            map[ident.EngineID][]ident.DaemonID{},
+		tenures:               map[ident.EngineID]*ownership.Tenure{},
+		owned:                 map[ident.EngineID]*ownedEngine{},
+		formerlyOwned:         map[ident.EngineID][]*ownedEngine{},
+		claims:                map[ident.EngineID]ownership.Heard{},
+		receivedHandovers:     map[ident.EngineID]message.Handover{},
+		successors:            map[ident.EngineID]ident.DaemonID{},
+		handoverRequestedAt:   map[ident.EngineID]clock.Millis{},
+		handoverRequestSentAt: map[ident.EngineID]clock.Millis{},
+		leavingReportedAt:     map[ident.EngineID]clock.Millis{},
 	}
 }
 
--- a/internal/decide/node/resume.go
+++ b/internal/decide/node/resume.go
@@ -21,8 +21,8 @@
 // orphan is a run whose request has ended, on an engine whose owner was lost. The
 // next owner is asked to cancel it.
 type orphan struct {
-	cancel message.Cancel
-	lostAt clock.Millis
+	cancel      message.Cancel
+	cancelledAt clock.Millis
 }
 
 // peerLost handles the attempts that were in flight at a lost daemon.
@@ -127,17 +127,17 @@
 func (node *Node) cancelOrphan(request *request) {
 	cancel := message.Cancel{Stream: request.stream, Engine: request.engine, Class: request.rule.Class}
 	node.send(request.owner, cancel)
-	node.orphans = append(node.orphans, orphan{cancel: cancel, lostAt: node.now})
+	node.orphans = append(node.orphans, orphan{cancel: cancel, cancelledAt: node.now})
 }
 
 func (node *Node) tickOrphans() {
 	remaining := node.orphans[:0]
 	for _, orphan := range node.orphans {
-		owner, found := node.ownerSince(orphan.cancel.Engine, orphan.lostAt)
+		owner, found := node.ownerSince(orphan.cancel.Engine, orphan.cancelledAt)
 		switch {
 		case found:
 			node.send(owner, orphan.cancel)
-		case orphan.lostAt+orphanTimeout > node.now:
+		case orphan.cancelledAt+orphanTimeout > node.now:
 			remaining = append(remaining, orphan)
 		}
 	}
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -16,12 +16,12 @@
 
 // longRun is a long run on an engine whose owner is not the entry.
 type longRun struct {
-	network     *nodetest.Network
-	entry       ident.DaemonID
-	submits     []message.Submit
-	cancels     []ident.DaemonID // daemons that were sent a cancel
-	firstSubmit message.Submit   // the last submit that was not a resume
-	owner       ident.DaemonID
+	network    *nodetest.Network
+	entry      ident.DaemonID
+	submits    []message.Submit
+	cancels    []ident.DaemonID // daemons that were sent a cancel
+	lastSubmit message.Submit   // the last submit that was not a resume
+	owner      ident.DaemonID
 }
 
 // startLongRun sends a request and returns once its engine has started to run it.
@@ -35,7 +35,7 @@
 		case message.Submit:
 			longRun.submits = append(longRun.submits, sent)
 			if !sent.Resume {
-				longRun.firstSubmit, longRun.owner = sent, to
+				longRun.lastSubmit, longRun.owner = sent, to
 			}
 		case message.Cancel:
 			longRun.cancels = append(longRun.cancels, to)
@@ -87,13 +87,13 @@
 		t.Run(name, func(t *testing.T) {
 			longRun := startLongRun(t, model)
 			if model == "review-1@1" {
-				longRun.feed(node.HeadArrived{Stream: longRun.firstSubmit.Stream, From: longRun.owner, Status: 200})
+				longRun.feed(node.HeadArrived{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
 			}
 			longRun.killOwner()
 			longRun.requireAnswered(t, outcome.Done())
 			last := longRun.submits[len(longRun.submits)-1]
 			require.True(t, last.Resume)
-			require.Equal(t, longRun.firstSubmit.Stream, last.Stream, "the resumed run must have the same id")
+			require.Equal(t, longRun.lastSubmit.Stream, last.Stream, "the resumed run must have the same id")
 			require.NotZero(t, last.PriorFence)
 		})
 	}
@@ -103,8 +103,8 @@
 // the owner sent.
 func TestMissingChunksEndAsTruncated(t *testing.T) {
 	longRun := startLongRun(t, "quote-1@1")
-	longRun.feed(node.HeadArrived{Stream: longRun.firstSubmit.Stream, From: longRun.owner, Status: 200})
-	longRun.feed(node.AnswerReceived{Stream: longRun.firstSubmit.Stream, Chunks: 2})
+	longRun.feed(node.HeadArrived{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
+	longRun.feed(node.AnswerReceived{Stream: longRun.lastSubmit.Stream, Chunks: 2})
 	longRun.requireAnswered(t, outcome.Lost(outcome.Truncated))
 }
 
@@ -114,7 +114,7 @@
 	longRun := startLongRun(t, "quote-1@1")
 	longRun.killOwner()
 	longRun.network.Run(10)
-	longRun.feed(node.CallerGone{Stream: longRun.firstSubmit.Stream})
+	longRun.feed(node.CallerGone{Stream: longRun.lastSubmit.Stream})
 	require.Equal(t, outcome.Lost(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
 	longRun.network.Run(20 * clock.Second)
 	require.NotEmpty(t, longRun.cancels)
--- a/internal/decide/node/retry.go
+++ b/internal/decide/node/retry.go
@@ -27,8 +27,8 @@
 	return true
 }
 
-// mayRetry reports whether another attempt is allowed: always after an attempt that
-// did not run, and only for repeatable requests after one that may have run. No
+// mayRetry reports whether another attempt is allowed: after an attempt that did not
+// run, and for repeatable requests also after one that may have run. No
 // attempt is allowed once the answer has begun, after the deadline or beyond the
 // retry budget.
 func (node *Node) mayRetry(request *request, ended outcome.Outcome) bool {
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -164,9 +164,9 @@
 	service.reply(watch.host, watch.generation, node.ConfigWatched{Result: result})
 }
 
-func (service *ConfigService) reply(host *Host, life uint64, event node.Event) {
+func (service *ConfigService) reply(host *Host, generation uint64, event node.Event) {
 	service.network.after(service.network.options.Delay, func() {
-		if host.generation == life {
+		if host.generation == generation {
 			service.network.Feed(host, event)
 		}
 	})
@@ -189,11 +189,11 @@
 }
 
 func (service *ConfigService) read(host *Host, name string) {
-	life := host.generation
+	generation := host.generation
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
 		value, found := service.visibleValue(name)
-		service.reply(host, life, node.ConfigPartRead{
+		service.reply(host, generation, node.ConfigPartRead{
 			Name: name, Body: value.body, Failed: !found || !service.up(host),
 		})
 	})
@@ -209,9 +209,9 @@
 		assembled = node.Assemble(order)
 		service.assembled[order.Mark] = assembled
 	}
-	life := host.generation
+	generation := host.generation
 	service.network.after(assemblyDuration, func() {
-		if host.generation == life {
+		if host.generation == generation {
 			service.network.Feed(host, assembled)
 		}
 	})
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -120,9 +120,9 @@
 }
 
 func (engine *Engine) reply(host *Host, event node.Event) {
-	life := host.generation
+	generation := host.generation
 	engine.network.after(engine.network.options.Delay, func() {
-		if host.generation == life {
+		if host.generation == generation {
 			engine.network.Feed(host, event)
 		}
 	})
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -180,9 +180,9 @@
 
 func (network *Network) readLists(host *Host) {
 	network.readList(host)
-	life := host.generation
+	generation := host.generation
 	network.after(listInterval, func() {
-		if !host.Dead && host.generation == life {
+		if !host.Dead && host.generation == generation {
 			network.readLists(host)
 		}
 	})
@@ -237,9 +237,9 @@
 	if !host.Paused {
 		network.Feed(host, node.Tick{})
 	}
-	life := host.generation
+	generation := host.generation
 	network.after(network.options.TickInterval, func() {
-		if !host.Dead && host.generation == life {
+		if !host.Dead && host.generation == generation {
 			network.tick(host)
 		}
 	})
