--- a/internal/decide/node/event.go
+++ b/internal/decide/node/event.go
@@ -43,7 +43,7 @@
 type CallerGone struct{ Stream ident.StreamID }
 
 // HeadArrived reports that the answer of an attempt has begun. The runtime forwards
-// it to the caller only after an Open effect.
+// it to the caller only once an effect of the node says so.
 type HeadArrived struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -109,7 +109,7 @@
 }
 
 // SetMode changes how the service behaves. If the service was up, the current
-// values become the stale ones, unless Remember has fixed others.
+// values become the stale ones, unless these are fixed.
 func (service *ConfigService) SetMode(mode ServiceMode) {
 	if service.mode == ServiceUp && !service.staleValuesFixed {
 		service.staleValues = maps.Clone(service.values)
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -16,9 +16,9 @@
 
 // EngineOptions describe the fake engines and the weight store that they load from.
 type EngineOptions struct {
-	// RunSpan is how long a run takes; LoadSpan is how long the store takes for a
-	// load.
-	RunSpan  clock.Millis
+	// RunSpan is how long a run takes.
+	RunSpan clock.Millis
+	// LoadSpan is how long the store takes for a load.
 	LoadSpan clock.Millis
 	// ReportLag is the age of a state report.
 	ReportLag clock.Millis
--- a/internal/decide/nodetest/history.go
+++ b/internal/decide/nodetest/history.go
@@ -54,7 +54,7 @@
 }
 
 // Faults applies randomly drawn faults to daemons, their network and their VM list,
-// and ends them all with Heal.
+// and can end them all.
 type Faults struct {
 	Network *Network
 	// MaxListLag is the maximum lag of a daemon's reading of the VM list.
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -60,15 +60,16 @@
 	Blocked map[Direction]bool
 	// DropShare is the share of messages that are lost, from 0 to 1.
 	DropShare float64
-	// DuplicateShare is the share of messages that arrive twice. SlowShare is the
-	// share that takes up to SlowSpan longer, so that later messages may overtake
-	// them.
+	// DuplicateShare is the share of messages that arrive twice, from 0 to 1.
 	DuplicateShare float64
-	SlowShare      float64
-	SlowSpan       clock.Millis
-	// ListLag is the age of the VM list that a daemon reads. ListDown lists the
-	// daemons that cannot read it.
-	ListLag  map[ident.DaemonID]clock.Millis
+	// SlowShare is the share of messages that are delayed, so that later messages may
+	// overtake them.
+	SlowShare float64
+	// SlowSpan is the maximum delay that is added to those messages.
+	SlowSpan clock.Millis
+	// ListLag is the age of the VM list that a daemon reads.
+	ListLag map[ident.DaemonID]clock.Millis
+	// ListDown lists the daemons that cannot read the VM list.
 	ListDown map[ident.DaemonID]bool
 	// Steps counts the events that nodes have processed.
 	Steps int
@@ -106,8 +107,8 @@
 	streams    map[ident.StreamID]string // request ids by current stream
 }
 
-// New returns a network whose nodes have read the VM list and, unless Published is
-// set, the configuration.
+// New returns a network whose nodes have read the VM list. They have the
+// configuration too, unless they read it from the configuration service.
 func New(options Options) (*Network, error) {
 	snapshot, err := config.Compile(options.Config)
 	if err != nil {
--- a/internal/decide/nodetest/steps.go
+++ b/internal/decide/nodetest/steps.go
@@ -10,8 +10,8 @@
 // StepOptions describe continuous batching: each step produces one token for each
 // run of the batch.
 type StepOptions struct {
-	// Base is the minimum duration of a step; 0 disables batching, so that every
-	// run takes RunSpan.
+	// Base is the minimum duration of a step; 0 disables batching, so that every run
+	// takes the same time.
 	Base clock.Millis
 	// PerRun and PerAdapter are added to a step for each run and each distinct
 	// adapter of the batch.
