--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -20,9 +20,9 @@
 	ServiceUp ServiceMode = iota
 	// ServiceDown: every call fails.
 	ServiceDown
-	// ServiceStale: values published since stay hidden.
+	// ServiceStale: calls return the stale values; later publications are hidden.
 	ServiceStale
-	// ServiceFlapping: calls show the present and the stale values in turn.
+	// ServiceFlapping: calls alternate between the current and the stale values.
 	ServiceFlapping
 )
 
@@ -34,17 +34,18 @@
 	Calls int
 	// Unreachable lists the daemons whose calls fail.
 	Unreachable map[ident.DaemonID]bool
-	// Corrupt, when set, alters the values that are read.
+	// Corrupt, if set, alters the values that are read.
 	Corrupt func(key string, body []byte) []byte
 
-	network *Network
-	mode    ServiceMode
-	values  map[string]serviceValue
-	old     map[string]serviceValue
-	waiting []*waitingWatch
-	// remembered says that old does not change any more.
-	remembered bool
-	// assembled caches assemblies, which depend on the mark alone.
+	network        *Network
+	mode           ServiceMode
+	values         map[string]serviceValue
+	staleValues    map[string]serviceValue
+	pendingWatches []*pendingWatch
+	// staleValuesFixed is set once staleValues no longer changes.
+	staleValuesFixed bool
+	// assembled caches assembled configurations by mark; the result depends only on
+	// it.
 	assembled map[config.Mark]node.ConfigAssembled
 }
 
@@ -53,22 +54,23 @@
 	body    []byte
 }
 
-type waitingWatch struct {
-	host  *Host
-	life  uint64
-	after uint64
-	done  bool
+type pendingWatch struct {
+	host       *Host
+	generation uint64
+	after      uint64
+	done       bool
 }
 
 func newConfigService(network *Network) *ConfigService {
 	return &ConfigService{
 		Unreachable: map[ident.DaemonID]bool{}, network: network,
-		values: map[string]serviceValue{}, old: map[string]serviceValue{},
+		values: map[string]serviceValue{}, staleValues: map[string]serviceValue{},
 		assembled: map[config.Mark]node.ConfigAssembled{},
 	}
 }
 
-// Publish publishes a configuration as operators do: parts first.
+// Publish publishes a configuration as operators do: parts first, then the
+// manifest.
 func (service *ConfigService) Publish(published config.Config) error {
 	manifest, parts, err := config.Pack(published)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// PutManifest publishes the text of a manifest, right or wrong.
+// PutManifest publishes a manifest, valid or not.
 func (service *ConfigService) PutManifest(text []byte) {
 	service.Put(manifestKey, text)
 }
@@ -97,29 +99,29 @@
 		return
 	}
 	service.values[key] = serviceValue{version: service.values[key].version + 1, body: body}
-	service.wake()
+	service.answerWatches()
 }
 
-// Remember makes the values of this moment the stale ones, for good.
+// Remember makes the current values the stale ones permanently.
 func (service *ConfigService) Remember() {
-	service.old = maps.Clone(service.values)
-	service.remembered = true
+	service.staleValues = maps.Clone(service.values)
+	service.staleValuesFixed = true
 }
 
-// SetMode changes how the service behaves; the values of this moment become
-// the stale ones when it was up, unless others are remembered.
+// SetMode changes how the service behaves. If the service was up, the current
+// values become the stale ones, unless these are fixed.
 func (service *ConfigService) SetMode(mode ServiceMode) {
-	if service.mode == ServiceUp && !service.remembered {
-		service.old = maps.Clone(service.values)
+	if service.mode == ServiceUp && !service.staleValuesFixed {
+		service.staleValues = maps.Clone(service.values)
 	}
 	service.mode = mode
-	service.wake()
+	service.answerWatches()
 }
 
-func (service *ConfigService) shown(key string) (serviceValue, bool) {
+func (service *ConfigService) visibleValue(key string) (serviceValue, bool) {
 	values := service.values
 	if service.mode == ServiceStale || service.mode == ServiceFlapping && service.Calls%2 == 0 {
-		values = service.old
+		values = service.staleValues
 	}
 	value, found := values[key]
 	if found && service.Corrupt != nil {
@@ -132,20 +134,20 @@
 	return service.mode != ServiceDown && !service.Unreachable[host.Name]
 }
 
-// wake answers the waiting watches that have something to see.
-func (service *ConfigService) wake() {
-	waiting := service.waiting
-	service.waiting = nil
-	for _, watch := range waiting {
+// answerWatches answers the pending watches that have a result.
+func (service *ConfigService) answerWatches() {
+	watches := service.pendingWatches
+	service.pendingWatches = nil
+	for _, watch := range watches {
 		if !watch.done && !service.tryWatch(watch) {
-			service.waiting = append(service.waiting, watch)
+			service.pendingWatches = append(service.pendingWatches, watch)
 		}
 	}
 }
 
-// tryWatch answers a watch, unless there is nothing new to see.
-func (service *ConfigService) tryWatch(watch *waitingWatch) bool {
-	value, found := service.shown(manifestKey)
+// tryWatch answers a watch if there is a new version or the service is down.
+func (service *ConfigService) tryWatch(watch *pendingWatch) bool {
+	value, found := service.visibleValue(manifestKey)
 	switch {
 	case !service.up(watch.host):
 		service.endWatch(watch, rollout.WatchResult{Cause: "down"})
@@ -157,28 +159,28 @@
 	return true
 }
 
-func (service *ConfigService) endWatch(watch *waitingWatch, result rollout.WatchResult) {
+func (service *ConfigService) endWatch(watch *pendingWatch, result rollout.WatchResult) {
 	watch.done = true
-	service.reply(watch.host, watch.life, node.ConfigWatched{Result: result})
+	service.reply(watch.host, watch.generation, node.ConfigWatched{Result: result})
 }
 
-func (service *ConfigService) reply(host *Host, life uint64, event node.Event) {
+func (service *ConfigService) reply(host *Host, generation uint64, event node.Event) {
 	service.network.after(service.network.options.Delay, func() {
-		if host.life == life {
+		if host.generation == generation {
 			service.network.Feed(host, event)
 		}
 	})
 }
 
-func (service *ConfigService) watch(host *Host, asked effect.WatchConfig) {
-	watch := &waitingWatch{host: host, life: host.life, after: asked.After}
+func (service *ConfigService) watch(host *Host, effect effect.WatchConfig) {
+	watch := &pendingWatch{host: host, generation: host.generation, after: effect.After}
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
 		if service.tryWatch(watch) {
 			return
 		}
-		service.waiting = append(service.waiting, watch)
-		service.network.after(asked.Wait, func() {
+		service.pendingWatches = append(service.pendingWatches, watch)
+		service.network.after(effect.Wait, func() {
 			if !watch.done {
 				service.endWatch(watch, rollout.WatchResult{})
 			}
@@ -187,37 +189,38 @@
 }
 
 func (service *ConfigService) read(host *Host, name string) {
-	life := host.life
+	generation := host.generation
 	service.network.after(service.network.options.Delay, func() {
 		service.Calls++
-		value, found := service.shown(name)
-		service.reply(host, life, node.ConfigPartRead{
+		value, found := service.visibleValue(name)
+		service.reply(host, generation, node.ConfigPartRead{
 			Name: name, Body: value.body, Failed: !found || !service.up(host),
 		})
 	})
 }
 
-// assemblySpan is the time that a daemon takes to assemble a configuration of
-// full size, rounded up from the benchmark.
-const assemblySpan = 400 * clock.Millisecond
+// assemblyDuration is how long a daemon takes to assemble a configuration of full
+// size, rounded up from the benchmark.
+const assemblyDuration = 400 * clock.Millisecond
 
 func (service *ConfigService) assemble(host *Host, order effect.AssembleConfig) {
-	known, found := service.assembled[order.Mark]
+	assembled, found := service.assembled[order.Mark]
 	if !found {
-		known = node.Assemble(order)
-		service.assembled[order.Mark] = known
+		assembled = node.Assemble(order)
+		service.assembled[order.Mark] = assembled
 	}
-	life := host.life
-	service.network.after(assemblySpan, func() {
-		if host.life == life {
-			service.network.Feed(host, known)
+	generation := host.generation
+	service.network.after(assemblyDuration, func() {
+		if host.generation == generation {
+			service.network.Feed(host, assembled)
 		}
 	})
 }
 
-// performConfig carries out what concerns the configuration service. Networks
-// whose daemons were handed their configuration have no service to call.
-func (network *Network) performConfig(host *Host, next effect.Effect) {
+// performConfigEffect carries out the effects that use the configuration service.
+// Daemons that were given their configuration at the start do not watch the
+// service.
+func (network *Network) performConfigEffect(host *Host, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.WatchConfig:
 		if network.options.Published {
@@ -230,28 +233,29 @@
 	}
 }
 
-// InForce returns the versions in force and the number of live daemons that
-// have each; daemons without a configuration count under 0.
+// InForce returns the number of live daemons per version in force; daemons without
+// a configuration count under 0.
 func (network *Network) InForce() map[uint64]int {
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
 		if !host.Dead {
-			versions[version(host)]++
+			versions[versionInForce(host)]++
 		}
 	}
 	return versions
 }
 
-func version(host *Host) uint64 {
+func versionInForce(host *Host) uint64 {
 	if host.Node.Config() == nil {
 		return 0
 	}
 	return host.Node.Config().Version()
 }
 
-// Everywhere reports whether every live daemon that is not paused has a version in force.
+// Everywhere reports whether every live daemon that is not paused has the version
+// in force.
 func (network *Network) Everywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
-		return !host.Dead && !host.Paused && version(host) != wanted
+		return !host.Dead && !host.Paused && versionInForce(host) != wanted
 	})
 }
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -1,7 +1,6 @@
-// Package nodetest drives several nodes of the decision machines in one
-// goroutine on virtual time, joined by a small network and served by fake
-// engines and a fake weight store. It is for tests and replays: everything it
-// does follows from its seed.
+// Package nodetest drives several nodes in one goroutine on virtual time, with a
+// simulated network, fake engines and a fake weight store. It is for tests and
+// replays. Its behaviour is determined by the seed.
 package nodetest
 
 import (
@@ -19,69 +18,71 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Start is the point in virtual time at which every network begins.
+// Start is the virtual time at which every network begins.
 const Start clock.Millis = 1_000_000_000
 
 // Options describe a network.
 type Options struct {
 	Seed uint64
-	// Delay is the span that a message takes; Jitter is added at random.
+	// Delay is the transit time of a message. A random share of Jitter is added.
 	Delay  clock.Millis
 	Jitter clock.Millis
-	// TickInterval is the span between two ticks of a node.
+	// TickInterval is the time between two ticks of a node.
 	TickInterval clock.Millis
 	Config       config.Config
 	VMs          []members.VM
 	Engine       EngineOptions
-	// Published says that daemons learn the configuration from the network's
-	// configuration service; otherwise it is handed to each at its start.
+	// Published is set if daemons read the configuration from the network's
+	// configuration service; otherwise each is given it at its start.
 	Published bool
-	// Node completes the options of each node; identity is set by the network.
+	// Node holds the options of each node; the network sets the identity.
 	Node node.Options
-	// Observer is told what happens.
+	// Observer is notified of events.
 	Observer Observer
-	// Instant gives every daemon the present state of every engine before each
-	// arrival: the perfect knowledge that baselines of a replay have.
+	// Instant gives every daemon the current state of every engine before each
+	// arrival. Baselines of a replay use this perfect knowledge.
 	Instant bool
 }
 
-// Network is a set of nodes with everything around them.
+// Network is a set of nodes with their simulated environment.
 type Network struct {
 	Now     clock.Millis
 	Nodes   map[ident.DaemonID]*Host
 	Engines map[ident.EngineID]*Engine
 	Service *ConfigService
-	// Answers holds what callers were told, by request id.
+	// Answers holds the answers that callers received, by request id.
 	Answers map[string][]effect.Answer
 	// Audits holds every audited change, in order.
 	Audits []effect.Audit
-	// Ledger counts the calls that plain services ran, by stream.
+	// Ledger counts the calls that services ran, by service and request id.
 	Ledger map[string]int
-	// Blocked lists directions in which nothing arrives.
+	// Blocked lists the directions in which all messages are lost.
 	Blocked map[Direction]bool
 	// DropShare is the share of messages that are lost, from 0 to 1.
 	DropShare float64
-	// DuplicateShare is the share of messages that arrive twice, and SlowShare the
-	// share that takes up to SlowSpan longer, overtaken by later ones.
+	// DuplicateShare is the share of messages that arrive twice, from 0 to 1.
 	DuplicateShare float64
-	SlowShare      float64
-	SlowSpan       clock.Millis
-	// ListLag is how old the VM list is that a daemon reads; ListDown lists the
-	// daemons that cannot read it.
-	ListLag  map[ident.DaemonID]clock.Millis
+	// SlowShare is the share of messages that are delayed, so that later messages may
+	// overtake them.
+	SlowShare float64
+	// SlowSpan is the maximum delay that is added to those messages.
+	SlowSpan clock.Millis
+	// ListLag is the age of the VM list that a daemon reads.
+	ListLag map[ident.DaemonID]clock.Millis
+	// ListDown lists the daemons that cannot read the VM list.
 	ListDown map[ident.DaemonID]bool
-	// Steps counts the events that nodes have taken in.
+	// Steps counts the events that nodes have processed.
 	Steps int
-	// OnSend sees every message that one daemon sends to another.
+	// OnSend is called for every message that one daemon sends to another.
 	OnSend func(from, to ident.DaemonID, sent message.Message)
 
-	options  Options
-	random   *rand.Rand
-	queue    timeline
-	sequence uint64
-	store    store
-	snapshot *config.Snapshot
-	lists    []timedList // every version of the VM list, in order
+	options      Options
+	random       *rand.Rand
+	queue        eventQueue
+	sequence     uint64
+	store        store
+	snapshot     *config.Snapshot
+	listVersions []timedList // every version of the VM list, in order
 }
 
 type timedList struct {
@@ -89,24 +90,25 @@
 	list members.List
 }
 
-// Direction is one way between two daemons.
+// Direction is one direction of the connection between two daemons.
 type Direction struct{ From, To ident.DaemonID }
 
-// Host is one daemon's place in the network.
+// Host runs one daemon in the network.
 type Host struct {
 	Name ident.DaemonID
 	Node *node.Node
-	// Paused hosts keep what arrives until they are resumed.
+	// Paused hosts keep arriving events until they are resumed.
 	Paused bool
 	Dead   bool
 	VM     members.VM
 
-	life    uint64
-	backlog []node.Event
-	streams map[ident.StreamID]string // request ids by present stream
+	generation uint64
+	backlog    []node.Event
+	streams    map[ident.StreamID]string // request ids by current stream
 }
 
-// New returns a network whose nodes have read the configuration and VM list.
+// New returns a network whose nodes have read the VM list. They have the
+// configuration too, unless they read it from the configuration service.
 func New(options Options) (*Network, error) {
 	snapshot, err := config.Compile(options.Config)
 	if err != nil {
@@ -134,14 +136,14 @@
 	return network, nil
 }
 
-// Boot starts a daemon that knows nothing, on a VM of the list.
+// Boot starts a daemon without any state on a VM of the list.
 func (network *Network) Boot(vm members.VM) *Host {
 	name := ident.DaemonID(vm.Name)
 	options := network.options.Node
 	options.Self, options.DataCentre, options.Region = name, vm.DataCentre, vm.Region
 	options.StartedAt, options.Incarnation = network.Now, ident.Incarnation(network.Now)
 	network.sequence++
-	host := &Host{Name: name, Node: node.New(options), VM: vm, life: network.sequence, streams: map[ident.StreamID]string{}}
+	host := &Host{Name: name, Node: node.New(options), VM: vm, generation: network.sequence, streams: map[ident.StreamID]string{}}
 	network.Nodes[name] = host
 	if !network.options.Published {
 		network.Feed(host, node.ConfigRead{Snapshot: network.snapshot})
@@ -153,19 +155,19 @@
 
 // publishVMs adds a version of the VM list.
 func (network *Network) publishVMs() {
-	version := uint64(len(network.lists) + 1)
-	network.lists = append(network.lists, timedList{at: network.Now, list: members.List{
+	version := uint64(len(network.listVersions) + 1)
+	network.listVersions = append(network.listVersions, timedList{at: network.Now, list: members.List{
 		Version: version, VMs: slices.Clone(network.options.VMs),
 	}})
 }
 
-// VMs returns a copy of the VM list as last published.
+// VMs returns a copy of the latest VM list.
 func (network *Network) VMs() []members.VM {
 	return slices.Clone(network.options.VMs)
 }
 
-// SetVMs publishes a VM list. Daemons read it at once, unless their reading lags
-// or fails.
+// SetVMs publishes a VM list. Daemons read it at once, unless their readings lag or
+// fail.
 func (network *Network) SetVMs(vms []members.VM) {
 	network.options.VMs = vms
 	network.publishVMs()
@@ -174,49 +176,49 @@
 	}
 }
 
-// listInterval is the span between two readings of the VM list.
+// listInterval is the time between two readings of the VM list.
 const listInterval = clock.Second
 
 func (network *Network) readLists(host *Host) {
 	network.readList(host)
-	life := host.life
+	generation := host.generation
 	network.after(listInterval, func() {
-		if !host.Dead && host.life == life {
+		if !host.Dead && host.generation == generation {
 			network.readLists(host)
 		}
 	})
 }
 
-// readList lets a daemon read the VM list, as old as its lag makes it. A paused
-// daemon reads nothing.
+// readList makes a daemon read the VM list with its lag. A paused daemon reads
+// nothing.
 func (network *Network) readList(host *Host) {
 	if host.Paused || host.Dead || network.ListDown[host.Name] {
 		return
 	}
-	shown := network.lists[0].list
-	for _, version := range network.lists {
-		if network.Now-version.at >= network.ListLag[host.Name] {
-			shown = version.list
+	list := network.listVersions[0].list
+	for _, timed := range network.listVersions {
+		if network.Now-timed.at >= network.ListLag[host.Name] {
+			list = timed.list
 		}
 	}
-	network.Feed(host, node.VMListRead{View: members.NewView(shown, network.Now)})
+	network.Feed(host, node.VMListRead{View: members.NewView(list, network.Now)})
 }
 
-// Kill ends a daemon without a word. Its peers notice the lost connections.
+// Kill ends a daemon without notice. Its peers detect the lost connections.
 func (network *Network) Kill(name ident.DaemonID) {
 	network.Nodes[name].Dead = true
 	for _, host := range network.hosts() {
-		network.loseLanes(host, name)
+		network.reportLostLanes(host, name)
 	}
 }
 
-func (network *Network) loseLanes(host *Host, peer ident.DaemonID) {
+func (network *Network) reportLostLanes(host *Host, peer ident.DaemonID) {
 	for lane := range message.LaneCount {
 		network.after(network.options.Delay, func() { network.Feed(host, node.PeerLost{Peer: peer, Lane: lane}) })
 	}
 }
 
-// Pause freezes a daemon; Resume lets it go on with what arrived meanwhile.
+// Pause pauses a daemon. It processes what arrived meanwhile after Resume.
 func (network *Network) Pause(name ident.DaemonID) {
 	network.Nodes[name].Paused = true
 }
@@ -236,26 +238,26 @@
 	if !host.Paused {
 		network.Feed(host, node.Tick{})
 	}
-	life := host.life
+	generation := host.generation
 	network.after(network.options.TickInterval, func() {
-		if !host.Dead && host.life == life {
+		if !host.Dead && host.generation == generation {
 			network.tick(host)
 		}
 	})
 }
 
-// Arrive brings a caller's request to a daemon.
+// Arrive sends a caller's request to a daemon.
 func (network *Network) Arrive(name ident.DaemonID, arrived node.Arrived) {
 	host := network.Nodes[name]
 	if network.options.Instant {
-		network.refresh(host)
+		network.sendEngineStates(host)
 	}
 	arrived.Stream = host.Node.NewStream()
 	host.streams[arrived.Stream] = arrived.RequestID
 	network.Feed(host, arrived)
 }
 
-// Leave closes the connection of the caller of a request.
+// Leave closes the connection of a request's caller.
 func (network *Network) Leave(host *Host, request string) {
 	for stream, id := range host.streams {
 		if id == request {
@@ -265,7 +267,7 @@
 	}
 }
 
-// Feed steps a node with an event and carries out what follows.
+// Feed passes an event to a node and carries out its effects.
 func (network *Network) Feed(host *Host, event node.Event) {
 	if host.Dead {
 		return
@@ -312,7 +314,7 @@
 			})
 		})
 	case effect.WatchConfig, effect.ReadConfigPart, effect.AssembleConfig:
-		network.performConfig(host, next)
+		network.performConfigEffect(host, next)
 	case effect.Audit:
 		network.Audits = append(network.Audits, next)
 	}
@@ -333,20 +335,20 @@
 			network.Feed(to, node.Received{From: from.Name, Message: sent.Message})
 		}
 	}
-	network.after(network.transit(), deliver)
-	if network.chance(network.DuplicateShare) {
-		network.after(network.transit(), deliver)
+	network.after(network.transitTime(), deliver)
+	if network.draw(network.DuplicateShare) {
+		network.after(network.transitTime(), deliver)
 	}
 }
 
-// chance draws only for shares above zero, so that a fault that is off does not
-// change what others draw.
-func (network *Network) chance(share float64) bool {
+// draw reports true for the given share of calls. It draws no random number for a
+// share of 0, so that a disabled fault does not change the other draws.
+func (network *Network) draw(share float64) bool {
 	return share > 0 && network.random.Float64() < share
 }
 
-func (network *Network) transit() clock.Millis {
-	if network.chance(network.SlowShare) {
+func (network *Network) transitTime() clock.Millis {
+	if network.draw(network.SlowShare) {
 		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.SlowSpan)+1))
 	}
 	if network.options.Jitter <= 0 {
@@ -355,38 +357,38 @@
 	return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.options.Jitter)+1))
 }
 
-// Run lets virtual time pass.
+// Run advances the virtual time.
 func (network *Network) Run(span clock.Millis) {
 	end := network.Now + span
 	for len(network.queue) > 0 && network.queue[0].at <= end {
-		next := heap.Pop(&network.queue).(happening)
-		network.Now = next.at
-		next.do()
+		event := heap.Pop(&network.queue).(scheduledEvent)
+		network.Now = event.at
+		event.run()
 	}
 	network.Now = end
 }
 
-// RunUntil lets time pass until the condition holds or the span has passed, and
-// reports whether it holds.
+// RunUntil advances the virtual time until the condition holds or the span has
+// passed, and reports whether the condition holds.
 func (network *Network) RunUntil(span clock.Millis, condition func() bool) bool {
 	end := network.Now + span
 	for !condition() {
 		if len(network.queue) == 0 || network.queue[0].at > end {
 			return false
 		}
-		next := heap.Pop(&network.queue).(happening)
-		network.Now = next.at
-		next.do()
+		event := heap.Pop(&network.queue).(scheduledEvent)
+		network.Now = event.at
+		event.run()
 	}
 	return true
 }
 
-// After does something once the span has passed.
+// After calls a function once the span has passed.
 func (network *Network) After(span clock.Millis, do func()) {
 	network.after(span, do)
 }
 
 func (network *Network) after(span clock.Millis, do func()) {
 	network.sequence++
-	heap.Push(&network.queue, happening{at: network.Now + span, order: network.sequence, do: do})
+	heap.Push(&network.queue, scheduledEvent{at: network.Now + span, order: network.sequence, run: do})
 }
