--- a/internal/decide/effect/effect.go
+++ b/internal/decide/effect/effect.go
@@ -29,8 +29,8 @@
 	Stored *message.StoredAnswer
 }
 
-// Open starts to forward the answer of an attempt to the caller.
-type Open struct {
+// ForwardAnswer starts to forward the answer of an attempt to the caller.
+type ForwardAnswer struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
 	Lane        message.Lane
@@ -54,9 +54,9 @@
 	Request  message.Request
 	Resume   bool
 	Received uint64
-	// Until is the time after which the run must not be started. It is not set for
+	// ExpiresAt is the time after which the run must not be started. It is not set for
 	// a resume.
-	Until clock.Millis
+	ExpiresAt clock.Millis
 }
 
 // CancelRun asks the engine to end a run and to confirm it.
@@ -71,8 +71,8 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is the time after which the order must not be given.
-	Until clock.Millis
+	// ExpiresAt is the time after which the order must not be given.
+	ExpiresAt clock.Millis
 }
 
 // Unload orders an engine to unload an adapter.
@@ -80,8 +80,8 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is the time after which the order must not be given.
-	Until clock.Millis
+	// ExpiresAt is the time after which the order must not be given.
+	ExpiresAt clock.Millis
 }
 
 // ReadEngine asks for the engine's state report.
@@ -93,8 +93,8 @@
 	At clock.Millis
 }
 
-// ReadVMs asks for a reading of the VM list without delay.
-type ReadVMs struct{}
+// ReadVMList asks for a reading of the VM list without delay.
+type ReadVMList struct{}
 
 // CallService sends a request to a service that is not a model engine.
 type CallService struct {
@@ -133,15 +133,15 @@
 	ShutdownStarted   AuditKind = "ShutdownStarted"
 )
 
-func (Send) effect()        {}
-func (Answer) effect()      {}
-func (Open) effect()        {}
-func (Rebind) effect()      {}
-func (StartRun) effect()    {}
-func (CancelRun) effect()   {}
-func (Load) effect()        {}
-func (Unload) effect()      {}
-func (ReadEngine) effect()  {}
-func (ReadVMs) effect()     {}
-func (CallService) effect() {}
-func (Audit) effect()       {}
+func (Send) effect()          {}
+func (Answer) effect()        {}
+func (ForwardAnswer) effect() {}
+func (Rebind) effect()        {}
+func (StartRun) effect()      {}
+func (CancelRun) effect()     {}
+func (Load) effect()          {}
+func (Unload) effect()        {}
+func (ReadEngine) effect()    {}
+func (ReadVMList) effect()    {}
+func (CallService) effect()   {}
+func (Audit) effect()         {}
--- a/internal/decide/message/home.go
+++ b/internal/decide/message/home.go
@@ -21,8 +21,8 @@
 	EntryClass config.Class
 }
 
-// HomeVerdict is the answer to a HomeBegin.
-type HomeVerdict struct {
+// HomeDecision is the answer to a HomeBegin.
+type HomeDecision struct {
 	Key     string
 	Stream  ident.StreamID
 	Granted bool
@@ -77,17 +77,17 @@
 	Finished bool
 }
 
-// HomeForget deletes the copy of a record whose attempt did not run.
-type HomeForget struct {
+// HomeCopyDelete deletes the copy of a record whose attempt did not run.
+type HomeCopyDelete struct {
 	Key    string
 	Stream ident.StreamID
 }
 
 // Lane implementations of the messages about idempotency keys.
-func (begin HomeBegin) Lane() Lane         { return ControlLane }
-func (homeVerdict HomeVerdict) Lane() Lane { return ControlLane }
-func (finish HomeFinish) Lane() Lane       { return ControlLane }
-func (finished HomeFinished) Lane() Lane   { return ControlLane }
-func (copied HomeCopy) Lane() Lane         { return ControlLane }
-func (ack HomeCopyAck) Lane() Lane         { return ControlLane }
-func (homeForget HomeForget) Lane() Lane   { return ControlLane }
+func (begin HomeBegin) Lane() Lane               { return ControlLane }
+func (homeDecision HomeDecision) Lane() Lane     { return ControlLane }
+func (finish HomeFinish) Lane() Lane             { return ControlLane }
+func (finished HomeFinished) Lane() Lane         { return ControlLane }
+func (copied HomeCopy) Lane() Lane               { return ControlLane }
+func (ack HomeCopyAck) Lane() Lane               { return ControlLane }
+func (homeCopyDelete HomeCopyDelete) Lane() Lane { return ControlLane }
--- a/internal/decide/message/membership.go
+++ b/internal/decide/message/membership.go
@@ -23,14 +23,14 @@
 	Full bool
 	// Digest covers all owned engines, so that a receiver detects missed updates.
 	Digest  uint64
-	Engines []EngineNews
+	Engines []EngineDelta
 	// Departing lists engines that are leaving according to what the sender itself
 	// has read.
 	Departing []ident.EngineID
 }
 
-// EngineNews is the changed state of one engine.
-type EngineNews struct {
+// EngineDelta is the changed state of one engine.
+type EngineDelta struct {
 	_       struct{} `cbor:",toarray"`
 	Engine  ident.EngineID
 	Fence   ident.Fence
@@ -43,18 +43,18 @@
 	// Spare is as in EngineState. Its slow decay alone does not cause an update.
 	Spare     float64
 	ReportAge clock.Millis
-	Flags     NewsFlags
+	Flags     EngineFlags
 	// Detail is omitted if Residency is the same as in the previous update.
 	Detail *EngineDetail
 }
 
-// NewsFlags are boolean properties of an engine.
-type NewsFlags uint8
+// EngineFlags are boolean properties of an engine.
+type EngineFlags uint8
 
 // Flags of an engine.
 const (
-	NewsQuarantined NewsFlags = 1 << iota
-	NewsLeaving
+	FlagQuarantined EngineFlags = 1 << iota
+	FlagLeaving
 )
 
 // EngineDetail is the state of an engine that changes rarely.
@@ -65,15 +65,15 @@
 	Boot     ident.BootID
 }
 
-// UpdateAsk asks a daemon for a full update after missed ones.
-type UpdateAsk struct {
+// FullUpdateRequest asks a daemon for a full update after missed ones.
+type FullUpdateRequest struct {
 	_    struct{} `cbor:",toarray"`
 	From ident.DaemonID
 }
 
-// Outbid informs a daemon that claims an engine of a claim with a higher fencing
+// HigherClaim informs a daemon that claims an engine of a claim with a higher fencing
 // number that it may have missed.
-type Outbid struct {
+type HigherClaim struct {
 	_           struct{} `cbor:",toarray"`
 	Engine      ident.EngineID
 	Owner       ident.DaemonID
@@ -81,9 +81,9 @@
 	Fence       ident.Fence
 }
 
-// HandoverAsk asks an owner to hand over an engine. The sender has read a VM list
+// HandoverRequest asks an owner to hand over an engine. The sender has read a VM list
 // that makes it the first candidate.
-type HandoverAsk struct {
+type HandoverRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Engine ident.EngineID
 }
@@ -94,22 +94,22 @@
 	Fence  ident.Fence
 	// SentAt is the former owner's wall-clock time.
 	SentAt clock.Millis
-	Runs   []HandedRun
+	Runs   []UnfinishedRun
 	// Owner is the former owner if another daemon forwards the handover.
 	Owner ident.DaemonID
 }
 
-// Moved informs an entry that its waiting request was forwarded to another owner.
-type Moved struct {
+// RequestMoved informs an entry that its waiting request was forwarded to another owner.
+type RequestMoved struct {
 	_      struct{} `cbor:",toarray"`
 	Stream ident.StreamID
 	Class  config.Class
 	Owner  ident.DaemonID
 }
 
-// HandedRun is an unfinished run. Its adapter stays pinned, and the former owner
+// UnfinishedRun is an unfinished run. Its adapter stays pinned, and the former owner
 // continues to relay its answer.
-type HandedRun struct {
+type UnfinishedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Stream  ident.StreamID
 	Entry   ident.DaemonID
@@ -117,9 +117,9 @@
 }
 
 // Lane implementations of the membership and ownership messages.
-func (update Update) Lane() Lane           { return ControlLane }
-func (updateAsk UpdateAsk) Lane() Lane     { return ControlLane }
-func (handoverAsk HandoverAsk) Lane() Lane { return ControlLane }
-func (outbid Outbid) Lane() Lane           { return ControlLane }
-func (moved Moved) Lane() Lane             { return LaneOf(moved.Class) }
-func (handover Handover) Lane() Lane       { return ControlLane }
+func (update Update) Lane() Lane                       { return ControlLane }
+func (fullUpdateRequest FullUpdateRequest) Lane() Lane { return ControlLane }
+func (handoverRequest HandoverRequest) Lane() Lane     { return ControlLane }
+func (higherClaim HigherClaim) Lane() Lane             { return ControlLane }
+func (requestMoved RequestMoved) Lane() Lane           { return LaneOf(requestMoved.Class) }
+func (handover Handover) Lane() Lane                   { return ControlLane }
--- a/internal/decide/message/message.go
+++ b/internal/decide/message/message.go
@@ -100,8 +100,8 @@
 	Class  config.Class
 }
 
-// LoadAsk asks the broker of a weight store for permission to load an adapter.
-type LoadAsk struct {
+// LoadRequest asks the broker of a weight store for permission to load an adapter.
+type LoadRequest struct {
 	Store    string
 	Engine   ident.EngineID
 	Adapter  ident.Adapter
@@ -119,8 +119,8 @@
 	Lease   clock.Millis // duration
 }
 
-// LoadVerdict is the broker's answer to a request for a load.
-type LoadVerdict struct {
+// LoadDecision is the broker's answer to a request for a load.
+type LoadDecision struct {
 	Store   string
 	Engine  ident.EngineID
 	Adapter ident.Adapter
@@ -176,13 +176,13 @@
 }
 
 // Lane implementations of the request, load and engine state messages.
-func (submit Submit) Lane() Lane           { return LaneOf(submit.Request.Class) }
-func (dispatched Dispatched) Lane() Lane   { return LaneOf(dispatched.Class) }
-func (ended Ended) Lane() Lane             { return LaneOf(ended.Class) }
-func (cancel Cancel) Lane() Lane           { return LaneOf(cancel.Class) }
-func (loadAsk LoadAsk) Lane() Lane         { return ControlLane }
-func (grant LoadGrant) Lane() Lane         { return ControlLane }
-func (loadVerdict LoadVerdict) Lane() Lane { return ControlLane }
-func (done LoadDone) Lane() Lane           { return ControlLane }
-func (heartbeat Heartbeat) Lane() Lane     { return ControlLane }
-func (state EngineState) Lane() Lane       { return ControlLane }
+func (submit Submit) Lane() Lane             { return LaneOf(submit.Request.Class) }
+func (dispatched Dispatched) Lane() Lane     { return LaneOf(dispatched.Class) }
+func (ended Ended) Lane() Lane               { return LaneOf(ended.Class) }
+func (cancel Cancel) Lane() Lane             { return LaneOf(cancel.Class) }
+func (loadRequest LoadRequest) Lane() Lane   { return ControlLane }
+func (grant LoadGrant) Lane() Lane           { return ControlLane }
+func (loadDecision LoadDecision) Lane() Lane { return ControlLane }
+func (done LoadDone) Lane() Lane             { return ControlLane }
+func (heartbeat Heartbeat) Lane() Lane       { return ControlLane }
+func (state EngineState) Lane() Lane         { return ControlLane }
--- a/internal/decide/node/answer.go
+++ b/internal/decide/node/answer.go
@@ -35,7 +35,7 @@
 	return outcome.Lost(outcome.OwnerLost)
 }
 
-func (node *Node) callerGone(stream ident.StreamID) {
+func (node *Node) callerDisconnected(stream ident.StreamID) {
 	request, known := node.requests[stream]
 	if !known {
 		return
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -95,16 +95,16 @@
 	request.lastAttempt().Dispatched = true
 }
 
-// headArrived opens the answer of the current attempt to the caller. From then on
+// answerStarted opens the answer of the current attempt to the caller. From then on
 // no other attempt may replace it.
-func (node *Node) headArrived(event HeadArrived) {
+func (node *Node) answerStarted(event AnswerStarted) {
 	request, known := node.requests[event.Stream]
 	if !known || !request.inFlight() {
 		return
 	}
 	request.answerStarted = true
 	request.mayHaveRun = true
-	node.emit(effect.Open{
+	node.emit(effect.ForwardAnswer{
 		Stream: event.Stream, From: event.From, Lane: message.LaneOf(request.rule.Class),
 		Status: event.Status, ContentType: event.ContentType,
 	})
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -24,7 +24,7 @@
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
 		Cause: "two steps were too far apart", Before: versionText(uint64(previousStep)), After: versionText(uint64(node.now)),
 	})
-	node.emit(effect.ReadVMs{})
+	node.emit(effect.ReadVMList{})
 	for _, name := range node.ownedInOrder() {
 		node.ownerRole.owned[name].lastReadAt = 0
 	}
@@ -64,15 +64,15 @@
 			return next // a resume starts no run
 		}
 		node.checkOrder(next.Engine, owned)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	case effect.Load:
 		node.checkOrder(next.Engine, owned)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	case effect.Unload:
 		node.checkOrder(next.Engine, owned)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	}
 	return next
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -61,7 +61,7 @@
 	return options
 }
 
-func (node *Node) loadRequested(from ident.DaemonID, request message.LoadAsk) {
+func (node *Node) loadRequested(from ident.DaemonID, request message.LoadRequest) {
 	node.sendReplies(node.broker(request.Store).Ask(node.now, from, request))
 }
 
@@ -119,7 +119,7 @@
 }
 
 // loadDecided passes the broker's decision to the engine's owner state machine.
-func (node *Node) loadDecided(decision message.LoadVerdict) {
+func (node *Node) loadDecided(decision message.LoadDecision) {
 	if owned, known := node.ownerRole.owned[decision.Engine]; known {
 		node.ownerEffects(owned, owned.owner.Judged(node.now, decision))
 	}
--- a/internal/decide/node/brokering_test.go
+++ b/internal/decide/node/brokering_test.go
@@ -31,7 +31,7 @@
 }
 
 func sendRequest(network *nodetest.Network, daemon ident.DaemonID, request, model string) {
-	network.Arrive(daemon, node.Arrived{RequestID: request, APIKey: callerKey, Model: model, Path: "/v1/completions"})
+	network.SendRequest(daemon, node.RequestArrived{RequestID: request, APIKey: callerKey, Model: model, Path: "/v1/completions"})
 }
 
 func otherDaemon(network *nodetest.Network, excluded ident.DaemonID) ident.DaemonID {
@@ -96,7 +96,7 @@
 // TestFailingLoadsEndAsNotRun checks the refusal of a request when every load
 // fails.
 func TestFailingLoadsEndAsNotRun(t *testing.T) {
-	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500, FailLoadShare: 1})
+	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500, FailLoadShare: 1})
 	network.Run(5 * clock.Second)
 	sendRequest(network, "daemon-0", "r", "review-1@1")
 	network.RunUntil(25*clock.Second, func() bool { return len(network.Answers["r"]) > 0 })
@@ -111,7 +111,7 @@
 	}
 	require.NotEmpty(t, engines)
 	for _, engine := range network.Engines {
-		require.Empty(t, engine.Ran)
+		require.Empty(t, engine.RunsStarted)
 	}
 }
 
@@ -139,13 +139,13 @@
 	}
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 1, Delay: 1, Jitter: 2, TickInterval: 50, Config: published, VMs: vms,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	network.Run(6 * clock.Second)
 	for _, region := range regions {
 		for i := range 2 {
-			network.Arrive(ident.DaemonID(region+"-0"), node.Arrived{
+			network.SendRequest(ident.DaemonID(region+"-0"), node.RequestArrived{
 				RequestID: fmt.Sprintf("%s-%d", region, i), APIKey: region, Model: fmt.Sprintf("review-%d@1", i), Path: "/v1/completions",
 			})
 		}
--- a/internal/decide/node/entry.go
+++ b/internal/decide/node/entry.go
@@ -13,7 +13,7 @@
 
 // requestArrived handles a caller's request: it refuses it, asks the home of its
 // key, or places it.
-func (node *Node) requestArrived(event Arrived) {
+func (node *Node) requestArrived(event RequestArrived) {
 	request := &request{state: requestNew, arrival: event, stream: event.Stream}
 	request.record = outcome.Record{Request: event.RequestID, Daemon: node.options.Self, At: node.now, Target: event.Model + event.Service}
 	node.requests[event.Stream] = request
--- a/internal/decide/node/event.go
+++ b/internal/decide/node/event.go
@@ -13,8 +13,8 @@
 // Event is something that happened outside the decision state machines.
 type Event interface{ event() }
 
-// Arrived is a new request from a caller.
-type Arrived struct {
+// RequestArrived is a new request from a caller.
+type RequestArrived struct {
 	Stream    ident.StreamID // returned by NewStream
 	RequestID string
 	APIKey    string
@@ -38,21 +38,21 @@
 	NotRepeatable bool
 }
 
-// CallerGone reports that the caller's connection closed before the answer was
+// CallerDisconnected reports that the caller's connection closed before the answer was
 // complete.
-type CallerGone struct{ Stream ident.StreamID }
+type CallerDisconnected struct{ Stream ident.StreamID }
 
-// HeadArrived reports that the answer of an attempt has begun. The runtime forwards
+// AnswerStarted reports that the answer of an attempt has begun. The runtime forwards
 // it to the caller only once an effect of the node says so.
-type HeadArrived struct {
+type AnswerStarted struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
 	Status      int
 	ContentType string
 }
 
-// Received is a message received from another daemon.
-type Received struct {
+// MessageReceived is a message received from another daemon.
+type MessageReceived struct {
 	From    ident.DaemonID
 	Message message.Message
 }
@@ -130,18 +130,18 @@
 // Shutdown asks the daemon to shut down gracefully.
 type Shutdown struct{}
 
-func (Arrived) event()        {}
-func (CallerGone) event()     {}
-func (HeadArrived) event()    {}
-func (Received) event()       {}
-func (PeerLost) event()       {}
-func (RunEnded) event()       {}
-func (LoadEnded) event()      {}
-func (UnloadEnded) event()    {}
-func (EngineReported) event() {}
-func (ServiceEnded) event()   {}
-func (AnswerReceived) event() {}
-func (ConfigRead) event()     {}
-func (VMListRead) event()     {}
-func (Tick) event()           {}
-func (Shutdown) event()       {}
+func (RequestArrived) event()     {}
+func (CallerDisconnected) event() {}
+func (AnswerStarted) event()      {}
+func (MessageReceived) event()    {}
+func (PeerLost) event()           {}
+func (RunEnded) event()           {}
+func (LoadEnded) event()          {}
+func (UnloadEnded) event()        {}
+func (EngineReported) event()     {}
+func (ServiceEnded) event()       {}
+func (AnswerReceived) event()     {}
+func (ConfigRead) event()         {}
+func (VMListRead) event()         {}
+func (Tick) event()               {}
+func (Shutdown) event()           {}
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -32,12 +32,12 @@
 		return
 	}
 	node.ownerRole.handoverRequestSentAt[name] = node.now
-	node.send(claim.Owner, message.HandoverAsk{Engine: name})
+	node.send(claim.Owner, message.HandoverRequest{Engine: name})
 }
 
 // handoverRequested records that another daemon asks for an engine. The engine is
 // handed over once this daemon also sees that daemon as the first candidate.
-func (node *Node) handoverRequested(from ident.DaemonID, request message.HandoverAsk) {
+func (node *Node) handoverRequested(from ident.DaemonID, request message.HandoverRequest) {
 	if _, known := node.ownerRole.owned[request.Engine]; !known || node.config == nil || node.vms == nil {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // requestMoved records the new owner of a request that its former owner forwarded.
-func (node *Node) requestMoved(moved message.Moved) {
+func (node *Node) requestMoved(moved message.RequestMoved) {
 	if request, known := node.requests[moved.Stream]; known {
 		request.owner = moved.Owner
 	}
@@ -113,7 +113,7 @@
 	if handover.Owner == "" {
 		handover.Owner = from
 	}
-	node.higherClaimReceived(message.Outbid{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
+	node.higherClaimReceived(message.HigherClaim{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
 	claim, known := node.ownerRole.claims[handover.Engine]
 	if known && (claim.Fence > handover.Fence || claim.Owner != handover.Owner && claim.Fence == handover.Fence) {
 		return
@@ -156,7 +156,7 @@
 // higherClaimReceived handles a report of a claim with a higher fencing number. An
 // owner that missed the claim, because it was paused or partitioned, releases its
 // engine.
-func (node *Node) higherClaimReceived(higherClaim message.Outbid) {
+func (node *Node) higherClaimReceived(higherClaim message.HigherClaim) {
 	if higherClaim.Fence <= node.ownerRole.claims[higherClaim.Engine].Fence {
 		return
 	}
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (node *Node) homeDecided(from ident.DaemonID, decision message.HomeVerdict) {
+func (node *Node) homeDecided(from ident.DaemonID, decision message.HomeDecision) {
 	request, known := node.requests[decision.Stream]
 	if !known || request.state != requestAwaitingHome {
 		if decision.Granted {
@@ -117,7 +117,7 @@
 // It does nothing for a duplicate decision, whose request is still open or whose
 // outcome is being sent to the home, nor for a decision for an earlier incarnation of
 // this daemon, because only that incarnation knew whether the request ran.
-func (node *Node) releaseUnusedGrant(from ident.DaemonID, decision message.HomeVerdict) {
+func (node *Node) releaseUnusedGrant(from ident.DaemonID, decision message.HomeDecision) {
 	if decision.Stream.Incarnation != node.options.Incarnation || node.pendingFinishes[decision.Stream] != nil || node.hasOpenRequest(decision.Stream) {
 		return
 	}
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -87,7 +87,7 @@
 type receiverGroup struct {
 	sentAt       clock.Millis
 	deltasSentAt clock.Millis // last update that carried engines
-	lastSent     map[ident.EngineID]message.EngineNews
+	lastSent     map[ident.EngineID]message.EngineDelta
 }
 
 func newUpdateState() updateState {
@@ -96,7 +96,7 @@
 
 // deltaInterval returns the interval between two updates with engine deltas.
 func (node *Node) deltaInterval() clock.Millis {
-	return max(node.options.StateInterval, deltaIntervalPerDaemon*clock.Millis(len(node.regionNames)))
+	return max(node.options.MinUpdateInterval, deltaIntervalPerDaemon*clock.Millis(len(node.regionNames)))
 }
 
 // remoteInterval returns the interval between two updates to other data centres.
@@ -119,7 +119,7 @@
 	if node.vms == nil {
 		return
 	}
-	urgent := node.updates.urgent && node.now-node.updates.local.sentAt >= node.options.StateInterval
+	urgent := node.updates.urgent && node.now-node.updates.local.sentAt >= node.options.MinUpdateInterval
 	interval := node.deltaInterval()
 	if withEngines := urgent || node.now-node.updates.local.deltasSentAt >= interval; withEngines || node.now-node.updates.local.sentAt >= heartbeatInterval {
 		update := node.nextUpdate(&node.updates.local, withEngines)
@@ -127,7 +127,7 @@
 			node.sendUpdate(peer, update)
 		}
 	}
-	if urgent || node.now-node.updates.remote.sentAt >= max(interval*2, node.options.StateInterval) {
+	if urgent || node.now-node.updates.remote.sentAt >= max(interval*2, node.options.MinUpdateInterval) {
 		update := node.nextUpdate(&node.updates.remote, true)
 		update.Relay = true
 		for _, relay := range node.relays() {
@@ -154,7 +154,7 @@
 		return update
 	}
 	group.deltasSentAt = node.now
-	current := make(map[ident.EngineID]message.EngineNews, len(node.ownerRole.owned))
+	current := make(map[ident.EngineID]message.EngineDelta, len(node.ownerRole.owned))
 	for _, name := range node.ownedInOrder() {
 		delta := node.engineDelta(node.ownerRole.owned[name].owner)
 		if delta.Engine == "" {
@@ -203,35 +203,35 @@
 	return leaving
 }
 
-func countersChanged(previous, current message.EngineNews) bool {
+func countersChanged(previous, current message.EngineDelta) bool {
 	return previous.Queued != current.Queued || previous.Running != current.Running ||
 		previous.LoadsWaiting != current.LoadsWaiting || previous.Flags != current.Flags
 }
 
 // engineDelta returns the state of an owned engine; it is empty before the engine's
 // first report.
-func (node *Node) engineDelta(owner *owner.Owner) message.EngineNews {
+func (node *Node) engineDelta(owner *owner.Owner) message.EngineDelta {
 	if !owner.Known() {
-		return message.EngineNews{}
+		return message.EngineDelta{}
 	}
 	state := owner.State(node.now)
-	delta := message.EngineNews{
+	delta := message.EngineDelta{
 		Engine: state.Engine, Fence: state.Fence, Version: state.Version, Residency: owner.Residency(state.Resident, state.Wanted),
 		Queued: state.Queued, Running: state.Running, LoadsWaiting: state.LoadsWaiting, ReportAge: state.ReportAge,
 		Spare:  state.Spare,
 		Detail: &message.EngineDetail{Resident: state.Resident, Wanted: state.Wanted, Boot: state.Boot},
 	}
 	if state.Quarantined {
-		delta.Flags |= message.NewsQuarantined
+		delta.Flags |= message.FlagQuarantined
 	}
 	if state.Leaving {
-		delta.Flags |= message.NewsLeaving
+		delta.Flags |= message.FlagLeaving
 	}
 	return delta
 }
 
 // digestOf returns a digest of which engines are owned and what is loaded on them.
-func digestOf(deltas map[ident.EngineID]message.EngineNews) uint64 {
+func digestOf(deltas map[ident.EngineID]message.EngineDelta) uint64 {
 	digest := uint64(0)
 	for name, delta := range deltas {
 		digest ^= digestEngine(name, delta.Fence, delta.Residency)
@@ -311,10 +311,10 @@
 
 // engineDeltaReceived handles a claim to an engine and the changes of its state. Of
 // two claims, the one with the higher fencing number wins.
-func (node *Node) engineDeltaReceived(update message.Update, delta message.EngineNews) {
+func (node *Node) engineDeltaReceived(update message.Update, delta message.EngineDelta) {
 	claim, known := node.ownerRole.claims[delta.Engine]
 	if known && delta.Fence < claim.Fence {
-		node.send(update.From, message.Outbid{
+		node.send(update.From, message.HigherClaim{
 			Engine: delta.Engine, Owner: claim.Owner, Incarnation: claim.Incarnation, Fence: claim.Fence,
 		})
 		return
@@ -327,7 +327,7 @@
 	state := message.EngineState{
 		Engine: delta.Engine, Owner: update.From, Fence: delta.Fence, Version: delta.Version,
 		Queued: delta.Queued, Running: delta.Running, LoadsWaiting: delta.LoadsWaiting, ReportAge: delta.ReportAge, Spare: delta.Spare,
-		Quarantined: delta.Flags&message.NewsQuarantined != 0, Leaving: delta.Flags&message.NewsLeaving != 0,
+		Quarantined: delta.Flags&message.FlagQuarantined != 0, Leaving: delta.Flags&message.FlagLeaving != 0,
 	}
 	engines := node.updates.enginesOf(update.From)
 	reported := reportedEngine{fence: delta.Fence, residency: engines.engines[delta.Engine].residency}
@@ -356,7 +356,7 @@
 	engines.digestMismatches++
 	if engines.digestMismatches >= digestMismatchLimit && node.now-engines.fullRequestedAt >= fullUpdateRequestInterval {
 		engines.fullRequestedAt = node.now
-		node.send(update.From, message.UpdateAsk{From: node.options.Self})
+		node.send(update.From, message.FullUpdateRequest{From: node.options.Self})
 	}
 }
 
@@ -375,7 +375,7 @@
 // dropMissing removes engines that a full update of their owner no longer lists.
 func (node *Node) dropMissing(engines *peerEngines, update message.Update) {
 	for name := range engines.engines {
-		if !slices.ContainsFunc(update.Engines, func(delta message.EngineNews) bool { return delta.Engine == name }) {
+		if !slices.ContainsFunc(update.Engines, func(delta message.EngineDelta) bool { return delta.Engine == name }) {
 			engines.remove(name)
 			node.views.Drop(name)
 		}
@@ -383,17 +383,17 @@
 }
 
 // fullUpdateRequested replies with a full update.
-func (node *Node) fullUpdateRequested(request message.UpdateAsk) {
+func (node *Node) fullUpdateRequested(request message.FullUpdateRequest) {
 	update := node.updateWithoutEngines()
 	update.Full = true
-	deltas := map[ident.EngineID]message.EngineNews{}
+	deltas := map[ident.EngineID]message.EngineDelta{}
 	for _, name := range node.ownedInOrder() {
 		if delta := node.engineDelta(node.ownerRole.owned[name].owner); delta.Engine != "" {
 			deltas[name] = delta
 			update.Engines = append(update.Engines, delta)
 		}
 	}
-	slices.SortFunc(update.Engines, func(a, b message.EngineNews) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(update.Engines, func(a, b message.EngineDelta) int { return cmp.Compare(a.Engine, b.Engine) })
 	update.Digest = digestOf(deltas)
 	node.sendUpdate(request.From, update)
 }
@@ -402,7 +402,7 @@
 func (node *Node) refreshOwnViews() {
 	for _, name := range node.ownedInOrder() {
 		owned, view := node.ownerRole.owned[name], node.views.View(name)
-		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.HeardAt >= node.options.StateInterval
+		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.HeardAt >= node.options.MinUpdateInterval
 		if owned.owner.Known() && (due || node.updates.urgent) {
 			node.engineState(owned.owner.State(node.now))
 		}
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -43,25 +43,25 @@
 	Ownership ownership.Options
 	// RetryShare is the number of repeated attempts allowed per first attempt.
 	RetryShare float64
-	// StateInterval is the minimum time between two updates to other daemons.
-	StateInterval clock.Millis
-	// ReadInterval is the time between two reads of an owned engine's report.
-	ReadInterval clock.Millis
+	// MinUpdateInterval is the minimum time between two updates to other daemons.
+	MinUpdateInterval clock.Millis
+	// EngineReadInterval is the time between two reads of an owned engine's report.
+	EngineReadInterval clock.Millis
 }
 
 // DefaultOptions returns options with default limits. The daemon fills in its
 // identity.
 func DefaultOptions() Options {
 	return Options{
-		Owner:         owner.DefaultOptions(),
-		Home:          home.DefaultOptions(),
-		Loads:         loads.DefaultOptions(),
-		Weights:       placement.DefaultWeights(),
-		Rollout:       rollout.DefaultOptions(),
-		Ownership:     ownership.DefaultOptions(),
-		RetryShare:    0.1,
-		StateInterval: 250 * clock.Millisecond,
-		ReadInterval:  clock.Second,
+		Owner:              owner.DefaultOptions(),
+		Home:               home.DefaultOptions(),
+		Loads:              loads.DefaultOptions(),
+		Weights:            placement.DefaultWeights(),
+		Rollout:            rollout.DefaultOptions(),
+		Ownership:          ownership.DefaultOptions(),
+		RetryShare:         0.1,
+		MinUpdateInterval:  250 * clock.Millisecond,
+		EngineReadInterval: clock.Second,
 	}
 }
 
@@ -164,17 +164,17 @@
 
 func (node *Node) handle(event Event) {
 	switch event := event.(type) {
-	case Arrived:
+	case RequestArrived:
 		node.requestArrived(event)
-	case CallerGone:
-		node.callerGone(event.Stream)
-	case HeadArrived:
-		node.headArrived(event)
+	case CallerDisconnected:
+		node.callerDisconnected(event.Stream)
+	case AnswerStarted:
+		node.answerStarted(event)
 	case ServiceEnded:
 		node.serviceEnded(event)
 	case AnswerReceived:
 		node.answerReceived(event)
-	case Received:
+	case MessageReceived:
 		node.received(event.From, event.Message)
 	case PeerLost:
 		node.peers.Lost(event.Peer)
@@ -219,7 +219,7 @@
 		node.attemptEnded(from, received)
 	case message.HomeBegin:
 		node.homeEffects(node.home.Begin(node.now, received))
-	case message.HomeVerdict:
+	case message.HomeDecision:
 		node.homeDecided(from, received)
 	case message.HomeFinish:
 		node.homeEffects(node.home.Finish(node.now, received))
@@ -229,13 +229,13 @@
 		node.homeEffects(node.home.Copied(node.now, received))
 	case message.HomeCopyAck:
 		node.homeEffects(node.home.CopyConfirmed(received))
-	case message.HomeForget:
+	case message.HomeCopyDelete:
 		node.homeEffects(node.home.Forgotten(received))
-	case message.LoadAsk:
+	case message.LoadRequest:
 		node.loadRequested(from, received)
 	case message.LoadGrant:
 		node.loadGrant(received)
-	case message.LoadVerdict:
+	case message.LoadDecision:
 		node.loadDecided(received)
 	case message.LoadDone:
 		node.loadDone(received)
@@ -249,13 +249,13 @@
 		node.configEffects(node.rollout.Part(node.now, received))
 	case message.Update:
 		node.updateReceived(received)
-	case message.UpdateAsk:
+	case message.FullUpdateRequest:
 		node.fullUpdateRequested(received)
-	case message.HandoverAsk:
+	case message.HandoverRequest:
 		node.handoverRequested(from, received)
-	case message.Outbid:
+	case message.HigherClaim:
 		node.higherClaimReceived(received)
-	case message.Moved:
+	case message.RequestMoved:
 		node.requestMoved(received)
 	case message.Handover:
 		node.handoverReceived(from, received)
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -40,7 +40,7 @@
 	submit.Entry = entry
 	submit.Hops++
 	node.send(successor, submit)
-	node.send(entry, message.Moved{Stream: submit.Stream, Class: submit.Request.Class, Owner: successor})
+	node.send(entry, message.RequestMoved{Stream: submit.Stream, Class: submit.Request.Class, Owner: successor})
 }
 
 // forwardOrRefuseSubmit handles a request for an engine that this daemon does not
--- a/internal/decide/node/ownership_test.go
+++ b/internal/decide/node/ownership_test.go
@@ -55,9 +55,9 @@
 		Seed: rapid.Uint64Range(1, 1<<32).Draw(t, "seed"), Delay: 2, Jitter: 30, TickInterval: 50,
 		Config: published, VMs: vms,
 		Engine: nodetest.EngineOptions{
-			RunSpan:   rapid.SampledFrom([]clock.Millis{300, 1500, 4000, 9000}).Draw(t, "run span"),
-			LoadSpan:  200,
-			ReportLag: rapid.SampledFrom([]clock.Millis{0, 400, 1500}).Draw(t, "report lag"),
+			RunDuration:  rapid.SampledFrom([]clock.Millis{300, 1500, 4000, 9000}).Draw(t, "run span"),
+			LoadDuration: 200,
+			ReportLag:    rapid.SampledFrom([]clock.Millis{0, 400, 1500}).Draw(t, "report lag"),
 		},
 		Node: node.DefaultOptions(),
 	})
@@ -89,7 +89,7 @@
 	network := faultHistory.network
 	name := faultHistory.names[remaining%len(faultHistory.names)]
 	if host := network.Nodes[name]; !host.Dead && !host.Paused {
-		network.Arrive(name, node.Arrived{
+		network.SendRequest(name, node.RequestArrived{
 			RequestID: fmt.Sprintf("flow %d", remaining), APIKey: callerKey, Path: "/v1/completions",
 			Model: fmt.Sprintf("review-%d@1", remaining*7%8),
 		})
@@ -120,7 +120,7 @@
 			continue
 		}
 		faultHistory.requestCount++
-		faultHistory.network.Arrive(name, node.Arrived{
+		faultHistory.network.SendRequest(name, node.RequestArrived{
 			RequestID: fmt.Sprintf("r%d", faultHistory.requestCount), APIKey: callerKey, Path: "/v1/completions",
 			Model: fmt.Sprintf("review-%d@1", rapid.SampledFrom([]int{0, 1, 2, 3, 4, 5, 6, 7}).Draw(faultHistory.t, "adapter")),
 		})
@@ -133,7 +133,7 @@
 func (faultHistory *faultHistory) disconnectCaller(name ident.DaemonID) {
 	request := fmt.Sprintf("r%d", faultHistory.requestCount)
 	host := faultHistory.network.Nodes[name]
-	faultHistory.network.After(faultHistory.drawDuration(2*clock.Second), func() { faultHistory.network.Leave(host, request) })
+	faultHistory.network.After(faultHistory.drawDuration(2*clock.Second), func() { faultHistory.network.DisconnectCaller(host, request) })
 }
 
 func (faultHistory *faultHistory) pause() {
@@ -171,7 +171,7 @@
 // each daemon a different lag of its readings.
 func (faultHistory *faultHistory) changeVMList() {
 	for _, name := range faultHistory.names {
-		faultHistory.network.ListLag[name] = faultHistory.drawDuration(maxListLag)
+		faultHistory.network.VMListLag[name] = faultHistory.drawDuration(maxListLag)
 	}
 	vms := faultHistory.network.VMs()
 	changed := faultHistory.daemon()
@@ -186,8 +186,8 @@
 
 func (faultHistory *faultHistory) failVMListReads() {
 	name := faultHistory.daemon()
-	faultHistory.network.ListDown[name] = true
-	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { delete(faultHistory.network.ListDown, name) })
+	faultHistory.network.VMListUnavailable[name] = true
+	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() { delete(faultHistory.network.VMListUnavailable, name) })
 }
 
 func (faultHistory *faultHistory) restartEngine() {
@@ -197,7 +197,7 @@
 // degradeNetwork makes messages get lost, arrive twice and overtake each other.
 func (faultHistory *faultHistory) degradeNetwork() {
 	network := faultHistory.network
-	network.DropShare, network.DuplicateShare, network.SlowShare, network.SlowSpan = 0.1, 0.1, 0.1, 5*clock.Second
+	network.DropShare, network.DuplicateShare, network.SlowShare, network.MaxSlowDelay = 0.1, 0.1, 0.1, 5*clock.Second
 	network.After(faultHistory.drawDuration(maxFaultDuration), func() {
 		network.DropShare, network.DuplicateShare, network.SlowShare = 0, 0, 0
 	})
@@ -211,7 +211,7 @@
 	if host.Dead || host.Paused {
 		return
 	}
-	faultHistory.network.Feed(host, node.Shutdown{})
+	faultHistory.network.HandleEvent(host, node.Shutdown{})
 	faultHistory.network.After(faultHistory.drawDuration(maxFaultDuration), func() {
 		if !host.Dead {
 			faultHistory.network.Kill(name)
@@ -250,8 +250,8 @@
 // again.
 func (faultHistory *faultHistory) recoverAndServe() {
 	network := faultHistory.network
-	clear(network.ListDown)
-	clear(network.ListLag)
+	clear(network.VMListUnavailable)
+	clear(network.VMListLag)
 	vms := network.VMs()
 	for i := range vms {
 		vms[i].State = members.Live
@@ -260,7 +260,7 @@
 	network.Run(3 * maxFaultDuration)
 	for i, name := range network.HostNames() {
 		request := fmt.Sprintf("last %d", i)
-		network.Arrive(name, node.Arrived{
+		network.SendRequest(name, node.RequestArrived{
 			RequestID: request, APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1",
 		})
 		answered := network.RunUntil(maxFaultDuration+10*clock.Second, func() bool { return len(network.Answers[request]) > 0 })
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -302,7 +302,7 @@
 // tickOwned advances the state machine of an owned engine and reads the engine's
 // report when due.
 func (node *Node) tickOwned(name ident.EngineID, owned *ownedEngine) {
-	if node.now-owned.lastReadAt >= node.options.ReadInterval {
+	if node.now-owned.lastReadAt >= node.options.EngineReadInterval {
 		owned.lastReadAt = node.now
 		node.presentFence(name, owned)
 		node.emit(effect.ReadEngine{Engine: name, Fence: owned.owner.Fence, At: node.now})
--- a/internal/decide/node/request.go
+++ b/internal/decide/node/request.go
@@ -58,7 +58,7 @@
 // request is a caller's request at its entry.
 type request struct {
 	state    requestState
-	arrival  Arrived
+	arrival  RequestArrived
 	stream   ident.StreamID // of the current attempt
 	adapter  ident.Adapter
 	rule     config.Decision
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -28,7 +28,7 @@
 func startLongRun(t *testing.T, model string) *longRun {
 	t.Helper()
 	network := newNetwork(t, 4, 1)
-	network.Engines["engine-0"].SetRunSpan(4 * clock.Second)
+	network.Engines["engine-0"].SetRunDuration(4 * clock.Second)
 	longRun := &longRun{network: network}
 	network.OnSend = func(_, to ident.DaemonID, sent message.Message) {
 		switch sent := sent.(type) {
@@ -47,17 +47,17 @@
 			longRun.entry = name
 		}
 	}
-	network.Arrive(longRun.entry, node.Arrived{
+	network.SendRequest(longRun.entry, node.RequestArrived{
 		RequestID: "r", APIKey: callerKey, Model: model, Path: "/v1/completions",
 		Key: "k", KeyIssuedAt: network.Now, BodyHash: "h",
 	})
-	runStarted := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].Ran["r"] == 1 })
+	runStarted := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].RunsStarted["r"] == 1 })
 	require.True(t, runStarted)
 	return longRun
 }
 
 func (longRun *longRun) feed(event node.Event) {
-	longRun.network.Feed(longRun.network.Nodes[longRun.entry], event)
+	longRun.network.HandleEvent(longRun.network.Nodes[longRun.entry], event)
 }
 
 // killOwner kills the engine's owner and removes it from the VM list.
@@ -77,7 +77,7 @@
 	longRun.network.Run(30 * clock.Second)
 	require.Len(t, longRun.network.Answers["r"], 1)
 	require.Equal(t, want, longRun.network.Answers["r"][0].Outcome)
-	require.Equal(t, 1, longRun.network.Engines["engine-0"].Ran["r"], "runs")
+	require.Equal(t, 1, longRun.network.Engines["engine-0"].RunsStarted["r"], "runs")
 }
 
 // TestLostRunIsResumed kills the owner of an engine during a run that must not be
@@ -87,7 +87,7 @@
 		t.Run(name, func(t *testing.T) {
 			longRun := startLongRun(t, model)
 			if model == "review-1@1" {
-				longRun.feed(node.HeadArrived{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
+				longRun.feed(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
 			}
 			longRun.killOwner()
 			longRun.requireAnswered(t, outcome.Done())
@@ -103,7 +103,7 @@
 // the owner sent.
 func TestMissingChunksEndAsTruncated(t *testing.T) {
 	longRun := startLongRun(t, "quote-1@1")
-	longRun.feed(node.HeadArrived{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
+	longRun.feed(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
 	longRun.feed(node.AnswerReceived{Stream: longRun.lastSubmit.Stream, Chunks: 2})
 	longRun.requireAnswered(t, outcome.Lost(outcome.Truncated))
 }
@@ -114,7 +114,7 @@
 	longRun := startLongRun(t, "quote-1@1")
 	longRun.killOwner()
 	longRun.network.Run(10)
-	longRun.feed(node.CallerGone{Stream: longRun.lastSubmit.Stream})
+	longRun.feed(node.CallerDisconnected{Stream: longRun.lastSubmit.Stream})
 	require.Equal(t, outcome.Lost(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
 	longRun.network.Run(20 * clock.Second)
 	require.NotEmpty(t, longRun.cancels)
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -102,8 +102,8 @@
 	service.answerWatches()
 }
 
-// Remember makes the current values the stale ones permanently.
-func (service *ConfigService) Remember() {
+// FixStaleValues makes the current values the stale ones permanently.
+func (service *ConfigService) FixStaleValues() {
 	service.staleValues = maps.Clone(service.values)
 	service.staleValuesFixed = true
 }
@@ -167,7 +167,7 @@
 func (service *ConfigService) reply(host *Host, generation uint64, event node.Event) {
 	service.network.after(service.network.options.Delay, func() {
 		if host.generation == generation {
-			service.network.Feed(host, event)
+			service.network.HandleEvent(host, event)
 		}
 	})
 }
@@ -212,7 +212,7 @@
 	generation := host.generation
 	service.network.after(assemblyDuration, func() {
 		if host.generation == generation {
-			service.network.Feed(host, assembled)
+			service.network.HandleEvent(host, assembled)
 		}
 	})
 }
@@ -223,7 +223,7 @@
 func (network *Network) performConfigEffect(host *Host, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.WatchConfig:
-		if network.options.Published {
+		if network.options.UseConfigService {
 			network.Service.watch(host, next)
 		}
 	case effect.ReadConfigPart:
@@ -233,9 +233,9 @@
 	}
 }
 
-// InForce returns the number of live daemons per version in force; daemons without
+// VersionsInForce returns the number of live daemons per version in force; daemons without
 // a configuration count under 0.
-func (network *Network) InForce() map[uint64]int {
+func (network *Network) VersionsInForce() map[uint64]int {
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
 		if !host.Dead {
@@ -252,9 +252,9 @@
 	return host.Node.Config().Version()
 }
 
-// Everywhere reports whether every live daemon that is not paused has the version
+// InForceEverywhere reports whether every live daemon that is not paused has the version
 // in force.
-func (network *Network) Everywhere(wanted uint64) bool {
+func (network *Network) InForceEverywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
 		return !host.Dead && !host.Paused && versionInForce(host) != wanted
 	})
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -16,10 +16,10 @@
 
 // EngineOptions describe the fake engines and the weight store that they load from.
 type EngineOptions struct {
-	// RunSpan is how long a run takes.
-	RunSpan clock.Millis
-	// LoadSpan is how long the store takes for a load.
-	LoadSpan clock.Millis
+	// RunDuration is how long a run takes.
+	RunDuration clock.Millis
+	// LoadDuration is how long the store takes for a load.
+	LoadDuration clock.Millis
 	// ReportLag is the age of a state report.
 	ReportLag clock.Millis
 	// FailLoadShare is the share of loads that fail, from 0 to 1.
@@ -30,8 +30,8 @@
 
 // Engine is a fake model engine. Tests check its runs and violations.
 type Engine struct {
-	// Ran counts the runs started, by request id.
-	Ran map[string]int
+	// RunsStarted counts the runs started, by request id.
+	RunsStarted map[string]int
 	// Violations lists orders that broke a guarantee, such as an unload of an
 	// adapter in use.
 	Violations []string
@@ -72,14 +72,14 @@
 }
 
 func newEngine(network *Network, engine config.Engine, options EngineOptions) *Engine {
-	fake := &Engine{Ran: map[string]int{}, network: network, config: engine, options: options}
+	fake := &Engine{RunsStarted: map[string]int{}, network: network, config: engine, options: options}
 	fake.Restart()
 	return fake
 }
 
-// SetRunSpan changes how long a run takes.
-func (engine *Engine) SetRunSpan(span clock.Millis) {
-	engine.options.RunSpan = span
+// SetRunDuration changes how long a run takes.
+func (engine *Engine) SetRunDuration(span clock.Millis) {
+	engine.options.RunDuration = span
 }
 
 // Restart discards slots and runs, as a cold start does.
@@ -123,7 +123,7 @@
 	generation := host.generation
 	engine.network.after(engine.network.options.Delay, func() {
 		if host.generation == generation {
-			engine.network.Feed(host, event)
+			engine.network.HandleEvent(host, event)
 		}
 	})
 }
@@ -159,8 +159,8 @@
 func (engine *Engine) begin(host *Host, start effect.StartRun) {
 	run := &run{adapter: start.Request.Adapter, request: start.Request.ID}
 	engine.runs[start.Stream] = run
-	engine.Ran[start.Request.ID]++
-	engine.network.options.Observer.began(engine.network.Now, start.Request.ID, engine.config.Name)
+	engine.RunsStarted[start.Request.ID]++
+	engine.network.options.Observer.runStarted(engine.network.Now, start.Request.ID, engine.config.Name)
 	if engine.options.Step.Base > 0 {
 		run.tokensLeft = tokensOf(start.Request.Body)
 		engine.reportEnd(host, start.Stream, run)
@@ -168,7 +168,7 @@
 		return
 	}
 	boots := engine.boots
-	engine.network.after(engine.options.RunSpan, func() {
+	engine.network.after(engine.options.RunDuration, func() {
 		if engine.boots == boots {
 			run.ended = true
 		}
@@ -193,7 +193,7 @@
 		run.waiters = append(run.waiters, onEnd)
 		return
 	}
-	engine.network.after(engine.options.RunSpan, onEnd)
+	engine.network.after(engine.options.RunDuration, onEnd)
 }
 
 func (engine *Engine) cancel(host *Host, cancel effect.CancelRun) {
@@ -220,7 +220,7 @@
 			return
 		}
 		store := &engine.network.store
-		store.freeAt = max(store.freeAt, engine.network.Now) + engine.options.LoadSpan
+		store.freeAt = max(store.freeAt, engine.network.Now) + engine.options.LoadDuration
 		store.loads++
 		boots := engine.boots
 		engine.network.after(store.freeAt-engine.network.Now, func() {
@@ -230,7 +230,7 @@
 			if !failed {
 				engine.loaded[load.Adapter] = true
 			}
-			engine.network.options.Observer.loaded(engine.network.Now, engine.config.Name, load.Adapter, failed)
+			engine.network.options.Observer.loadEnded(engine.network.Now, engine.config.Name, load.Adapter, failed)
 			engine.reply(host, node.LoadEnded{Engine: engine.config.Name, Adapter: load.Adapter, Failed: failed})
 		})
 	})
@@ -242,7 +242,7 @@
 		if !failed {
 			engine.checkUnload(host, unload)
 			delete(engine.loaded, unload.Adapter)
-			engine.network.options.Observer.unloaded(engine.network.Now, engine.config.Name, unload.Adapter)
+			engine.network.options.Observer.adapterUnloaded(engine.network.Now, engine.config.Name, unload.Adapter)
 		}
 		engine.reply(host, node.UnloadEnded{Engine: engine.config.Name, Adapter: unload.Adapter, Failed: failed, Fenced: failed})
 	})
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -32,16 +32,16 @@
 	Config       config.Config
 	VMs          []members.VM
 	Engine       EngineOptions
-	// Published is set if daemons read the configuration from the network's
+	// UseConfigService is set if daemons read the configuration from the network's
 	// configuration service; otherwise each is given it at its start.
-	Published bool
+	UseConfigService bool
 	// Node holds the options of each node; the network sets the identity.
 	Node node.Options
 	// Observer is notified of events.
 	Observer Observer
-	// Instant gives every daemon the current state of every engine before each
+	// PerfectKnowledge gives every daemon the current state of every engine before each
 	// arrival. Baselines of a replay use this perfect knowledge.
-	Instant bool
+	PerfectKnowledge bool
 }
 
 // Network is a set of nodes with their simulated environment.
@@ -54,8 +54,8 @@
 	Answers map[string][]effect.Answer
 	// Audits holds every audited change, in order.
 	Audits []effect.Audit
-	// Ledger counts the calls that services ran, by service and request id.
-	Ledger map[string]int
+	// ServiceCalls counts the calls that services ran, by service and request id.
+	ServiceCalls map[string]int
 	// Blocked lists the directions in which all messages are lost.
 	Blocked map[Direction]bool
 	// DropShare is the share of messages that are lost, from 0 to 1.
@@ -65,12 +65,12 @@
 	// SlowShare is the share of messages that are delayed, so that later messages may
 	// overtake them.
 	SlowShare float64
-	// SlowSpan is the maximum delay that is added to those messages.
-	SlowSpan clock.Millis
-	// ListLag is the age of the VM list that a daemon reads.
-	ListLag map[ident.DaemonID]clock.Millis
-	// ListDown lists the daemons that cannot read the VM list.
-	ListDown map[ident.DaemonID]bool
+	// MaxSlowDelay is the maximum delay that is added to those messages.
+	MaxSlowDelay clock.Millis
+	// VMListLag is the age of the VM list that a daemon reads.
+	VMListLag map[ident.DaemonID]clock.Millis
+	// VMListUnavailable lists the daemons that cannot read the VM list.
+	VMListUnavailable map[ident.DaemonID]bool
 	// Steps counts the events that nodes have processed.
 	Steps int
 	// OnSend is called for every message that one daemon sends to another.
@@ -116,8 +116,8 @@
 	}
 	network := &Network{
 		Now: Start, Nodes: map[ident.DaemonID]*Host{}, Engines: map[ident.EngineID]*Engine{},
-		Answers: map[string][]effect.Answer{}, Ledger: map[string]int{}, Blocked: map[Direction]bool{},
-		ListLag: map[ident.DaemonID]clock.Millis{}, ListDown: map[ident.DaemonID]bool{},
+		Answers: map[string][]effect.Answer{}, ServiceCalls: map[string]int{}, Blocked: map[Direction]bool{},
+		VMListLag: map[ident.DaemonID]clock.Millis{}, VMListUnavailable: map[ident.DaemonID]bool{},
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 0)), snapshot: snapshot,
 	}
 	network.Service = newConfigService(network)
@@ -145,8 +145,8 @@
 	network.sequence++
 	host := &Host{Name: name, Node: node.New(options), VM: vm, generation: network.sequence, streams: map[ident.StreamID]string{}}
 	network.Nodes[name] = host
-	if !network.options.Published {
-		network.Feed(host, node.ConfigRead{Snapshot: network.snapshot})
+	if !network.options.UseConfigService {
+		network.HandleEvent(host, node.ConfigRead{Snapshot: network.snapshot})
 	}
 	network.readLists(host)
 	network.tick(host)
@@ -192,16 +192,16 @@
 // readList makes a daemon read the VM list with its lag. A paused daemon reads
 // nothing.
 func (network *Network) readList(host *Host) {
-	if host.Paused || host.Dead || network.ListDown[host.Name] {
+	if host.Paused || host.Dead || network.VMListUnavailable[host.Name] {
 		return
 	}
 	list := network.listVersions[0].list
 	for _, timed := range network.listVersions {
-		if network.Now-timed.at >= network.ListLag[host.Name] {
+		if network.Now-timed.at >= network.VMListLag[host.Name] {
 			list = timed.list
 		}
 	}
-	network.Feed(host, node.VMListRead{View: members.NewView(list, network.Now)})
+	network.HandleEvent(host, node.VMListRead{View: members.NewView(list, network.Now)})
 }
 
 // Kill ends a daemon without notice. Its peers detect the lost connections.
@@ -214,7 +214,7 @@
 
 func (network *Network) reportLostLanes(host *Host, peer ident.DaemonID) {
 	for lane := range message.LaneCount {
-		network.after(network.options.Delay, func() { network.Feed(host, node.PeerLost{Peer: peer, Lane: lane}) })
+		network.after(network.options.Delay, func() { network.HandleEvent(host, node.PeerLost{Peer: peer, Lane: lane}) })
 	}
 }
 
@@ -230,13 +230,13 @@
 	backlog := host.backlog
 	host.backlog = nil
 	for _, event := range backlog {
-		network.Feed(host, event)
+		network.HandleEvent(host, event)
 	}
 }
 
 func (network *Network) tick(host *Host) {
 	if !host.Paused {
-		network.Feed(host, node.Tick{})
+		network.HandleEvent(host, node.Tick{})
 	}
 	generation := host.generation
 	network.after(network.options.TickInterval, func() {
@@ -246,29 +246,29 @@
 	})
 }
 
-// Arrive sends a caller's request to a daemon.
-func (network *Network) Arrive(name ident.DaemonID, arrived node.Arrived) {
+// SendRequest sends a caller's request to a daemon.
+func (network *Network) SendRequest(name ident.DaemonID, arrived node.RequestArrived) {
 	host := network.Nodes[name]
-	if network.options.Instant {
+	if network.options.PerfectKnowledge {
 		network.sendEngineStates(host)
 	}
 	arrived.Stream = host.Node.NewStream()
 	host.streams[arrived.Stream] = arrived.RequestID
-	network.Feed(host, arrived)
+	network.HandleEvent(host, arrived)
 }
 
-// Leave closes the connection of a request's caller.
-func (network *Network) Leave(host *Host, request string) {
+// DisconnectCaller closes the connection of a request's caller.
+func (network *Network) DisconnectCaller(host *Host, request string) {
 	for stream, id := range host.streams {
 		if id == request {
-			network.Feed(host, node.CallerGone{Stream: stream})
+			network.HandleEvent(host, node.CallerDisconnected{Stream: stream})
 			return
 		}
 	}
 }
 
-// Feed passes an event to a node and carries out its effects.
-func (network *Network) Feed(host *Host, event node.Event) {
+// HandleEvent passes an event to a node and carries out its effects.
+func (network *Network) HandleEvent(host *Host, event node.Event) {
 	if host.Dead {
 		return
 	}
@@ -290,7 +290,7 @@
 		request := host.streams[next.Stream]
 		delete(host.streams, next.Stream)
 		network.Answers[request] = append(network.Answers[request], next)
-		network.options.Observer.answered(network.Now, request, next)
+		network.options.Observer.requestAnswered(network.Now, request, next)
 	case effect.Rebind:
 		host.streams[next.To] = host.streams[next.From]
 		delete(host.streams, next.From)
@@ -304,12 +304,12 @@
 		network.Engines[next.Engine].unload(host, next)
 	case effect.ReadEngine:
 		network.Engines[next.Engine].read(host, next)
-	case effect.ReadVMs:
+	case effect.ReadVMList:
 		network.after(network.options.Delay, func() { network.readList(host) })
 	case effect.CallService:
-		network.Ledger[next.Service+"/"+host.streams[next.Stream]]++
+		network.ServiceCalls[next.Service+"/"+host.streams[next.Stream]]++
 		network.after(network.options.Delay, func() {
-			network.Feed(host, node.ServiceEnded{
+			network.HandleEvent(host, node.ServiceEnded{
 				Stream: next.Stream, Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: 200},
 			})
 		})
@@ -332,7 +332,7 @@
 	}
 	deliver := func() {
 		if to, known := network.Nodes[sent.To]; known {
-			network.Feed(to, node.Received{From: from.Name, Message: sent.Message})
+			network.HandleEvent(to, node.MessageReceived{From: from.Name, Message: sent.Message})
 		}
 	}
 	network.after(network.transitTime(), deliver)
@@ -349,7 +349,7 @@
 
 func (network *Network) transitTime() clock.Millis {
 	if network.draw(network.SlowShare) {
-		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.SlowSpan)+1))
+		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.MaxSlowDelay)+1))
 	}
 	if network.options.Jitter <= 0 {
 		return network.options.Delay
--- a/internal/decide/nodetest/steps.go
+++ b/internal/decide/nodetest/steps.go
@@ -54,7 +54,7 @@
 	for _, run := range engine.batch {
 		adapters[run.adapter] = true
 	}
-	engine.network.options.Observer.stepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
+	engine.network.options.Observer.batchStepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
 	batch := append([]*run(nil), engine.batch...)
 	boots := engine.boots
 	engine.network.after(engine.options.Step.stepDuration(len(batch), len(adapters)), func() {
