--- a/internal/direct/quota/flow.go
+++ b/internal/direct/quota/flow.go
@@ -6,63 +6,64 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// flow is a rate as of late: units that fade with recentSpan.
-type flow struct {
-	units float64
-	at    clock.Millis
+// decayingSum is an exponentially decaying sum of units with the time constant
+// rateTimeConstant. It estimates the recent rate.
+type decayingSum struct {
+	units     float64
+	updatedAt clock.Millis
 }
 
-// faded returns the units that count now.
-func (flow *flow) faded(now clock.Millis) float64 {
-	if now <= flow.at {
-		return flow.units
+// decayed returns the sum at a time.
+func (decayingSum *decayingSum) decayed(now clock.Millis) float64 {
+	if now <= decayingSum.updatedAt {
+		return decayingSum.units
 	}
-	return flow.units * math.Exp(-float64(now-flow.at)/float64(recentSpan))
+	return decayingSum.units * math.Exp(-float64(now-decayingSum.updatedAt)/float64(rateTimeConstant))
 }
 
-func (flow *flow) add(now clock.Millis, units float64) {
-	flow.units = max(0, flow.faded(now)+units)
-	flow.at = max(flow.at, now)
+func (decayingSum *decayingSum) add(now clock.Millis, units float64) {
+	decayingSum.units = max(0, decayingSum.decayed(now)+units)
+	decayingSum.updatedAt = max(decayingSum.updatedAt, now)
 }
 
-// rate returns units a second.
-func (flow *flow) rate(now clock.Millis) float64 {
-	return flow.faded(now) / recentSpan.Seconds()
+// rate returns the recent rate in units a second.
+func (decayingSum *decayingSum) rate(now clock.Millis) float64 {
+	return decayingSum.decayed(now) / rateTimeConstant.Seconds()
 }
 
-// memoryStep and memorySteps are how long a memory reaches back: longer than it takes to
-// find that a daemon is silent, as rates may have jumped since it was heard.
+// A history covers historySteps times historyStep. That is longer than it takes to detect
+// that a daemon is silent, as rates may have risen sharply since its last report.
 const (
-	memoryStep  = 200 * clock.Millisecond
-	memorySteps = 6
+	historyStep  = 200 * clock.Millisecond
+	historySteps = 6
 )
 
-// moment is how an account stood at some time.
-type moment struct {
-	at      clock.Millis
-	level   float64
-	units   float64 // that all daemons had used
-	all     float64 // rate of all daemons, in units a second
-	own     float64 // of this one
-	reached float64 // that daemons which were heard could use
+// snapshot is the state of an account at some time.
+type snapshot struct {
+	at            clock.Millis
+	level         float64
+	units         float64 // used by all daemons
+	allRate       float64 // rate of all daemons, in units a second
+	ownRate       float64 // rate of this daemon
+	reachableRate float64 // rate that the reachable daemons could use
 }
 
-// memory is how an account stood at the last steps, the oldest first.
-type memory struct {
-	steps [memorySteps]moment
+// history holds the last snapshots of an account, the oldest first.
+type history struct {
+	steps [historySteps]snapshot
 }
 
-func (memory *memory) note(noted moment) {
-	copy(memory.steps[:], memory.steps[1:])
-	memory.steps[memorySteps-1] = noted
+func (history *history) add(snapshot snapshot) {
+	copy(history.steps[:], history.steps[1:])
+	history.steps[historySteps-1] = snapshot
 }
 
-// at returns how the account stood at a time, or the oldest that is remembered.
-func (memory *memory) at(time clock.Millis) moment {
-	for i := memorySteps - 1; i > 0; i-- {
-		if memory.steps[i].at <= time {
-			return memory.steps[i]
+// at returns the last snapshot taken at or before a time, or else the oldest one.
+func (history *history) at(time clock.Millis) snapshot {
+	for i := historySteps - 1; i > 0; i-- {
+		if history.steps[i].at <= time {
+			return history.steps[i]
 		}
 	}
-	return memory.steps[0]
+	return history.steps[0]
 }
--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -9,26 +9,26 @@
 	"teaselmoor/internal/direct/account"
 )
 
-// Ledger counts the use of accounts. The zero value is not usable; use New.
+// Ledger counts the usage of accounts. The zero value is not usable; use New.
 type Ledger struct {
-	started   clock.Millis
-	tolerance Tolerance
-	limits    *account.Directory
-	accounts  map[string]*use
-	counts    int64 // of accounts that began
-	site      Site
-	starts    map[string]int64 // of the sources' processes
-	followed  bool             // a hub has told of others
-	noted     clock.Millis     // when rates were noted last
-
-	// silentPart is the part of the silent sources' daemons that nobody else speaks for.
-	silentPart float64
-	late       []string // sources that are heard, but whose next word is overdue
-}
-
-// New returns a ledger without use, of a daemon that starts now.
+	started      clock.Millis
+	tolerance    Tolerance
+	limits       *account.Directory
+	accounts     map[string]*usage
+	lastNumber   int64 // number of the usage created last
+	site         Site
+	incarnations map[string]int64 // by source: start of its process
+	hubReported  bool             // a hub has reported the usage of other daemons
+	recordedAt   clock.Millis     // when the histories were last extended
+
+	// silentShare is the share of the silent sources' daemons that no live source reports for.
+	silentShare float64
+	overdue     []string // live sources whose next report is overdue
+}
+
+// New returns an empty ledger of a daemon that starts now.
 func New(now clock.Millis, tolerance Tolerance) *Ledger {
-	ledger := &Ledger{started: now, accounts: make(map[string]*use), starts: make(map[string]int64)}
+	ledger := &Ledger{started: now, accounts: make(map[string]*usage), incarnations: make(map[string]int64)}
 	ledger.SetTolerance(tolerance)
 	return ledger
 }
@@ -41,32 +41,33 @@
 	ledger.tolerance = tolerance
 }
 
-// SetLimits replaces the limits. What was used before counts on.
+// SetLimits replaces the limits. Earlier usage stays counted.
 func (ledger *Ledger) SetLimits(now clock.Millis, limits *account.Directory) {
-	for name, used := range ledger.accounts {
-		ledger.advance(now, used, ledger.limits.Limit(name))
+	for name, usage := range ledger.accounts {
+		ledger.advance(now, usage, ledger.limits.Limit(name))
 	}
 	ledger.limits = limits
-	for name, used := range ledger.accounts {
-		ledger.advance(now, used, limits.Limit(name))
+	for name, usage := range ledger.accounts {
+		ledger.advance(now, usage, limits.Limit(name))
 	}
 }
 
-// SetSite replaces what is known of the other daemons.
+// SetSite replaces what is known of the other daemons. When more of them are missing than
+// before, it splits what the accounts have left.
 func (ledger *Ledger) SetSite(now clock.Millis, site Site) {
-	if !site.parts(ledger.site) {
-		for name, used := range ledger.accounts {
-			ledger.advance(now, used, ledger.limits.Limit(name))
+	if !site.splitsLike(ledger.site) {
+		for name, usage := range ledger.accounts {
+			ledger.advance(now, usage, ledger.limits.Limit(name))
 		}
 	}
-	fewer := site.missing() > ledger.site.missing()
+	moreMissing := site.missing() > ledger.site.missing()
 	ledger.site = site
-	ledger.silentPart = site.silentPart()
-	ledger.late = site.late(now)
-	if fewer {
-		ledger.partLevels(now)
+	ledger.silentShare = site.silentShare()
+	ledger.overdue = site.overdue(now)
+	if moreMissing {
+		ledger.splitLevels(now)
 	}
-	ledger.note(now)
+	ledger.recordHistory(now)
 }
 
 // Site returns what is known of the other daemons.
@@ -74,103 +75,106 @@
 	return ledger.site
 }
 
-// Decision says whether a request is within its account's limit, and by what.
+// Decision says whether a request is within its account's limit, and the figures behind that.
 type Decision struct {
 	Within  bool
-	After   clock.Millis // when there will be room, if it is not
+	After   clock.Millis // how long the caller should wait before a retry, if it is not
 	Cost    float64      // units
 	Left    float64      // units before the request
-	Rate    float64      // units a second that the daemons that are heard may use
-	Reached int          // daemons that are counted together
+	Rate    float64      // units a second that the daemons counted together may use
+	Reached int          // daemons that are counted together, this one included
 	Daemons int          // of the site
 }
 
-// Take takes the units of a request, if there is room for them.
+// Take charges a request to its account if enough units are left, and returns the decision.
 func (ledger *Ledger) Take(now clock.Millis, name string, cost float64) Decision {
 	limit := ledger.limits.Limit(name)
 	if !limit.Limited() {
 		return Decision{Within: true, Cost: cost}
 	}
-	used := ledger.of(now, name, limit)
-	parted := ledger.advance(now, used, limit)
+	usage := ledger.usageOf(now, name, limit)
+	split := ledger.advance(now, usage, limit)
 	decision := Decision{
-		Cost: cost, Left: used.level, Rate: parted.reached(),
+		Cost: cost, Left: usage.level, Rate: split.reachableRate(),
 		Reached: ledger.site.Reached, Daemons: ledger.site.Daemons,
 	}
-	need := ledger.need(cost, parted)
-	decision.Within = used.level >= need
+	required := ledger.required(cost, split)
+	decision.Within = usage.level >= required
 	if !decision.Within {
-		decision.After = ledger.wait(need-used.level, decision.Rate)
+		decision.After = ledger.retryAfter(required-usage.level, decision.Rate)
 		return decision
 	}
-	ledger.admit(now, used, cost)
+	ledger.charge(now, usage, cost)
 	return decision
 }
 
-// need is what must be left for a request. One that is larger than the bucket needs a
-// full one; but not where a daemon counts alone, as there each of many would admit it.
-func (ledger *Ledger) need(cost float64, parted part) float64 {
-	if ledger.alone() {
+// required returns the units that must be left for a request. One that costs more than the
+// bucket holds needs a full bucket. An isolated daemon refuses such a request, as each of
+// many isolated daemons would otherwise admit one.
+func (ledger *Ledger) required(cost float64, split split) float64 {
+	if ledger.isolated() {
 		return cost
 	}
-	return min(cost, parted.depth)
+	return min(cost, split.depth)
 }
 
-// Waits of refused callers. The longest leaves room for a raised limit. One that is
-// refused by a daemon that hears no other soon comes to another.
+// Waits after which refused callers are told to retry, and their bounds. The upper bound is short enough for
+// callers to notice a raised limit. A caller refused by an isolated daemon retries soon, as
+// the retry may reach another daemon.
 const (
-	leastWait = 100 * clock.Millisecond
-	aloneWait = 500 * clock.Millisecond
-	mostWait  = 5 * clock.Second
+	minWait      = 100 * clock.Millisecond
+	isolatedWait = 500 * clock.Millisecond
+	maxWait      = 5 * clock.Second
 )
 
-// wait is how long units take to flow in.
-func (ledger *Ledger) wait(units, rate float64) clock.Millis {
-	if ledger.alone() {
-		return aloneWait
+// retryAfter returns how long it takes until the given units have been added at a rate.
+func (ledger *Ledger) retryAfter(units, rate float64) clock.Millis {
+	if ledger.isolated() {
+		return isolatedWait
 	}
 	if rate <= 0 {
-		return mostWait
+		return maxWait
 	}
 	millis := clock.Millis(math.Ceil(units / rate * float64(clock.Second)))
-	return min(max(leastWait, millis), mostWait)
+	return min(max(minWait, millis), maxWait)
 }
 
-func (ledger *Ledger) admit(now clock.Millis, used *use, units float64) {
-	used.level -= units
-	used.own.add(now, units)
-	used.group.add(now, units)
-	used.all.add(now, units)
+// charge takes units from an account and counts them as admitted by this daemon.
+func (ledger *Ledger) charge(now clock.Millis, usage *usage, units float64) {
+	usage.level -= units
+	usage.own.add(now, units)
+	usage.group.add(now, units)
+	usage.all.add(now, units)
 }
 
 // Return gives back the units of a request that no server ran.
 func (ledger *Ledger) Return(now clock.Millis, name string, cost float64) {
-	used, ok := ledger.accounts[name]
+	usage, ok := ledger.accounts[name]
 	if !ok {
 		return
 	}
-	ledger.advance(now, used, ledger.limits.Limit(name))
-	ledger.admit(now, used, -cost)
+	ledger.advance(now, usage, ledger.limits.Limit(name))
+	ledger.charge(now, usage, -cost)
 }
 
-// startShare is the part of the slack that an account has left when a daemon that starts
-// first hears of it: what was used before, at the site, is not known.
-const startShare = 0.25
+// startupSlackShare is the share of the slack that an account has left at a daemon that has
+// just started, as it does not know the site's earlier usage.
+const startupSlackShare = 0.25
 
-// of returns the use of an account. One that has not been used has its whole share left,
-// or less while the window reaches back to before the start.
-func (ledger *Ledger) of(now clock.Millis, name string, limit account.Limit) *use {
-	used, ok := ledger.accounts[name]
+// usageOf returns the usage of an account. A new one begins with a full bucket, or with less
+// while the window reaches back to before this daemon's start.
+func (ledger *Ledger) usageOf(now clock.Millis, name string, limit account.Limit) *usage {
+	known, ok := ledger.accounts[name]
 	if !ok {
-		ledger.counts++
-		used = &use{number: ledger.counts, at: now, sources: make(map[string]*share)}
-		used.level = ledger.partOf(used, limit).depth
+		ledger.lastNumber++
+		known = &usage{number: ledger.lastNumber, at: now, sources: make(map[string]*sourceUsage)}
+		known.level = ledger.splitOf(known, limit).depth
 		if now-ledger.started < ledger.tolerance.Window {
-			used.level = min(used.level, limit.Burst+startShare*ledger.tolerance.Slack)
+			known.level = min(known.level, limit.Burst+startupSlackShare*ledger.tolerance.Slack)
 		}
-		ledger.accounts[name] = used
+		ledger.accounts[name] = known
 	}
-	return used
+	return known
 }
 
 // Limits reports whether any account has a limit.
@@ -178,35 +182,35 @@
 	return ledger.limits.Limited()
 }
 
-// Prune forgets accounts that have not been used for the window and have their whole
-// share left.
+// Prune removes accounts without a limit, and those without recent usage whose bucket is
+// full.
 func (ledger *Ledger) Prune(now clock.Millis) {
-	for name, used := range ledger.accounts {
+	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
-		parted := ledger.advance(now, used, limit)
-		idle := used.all.recent.faded(now) < 1 && used.level >= parted.depth
+		split := ledger.advance(now, usage, limit)
+		idle := usage.all.recent.decayed(now) < 1 && usage.level >= split.depth
 		if !limit.Limited() || idle {
 			delete(ledger.accounts, name)
 		}
 	}
 }
 
-// Status is the use of an account as this daemon knows it.
+// Status is the usage of an account as this daemon knows it.
 type Status struct {
 	Account string
-	Rate    float64 // units a second of late, by all daemons
+	Rate    float64 // recent usage by all daemons, in units a second
 	Limit   float64 // units a second
 	Left    float64 // units
 }
 
-// Statuses returns the accounts in use, so many at most, those that use most of their
-// limits first.
+// Statuses returns at most the given number of accounts in use, those that use the largest
+// share of their limits first.
 func (ledger *Ledger) Statuses(now clock.Millis, most int) []Status {
 	statuses := make([]Status, 0, len(ledger.accounts))
-	for name, used := range ledger.accounts {
+	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
-		ledger.advance(now, used, limit)
-		statuses = append(statuses, Status{Account: name, Rate: used.all.recent.rate(now), Limit: limit.Rate, Left: used.level})
+		ledger.advance(now, usage, limit)
+		statuses = append(statuses, Status{Account: name, Rate: usage.all.recent.rate(now), Limit: limit.Rate, Left: usage.level})
 	}
 	slices.SortFunc(statuses, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(b.Rate*a.Limit, a.Rate*b.Limit), cmp.Compare(a.Account, b.Account))
--- a/internal/direct/quota/ledger_bench_test.go
+++ b/internal/direct/quota/ledger_bench_test.go
@@ -10,8 +10,8 @@
 	"teaselmoor/internal/direct/quota"
 )
 
-// BenchmarkTake is a hub's decision on a request, with 30 sources that have told of each
-// account, and what an account in use costs in memory.
+// BenchmarkTake measures a hub's decision on a request with 30 sources that have reported
+// each account, and the memory used per account.
 func BenchmarkTake(b *testing.B) {
 	for _, count := range []int{16, 1000, 10_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/direct/quota/ledger_test.go
+++ b/internal/direct/quota/ledger_test.go
@@ -12,15 +12,17 @@
 	"teaselmoor/internal/direct/quota"
 )
 
-// The limits of a large and of a small account, in tokens, and the mean request.
+// Limits of a large and of a small account, in tokens.
 var (
 	large     = account.Limit{Unit: account.Tokens, Rate: 240_000, Burst: 240_000}
 	small     = account.Limit{Unit: account.Tokens, Rate: 2700, Burst: 2700}
 	tolerance = quota.Tolerance{Window: 8 * clock.Second, Over: 0.25, Slack: 11_000}
 )
 
+// request is the mean cost of a request, in tokens.
 const request = 1500
 
+// even returns equal weights for the daemons.
 func even(count int) []float64 {
 	weights := make([]float64, count)
 	for i := range weights {
@@ -29,8 +31,8 @@
 	return weights
 }
 
-// TestLimitHoldsOverDrawnHistories: whatever is cut off, restarted or lost, and however
-// much callers ask for, no window admits more than the site allows.
+// TestLimitHoldsOverDrawnHistories checks that no window admits more than the site allows
+// over random sequences of partitions, restarts, losses and loads.
 func TestLimitHoldsOverDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{3, 7, 12, 24, 59}).Draw(t, "daemons")
@@ -51,7 +53,7 @@
 	})
 }
 
-// history draws one thing that happens to a site.
+// history draws one event and applies it to a site.
 func history(t *rapid.T, site *site) {
 	count := len(site.daemons)
 	switch rapid.SampledFrom([]string{"cut", "heal", "restart", "lose all", "down", "nothing"}).Draw(t, "event") {
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestLoweredLimit: a lower limit holds from a window after it came on, with daemons that
-// hear each other and with some that do not.
+// TestLoweredLimit checks that a lowered limit holds from one window after the change on,
+// with all daemons connected and with some cut off.
 func TestLoweredLimit(t *testing.T) {
 	for _, cut := range []int{0, 20} {
 		site := newSite(3, 59, large, tolerance)
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestCutOffDaemons replays an account at six times its usual while a third of the
-// daemons hear nobody.
+// TestCutOffDaemons runs an account at six times its usual rate while a third of the daemons
+// are isolated.
 func TestCutOffDaemons(t *testing.T) {
 	for _, count := range []int{7, 59, 195} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -115,8 +117,8 @@
 	}
 }
 
-// TestBelowTheLimitNothingIsRefused: accounts at the usual part of their limits, with
-// few callers at few daemons.
+// TestBelowTheLimitNothingIsRefused checks that accounts at their usual share of the limit
+// are hardly refused anything when their callers use only three of the daemons.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit account.Limit
@@ -139,22 +141,22 @@
 	}
 }
 
-// BenchmarkWays compares ways of keeping an account at six times its usual within its
-// limit while a third of 59 daemons hear nobody: the worst window as a share of what the
-// site allows, and what is refused of an account at its usual before and after, with
-// callers at three daemons.
+// BenchmarkWays compares strategies that keep an account at six times its usual rate within
+// its limit while a third of 59 daemons are isolated. It reports the worst window as a share
+// of what the site allows, and the share refused of an account at its usual rate in a
+// connected site, with callers at three daemons.
 func BenchmarkWays(b *testing.B) {
-	for name, way := range map[string]func(*site){
+	for name, strategy := range map[string]func(*site){
 		"Counted":    func(*site) {},
-		"EqualParts": func(site *site) { site.way = equalParts },
-		"EachForAll": func(site *site) { site.way = eachForAll },
-		"NotParted":  func(site *site) { site.way = notParted },
+		"EqualParts": func(site *site) { site.strategy = equalShares },
+		"EachForAll": func(site *site) { site.strategy = fullLimitEach },
+		"NotParted":  func(site *site) { site.strategy = fullLimitPerSide },
 	} {
 		b.Run(name, func(b *testing.B) {
 			worst, refused := 0.0, 0.0
 			for i := range b.N {
 				site := newSite(uint64(i), 59, large, tolerance)
-				way(site)
+				strategy(site)
 				site.run(2*clock.Second, 0.55*large.Rate, request, even(59))
 				for j := 0; j < 59; j += 3 {
 					site.cut[j] = true
@@ -162,7 +164,7 @@
 				site.run(11*clock.Second, 3.3*large.Rate, request, even(59))
 				worst += site.worst(0) / site.bound()
 				calm := newSite(uint64(i), 59, large, tolerance)
-				way(calm)
+				strategy(calm)
 				few := make([]float64, 59)
 				few[1], few[20], few[40] = 1, 1, 1
 				calm.run(10*clock.Second, 0.55*large.Rate, request, few)
--- a/internal/direct/quota/part.go
+++ b/internal/direct/quota/part.go
@@ -5,155 +5,159 @@
 	"teaselmoor/internal/direct/account"
 )
 
-// part is how the limit of an account is parted now. Rates are in units a second.
-type part struct {
-	rate   float64 // that flows into the bucket
-	depth  float64 // of the bucket, in units
-	silent float64 // that silent sources are taken to use
-	extra  float64 // of the depth, for callers of a daemon that hears nobody, in units
-	kept   float64 // kept for daemons that are not heard, beyond what they are taken to use
+// split is how the limit of an account is currently split between the daemons that are
+// counted together and the missing ones. Rates are in units a second.
+type split struct {
+	rate          float64 // added to the bucket
+	depth         float64 // of the bucket, in units
+	silentRate    float64 // that silent sources are assumed to use
+	isolatedDepth float64 // part of depth that serves the callers of an isolated daemon, in units
+	reservedRate  float64 // reserved for missing daemons beyond what they are assumed to use
 }
 
-// reached is the rate that daemons that are heard may use.
-func (part part) reached() float64 {
-	return max(0, part.rate-part.silent-part.kept)
+// reachableRate returns the rate that the daemons counted together may use.
+func (split split) reachableRate() float64 {
+	return max(0, split.rate-split.silentRate-split.reservedRate)
 }
 
-// partOf returns how a limit is parted.
-func (ledger *Ledger) partOf(used *use, limit account.Limit) part {
+// splitOf returns how the limit of an account is split.
+func (ledger *Ledger) splitOf(usage *usage, limit account.Limit) split {
 	missing := ledger.site.missing()
 	if missing <= 0 || !limit.Limited() {
-		rate, depth := ledger.tolerance.whole(limit)
-		return part{rate: rate, depth: depth}
+		rate, depth := ledger.tolerance.connectedBucket(limit)
+		return split{rate: rate, depth: depth}
 	}
-	rate, depth := ledger.tolerance.parted(limit)
-	parted := part{rate: rate, depth: depth}
-	before := used.parting
-	silent := ledger.silentRate(used)
-	if ledger.alone() {
-		silent = max(0, before.all-before.own)
+	rate, depth := ledger.tolerance.splitBucket(limit)
+	split := split{rate: rate, depth: depth}
+	before := usage.atSplit
+	silent := ledger.silentRate(usage)
+	if ledger.isolated() {
+		silent = max(0, before.allRate-before.ownRate)
 	}
-	scale := min(1, limit.Rate/max(1, before.all)) // where all used more than the limit
-	parted.silent = min(limit.Rate, silent*scale)
-	parted.kept = min(limit.Rate-parted.silent, missing*max(0, limit.Rate-before.all))
-	parted.depth *= parted.reached() / parted.rate
-	if ledger.alone() {
-		// Its callers go on one by one, also where the part is less than a request.
-		parted.extra = before.own * scale * recentSpan.Seconds()
-		parted.depth += parted.extra
+	scale := min(1, limit.Rate/max(1, before.allRate)) // below 1 where all daemons together used more than the limit
+	split.silentRate = min(limit.Rate, silent*scale)
+	split.reservedRate = min(limit.Rate-split.silentRate, missing*max(0, limit.Rate-before.allRate))
+	split.depth *= split.reachableRate() / split.rate
+	if ledger.isolated() {
+		// Its callers must still be served where the share is less than one request.
+		split.isolatedDepth = before.ownRate * scale * rateTimeConstant.Seconds()
+		split.depth += split.isolatedDepth
 	}
-	return parted
+	return split
 }
 
-// silentRate is the rate of sources that count and are not heard now.
-func (ledger *Ledger) silentRate(used *use) float64 {
+// silentRate returns the last reported rate of the silent sources, without the daemons that
+// a live source reports for.
+func (ledger *Ledger) silentRate(usage *usage) float64 {
 	rate := 0.0
 	for name := range ledger.site.Sources {
-		rate += ledger.rateOfSilent(used, name)
+		rate += ledger.lastRateOf(usage, name)
 	}
-	return rate * ledger.silentPart
+	return rate * ledger.silentShare
 }
 
-// rateOfSilent is the rate at which a source was heard last, 0 for one that is heard.
-func (ledger *Ledger) rateOfSilent(used *use, name string) float64 {
+// lastRateOf returns the rate at the last report of a silent source, 0 for a live one.
+func (ledger *Ledger) lastRateOf(usage *usage, name string) float64 {
 	source := ledger.site.Sources[name]
-	said, ok := used.sources[name]
+	reported, ok := usage.sources[name]
 	if !ok || source.Live {
 		return 0
 	}
-	return said.counted.recent.rate(source.HeardAt)
+	return reported.counted.recent.rate(source.HeardAt)
 }
 
-// alone reports whether this daemon hears none of the others.
-func (ledger *Ledger) alone() bool {
+// isolated reports whether this daemon receives reports from none of the others.
+func (ledger *Ledger) isolated() bool {
 	return ledger.site.Reached <= 1 && ledger.site.Daemons > 1
 }
 
-// advance lets the units of passing time flow into the bucket.
-func (ledger *Ledger) advance(now clock.Millis, used *use, limit account.Limit) part {
-	parted := ledger.partOf(used, limit)
-	if now <= used.at {
-		return parted
+// advance adds the units of the time passed to the bucket, less the assumed usage of silent
+// and overdue sources. It returns the current split.
+func (ledger *Ledger) advance(now clock.Millis, usage *usage, limit account.Limit) split {
+	split := ledger.splitOf(usage, limit)
+	if now <= usage.at {
+		return split
 	}
-	seconds := (now - used.at).Seconds()
-	used.at = now
-	ledger.assumeLate(used, seconds)
-	if parted.silent > 0 {
-		ledger.assume(used, parted.silent*seconds)
+	seconds := (now - usage.at).Seconds()
+	usage.at = now
+	ledger.assumeOverdueUse(usage, seconds)
+	if split.silentRate > 0 {
+		ledger.assumeSilentUse(usage, split.silentRate*seconds)
 	}
-	used.level = min(parted.depth, used.level+(parted.rate-parted.kept)*seconds)
-	used.level = max(used.level, -mostDebt*limit.Rate*ledger.tolerance.Window.Seconds())
-	return parted
+	usage.level = min(split.depth, usage.level+(split.rate-split.reservedRate)*seconds)
+	usage.level = max(usage.level, -maxDebtShare*limit.Rate*ledger.tolerance.Window.Seconds())
+	return split
 }
 
-// assumeLate takes off what sources are taken to use whose next word is overdue.
-func (ledger *Ledger) assumeLate(used *use, seconds float64) {
-	for _, name := range ledger.late {
-		said, ok := used.sources[name]
+// assumeOverdueUse charges the usage that sources are assumed to have whose next report is
+// overdue.
+func (ledger *Ledger) assumeOverdueUse(usage *usage, seconds float64) {
+	for _, name := range ledger.overdue {
+		reported, ok := usage.sources[name]
 		if !ok {
 			continue
 		}
-		units := said.counted.recent.rate(ledger.site.Sources[name].HeardAt) * seconds
-		said.assumed += units
-		used.take(said, units)
+		units := reported.counted.recent.rate(ledger.site.Sources[name].HeardAt) * seconds
+		reported.assumed += units
+		usage.addUnits(reported, units)
 	}
 }
 
-// assume takes off what silent sources are taken to use, by the rates at which they were
-// heard last.
-func (ledger *Ledger) assume(used *use, units float64) {
-	rates := ledger.silentRate(used) / ledger.silentPart
+// assumeSilentUse charges units to the silent sources, in proportion to their last reported
+// rates.
+func (ledger *Ledger) assumeSilentUse(usage *usage, units float64) {
+	rates := ledger.silentRate(usage) / ledger.silentShare
 	for name := range ledger.site.Sources {
-		if rate := ledger.rateOfSilent(used, name); rate > 0 {
-			said := used.sources[name]
-			said.assumed += units * rate / rates
-			used.take(said, units*rate/rates)
+		if rate := ledger.lastRateOf(usage, name); rate > 0 {
+			reported := usage.sources[name]
+			reported.assumed += units * rate / rates
+			usage.addUnits(reported, units*rate/rates)
 		}
 	}
 }
 
-// note takes down how accounts stand for when daemons are cut off.
-func (ledger *Ledger) note(now clock.Millis) {
-	if now < ledger.noted+memoryStep {
+// recordHistory adds a snapshot to each account's history. It is used once daemons are cut off.
+func (ledger *Ledger) recordHistory(now clock.Millis) {
+	if now < ledger.recordedAt+historyStep {
 		return
 	}
-	ledger.noted = now
-	for name, used := range ledger.accounts {
+	ledger.recordedAt = now
+	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
 		if !limit.Limited() {
 			continue
 		}
-		used.before.note(moment{
-			at: now, level: used.level, units: used.heard(), reached: ledger.partOf(used, limit).reached(),
-			all: ledger.rateOfAll(now, used), own: used.own.recent.rate(now),
+		usage.history.add(snapshot{
+			at: now, level: usage.level, units: usage.reportedUnits(), reachableRate: ledger.splitOf(usage, limit).reachableRate(),
+			allRate: ledger.totalRate(now, usage), ownRate: usage.own.recent.rate(now),
 		})
 	}
 }
 
-// rateOfAll is the rate of all daemons, where silent ones count as they were heard last.
-func (ledger *Ledger) rateOfAll(now clock.Millis, used *use) float64 {
-	rate := used.own.recent.rate(now) + ledger.silentRate(used)
+// totalRate returns the rate of all daemons, silent ones with their last reported rate.
+func (ledger *Ledger) totalRate(now clock.Millis, usage *usage) float64 {
+	rate := usage.own.recent.rate(now) + ledger.silentRate(usage)
 	for name, source := range ledger.site.Sources {
-		if said, ok := used.sources[name]; ok && source.Live {
-			rate += said.counted.recent.rate(now)
+		if reported, ok := usage.sources[name]; ok && source.Live {
+			rate += reported.counted.recent.rate(now)
 		}
 	}
 	return rate
 }
 
-// partLevels leaves accounts the part of what they had left when daemons were heard
-// last, less what was used since.
-func (ledger *Ledger) partLevels(now clock.Millis) {
-	for name, used := range ledger.accounts {
+// splitLevels reduces what accounts have left to this side's share of what they had left
+// when the missing daemons last sent reports, less what was used since.
+func (ledger *Ledger) splitLevels(now clock.Millis) {
+	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
 		if !limit.Limited() {
 			continue
 		}
-		before := used.before.at(now - SilentAfter)
-		used.parting = before
-		parted := ledger.partOf(used, limit)
-		share := parted.reached() / max(1, before.reached)
-		left := before.level*share + parted.extra + parted.reached()*(now-before.at).Seconds() - (used.heard() - before.units)
-		used.level = min(used.level, left, parted.depth)
+		before := usage.history.at(now - SilentAfter)
+		usage.atSplit = before
+		split := ledger.splitOf(usage, limit)
+		share := split.reachableRate() / max(1, before.reachableRate)
+		left := before.level*share + split.isolatedDepth + split.reachableRate()*(now-before.at).Seconds() - (usage.reportedUnits() - before.units)
+		usage.level = min(usage.level, left, split.depth)
 	}
 }
--- a/internal/direct/quota/site.go
+++ b/internal/direct/quota/site.go
@@ -6,27 +6,28 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// SilentAfter is how long after its last word a source is not heard any more.
+// SilentAfter is how long after its last report a source counts as silent.
 const SilentAfter = 750 * clock.Millisecond
 
-// lateAfter is how long after its last word a source is taken to go on as before.
-const lateAfter = 300 * clock.Millisecond
+// overdueAfter is how long after its last report a source is assumed to continue at its last
+// reported rate.
+const overdueAfter = 300 * clock.Millisecond
 
-// Source is a daemon whose words count.
+// Source is a daemon whose reports this daemon adds up.
 type Source struct {
-	Live    bool         // it is heard now
-	HeardAt clock.Millis // when it was heard last
-	Daemons int          // that it spoke for then, itself included
+	Live    bool         // it sends reports; false once it is silent
+	HeardAt clock.Millis // when its last report arrived
+	Daemons int          // that its last report covered, itself included
 }
 
-// Site is what a daemon knows of the daemons that use the limits with it.
+// Site is what a daemon knows of the daemons that share the limits with it.
 type Site struct {
 	Daemons int // of the site
-	Reached int // of them, that this daemon counts together with, itself included
+	Reached int // of them, those that this daemon counts together with, itself included
 	Sources map[string]Source
 }
 
-// missing is the share of the daemons that are not counted together with this one.
+// missing returns the share of the daemons that are not counted together with this one.
 func (site Site) missing() float64 {
 	if site.Daemons <= 0 {
 		return 0
@@ -34,33 +35,34 @@
 	return max(0, 1-float64(site.Reached)/float64(site.Daemons))
 }
 
-// late returns the sources whose next word is overdue.
-func (site Site) late(now clock.Millis) []string {
+// overdue returns the live sources whose next report is overdue.
+func (site Site) overdue(now clock.Millis) []string {
 	var names []string
 	for name, source := range site.Sources {
-		if source.Live && now-source.HeardAt > lateAfter {
+		if source.Live && now-source.HeardAt > overdueAfter {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// parts reports whether limits are parted as by another site.
-func (site Site) parts(other Site) bool {
+// splitsLike reports whether limits are split the same way as under another site.
+func (site Site) splitsLike(other Site) bool {
 	return site.Daemons == other.Daemons && site.Reached == other.Reached &&
 		maps.EqualFunc(site.Sources, other.Sources, func(a, b Source) bool { return a.Live == b.Live })
 }
 
-// silentPart is the part of the silent sources' daemons that nobody else speaks for.
-func (site Site) silentPart() float64 {
-	spoken := 0
+// silentShare returns the share of the silent sources' daemons that no live source reports
+// for.
+func (site Site) silentShare() float64 {
+	covered := 0
 	for _, source := range site.Sources {
 		if !source.Live {
-			spoken += max(1, source.Daemons)
+			covered += max(1, source.Daemons)
 		}
 	}
-	if spoken == 0 {
+	if covered == 0 {
 		return 0
 	}
-	return min(1, float64(max(0, site.Daemons-site.Reached))/float64(spoken))
+	return min(1, float64(max(0, site.Daemons-site.Reached))/float64(covered))
 }
--- a/internal/direct/quota/site_test.go
+++ b/internal/direct/quota/site_test.go
@@ -11,40 +11,40 @@
 	"teaselmoor/internal/direct/quota"
 )
 
-// Times of the drawn sites: those of the daemons, rounded to steps.
+// Intervals of the simulated sites: those of real daemons, rounded to steps.
 const (
-	stepSpan = 10 * clock.Millisecond
-	tellSpan = 50 * clock.Millisecond
-	allSpan  = 250 * clock.Millisecond
+	stepSpan       = 10 * clock.Millisecond
+	reportSpan     = 50 * clock.Millisecond
+	fullReportSpan = 250 * clock.Millisecond
 )
 
 const caller = "payroll"
 
-// site is daemons that share the limit of an account, at virtual time. Sites of up to
-// meshLimit daemons are a mesh; in larger ones some daemons are hubs.
+// site simulates daemons that share the limit of an account, in virtual time. Sites of up to
+// maxMeshDaemons daemons are a mesh; larger ones have hubs.
 type site struct {
 	random    *rand.Rand
-	way       way
+	strategy  strategy
 	now       clock.Millis
 	limit     account.Limit
 	tolerance quota.Tolerance
 	daemons   []*daemon
-	cut       map[int]bool // daemons that no other one hears
+	cut       map[int]bool // isolated daemons
 	admitted  []admission
-	asked     float64
-	refused   float64 // of it, in units
-	words     int     // told
+	asked     float64 // units
+	refused   float64 // units refused, of those asked for
+	reports   int     // sent
 	readings  int
 }
 
-// way is how daemons keep to a limit.
-type way int
+// strategy is how daemons enforce a limit.
+type strategy int
 
 const (
-	counted    way = iota
-	equalParts     // each its part by the number of daemons, and nothing is told
-	eachForAll     // each the whole limit, and nothing is told
-	notParted      // counted, but a side that is cut off takes the whole limit
+	counted          strategy = iota
+	equalShares               // each daemon has an equal share; no reports
+	fullLimitEach             // each daemon has the whole limit; no reports
+	fullLimitPerSide          // counted, but each side of a partition has the whole limit
 )
 
 type admission struct {
@@ -52,16 +52,16 @@
 	units float64
 }
 
-const meshLimit = 12
+const maxMeshDaemons = 12
 
 type daemon struct {
-	number, hub int // hub: its own number for a hub, -1 in a mesh
+	number, hub int // hub is the daemon's own number for a hub, -1 in a mesh
 	born        int64
 	startedAt   clock.Millis
 	ledger      *quota.Ledger
-	told        map[int]quota.Told
+	sent        map[int]quota.Told
 	heardAt     map[int]clock.Millis
-	reached     map[int]int // daemons that each peer said it counts with
+	reached     map[int]int // daemons that the last report of each peer covered
 	down        bool
 	admitted    float64
 }
@@ -77,9 +77,9 @@
 	return site
 }
 
-// hubOf has every eighth daemon be a hub.
+// hubOf returns the hub of a daemon: every eighth daemon is one.
 func hubOf(number, count int) int {
-	if count <= meshLimit {
+	if count <= maxMeshDaemons {
 		return -1
 	}
 	return number - number%8
@@ -93,17 +93,18 @@
 	return directory
 }
 
+// start starts or restarts a daemon.
 func (site *site) start(each *daemon) {
 	each.born++
 	each.startedAt = site.now
 	each.down = false
 	each.ledger = quota.New(site.now, site.tolerance)
 	each.ledger.SetLimits(site.now, site.directory())
-	each.told = make(map[int]quota.Told)
+	each.sent = make(map[int]quota.Told)
 	each.heardAt = make(map[int]clock.Millis)
 	each.reached = make(map[int]int)
 	for _, other := range site.daemons {
-		delete(other.told, each.number)
+		delete(other.sent, each.number)
 	}
 }
 
@@ -114,12 +115,12 @@
 	}
 }
 
-// connected reports whether two daemons hear each other now.
+// connected reports whether two daemons reach each other now.
 func (site *site) connected(a, b *daemon) bool {
 	return !a.down && !b.down && !site.cut[a.number] && !site.cut[b.number]
 }
 
-// targets returns whom a daemon tells, and the scope.
+// targets returns the daemons that a daemon reports to, with the scope of each report.
 func (site *site) targets(from *daemon) map[*daemon]quota.Scope {
 	targets := make(map[*daemon]quota.Scope)
 	for _, to := range site.daemons {
@@ -136,20 +137,21 @@
 	return targets
 }
 
+// live reports whether the last report of another daemon is recent enough.
 func (site *site) live(each *daemon, other int) bool {
 	at, ok := each.heardAt[other]
 	return ok && site.now-at < quota.SilentAfter
 }
 
-// view is what a daemon knows of the others.
+// view returns what a daemon knows of the others.
 func (site *site) view(each *daemon) quota.Site {
 	view := quota.Site{Daemons: len(site.daemons), Reached: 1, Sources: make(map[string]quota.Source)}
-	switch site.way {
-	case equalParts:
+	switch site.strategy {
+	case equalShares:
 		return view
-	case eachForAll:
+	case fullLimitEach:
 		return quota.Site{Daemons: 1, Reached: 1}
-	case notParted:
+	case fullLimitPerSide:
 		return quota.Site{Daemons: len(site.daemons), Reached: len(site.daemons)}
 	}
 	if len(each.heardAt) == 0 {
@@ -157,13 +159,13 @@
 	}
 	for other, at := range each.heardAt {
 		live := site.live(each, other)
-		speaksFor := max(1, each.reached[other])
+		covers := max(1, each.reached[other])
 		if each.hub == each.number && site.daemons[other].hub == each.number {
-			speaksFor = 1
+			covers = 1
 		}
-		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, HeardAt: at, Daemons: speaksFor}
+		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, HeardAt: at, Daemons: covers}
 		if live {
-			view.Reached += speaksFor
+			view.Reached += covers
 		}
 	}
 	if each.hub >= 0 && each.hub != each.number && site.live(each, each.hub) {
@@ -172,8 +174,8 @@
 	return view
 }
 
-// speaksFor is the number of daemons that a word of a daemon in a scope counts for.
-func (site *site) speaksFor(each *daemon, scope quota.Scope) int {
+// covers returns the number of daemons that a report of a daemon in a scope covers.
+func (site *site) covers(each *daemon, scope quota.Scope) int {
 	switch scope {
 	case quota.Own:
 		return 1
@@ -189,51 +191,53 @@
 	return count
 }
 
-func (site *site) tell(from *daemon) {
-	if site.way == equalParts || site.way == eachForAll {
+// report sends the reports of a daemon to all its targets.
+func (site *site) report(from *daemon) {
+	if site.strategy == equalShares || site.strategy == fullLimitEach {
 		return
 	}
 	for to, scope := range site.targets(from) {
-		told, ok := from.told[to.number]
+		sent, ok := from.sent[to.number]
 		if !ok {
-			told = make(quota.Told)
-			from.told[to.number] = told
+			sent = make(quota.Told)
+			from.sent[to.number] = sent
 		}
 		sharers := map[quota.Scope]int{quota.Own: len(site.daemons), quota.Group: len(site.daemons)/8 + 1, quota.Others: 4}[scope]
-		if site.now%allSpan == 0 {
+		if site.now%fullReportSpan == 0 {
 			sharers = 0
 		}
-		word := quota.Word{
-			Scope: scope, Incarnation: from.born, Daemons: site.speaksFor(from, scope),
-			Readings: from.ledger.News(site.now, scope, fmt.Sprint(to.number), told, sharers),
+		report := quota.Word{
+			Scope: scope, Incarnation: from.born, Daemons: site.covers(from, scope),
+			Readings: from.ledger.News(site.now, scope, fmt.Sprint(to.number), sent, sharers),
 		}
 		if !site.connected(from, to) {
-			if len(word.Readings) > 0 {
-				delete(from.told, to.number) // the connection ends with what was under way
+			if len(report.Readings) > 0 {
+				delete(from.sent, to.number) // the connection breaks and loses what was in flight
 			}
 			continue
 		}
-		site.words++
-		site.readings += len(word.Readings)
+		site.reports++
+		site.readings += len(report.Readings)
 		to.heardAt[from.number] = site.now
-		to.reached[from.number] = word.Daemons
-		to.ledger.Hear(site.now, fmt.Sprint(from.number), word, true)
+		to.reached[from.number] = report.Daemons
+		to.ledger.Hear(site.now, fmt.Sprint(from.number), report, true)
 	}
 }
 
-// longestWait is how long a request that was admitted waits for its adapter at most.
-const longestWait = 1500 * clock.Millisecond
+// maxAdapterWait bounds how long an admitted request waits for its adapter.
+const maxAdapterWait = 1500 * clock.Millisecond
 
-// waits is how long a request waits until it runs: one in four has no adapter yet.
-func (site *site) waits() clock.Millis {
+// adapterWait returns how long a request waits until it runs: one in four needs an adapter
+// that is not loaded yet.
+func (site *site) adapterWait() clock.Millis {
 	if site.random.IntN(4) > 0 {
 		return 0
 	}
-	return clock.Millis(site.random.IntN(int(longestWait)))
+	return clock.Millis(site.random.IntN(int(maxAdapterWait)))
 }
 
-// ask has callers ask a daemon for units.
-func (site *site) ask(each *daemon, units float64) {
+// request sends a daemon a request that costs the given units.
+func (site *site) request(each *daemon, units float64) {
 	site.asked += units
 	if each.down {
 		return
@@ -243,11 +247,11 @@
 		return
 	}
 	each.admitted += units
-	site.admitted = append(site.admitted, admission{site.now + site.waits(), units})
+	site.admitted = append(site.admitted, admission{site.now + site.adapterWait(), units})
 }
 
-// run lets time pass while callers ask for units a second, in requests of about so many
-// units, at daemons by weight.
+// run advances time by span while callers ask for perSecond units a second, in requests of
+// about the given units, spread over the daemons by weight.
 func (site *site) run(span clock.Millis, perSecond, request float64, weights []float64) {
 	total := 0.0
 	for _, weight := range weights {
@@ -255,19 +259,19 @@
 	}
 	for end := site.now + span; site.now < end; site.now += stepSpan {
 		for _, each := range site.daemons {
-			if site.now%tellSpan == 0 && !each.down {
+			if site.now%reportSpan == 0 && !each.down {
 				each.ledger.SetSite(site.now, site.view(each))
-				site.tell(each)
+				site.report(each)
 			}
 			chance := perSecond / request * stepSpan.Seconds() * weights[each.number] / total
 			for ; chance > 0 && site.random.Float64() < chance; chance-- {
-				site.ask(each, request*(0.5+site.random.Float64()))
+				site.request(each, request*(0.5+site.random.Float64()))
 			}
 		}
 	}
 }
 
-// worst returns the most units that began to run in a window from a time on.
+// worst returns the most units that began to run in any window that begins at from or later.
 func (site *site) worst(from clock.Millis) float64 {
 	slices.SortFunc(site.admitted, func(a, b admission) int { return cmp.Compare(a.at, b.at) })
 	worst, within, first := 0.0, 0.0, 0
@@ -284,7 +288,7 @@
 	return worst
 }
 
-// bound returns what may be admitted in a window.
+// bound returns the units that may be admitted in a window.
 func (site *site) bound() float64 {
 	return (site.limit.Rate*site.tolerance.Window.Seconds()+site.limit.Burst)*(1+site.tolerance.Over) + site.tolerance.Slack
 }
--- a/internal/direct/quota/use.go
+++ b/internal/direct/quota/use.go
@@ -4,32 +4,33 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// use is what is known of one account.
-type use struct {
-	number  int64   // of this count; another one of the same account begins anew
-	level   float64 // units that it may still use; below 0 for what was used too much
-	before  memory  // of how the account stood of late
-	parting moment  // how it stood when the daemons that are missing now were heard last
+// usage is the state of one account as this daemon knows it.
+type usage struct {
+	number  int64    // identifies this count; a new count of the same account starts from 0
+	level   float64  // units left in the bucket; negative when the account is overdrawn
+	history history  // recent snapshots
+	atSplit snapshot // state when the daemons that are missing now last sent reports
 	at      clock.Millis
 	own     total // admitted by this daemon
-	group   total // by this daemon and those whose hub it is
-	all     total // by all daemons
-	sources map[string]*share
+	group   total // admitted by this daemon and the members whose hub it is
+	all     total // admitted by all daemons
+	sources map[string]*sourceUsage
 }
 
-// heard returns the units that all daemons are known to have used.
-func (used *use) heard() float64 {
-	units := used.all.units
-	for _, said := range used.sources {
-		units -= said.assumed
+// reportedUnits returns the units that all daemons are known to have used, without those
+// that silent sources are only assumed to have used.
+func (usage *usage) reportedUnits() float64 {
+	units := usage.all.units
+	for _, reported := range usage.sources {
+		units -= reported.assumed
 	}
 	return units
 }
 
-// total is a count of units that grows, and its growth of late.
+// total is a running total of units and its recent growth.
 type total struct {
 	units  float64
-	recent flow
+	recent decayingSum
 }
 
 func (total *total) add(now clock.Millis, units float64) {
@@ -37,31 +38,31 @@
 	total.recent.add(now, units)
 }
 
-// share is what one source has said of an account.
-type share struct {
-	scope   Scope
-	number  int64   // of the count
-	told    float64 // the last total
-	assumed float64 // taken off the level since then, while the source was silent
-	counted total   // taken off the level in all
+// sourceUsage is the usage of an account that one source has reported.
+type sourceUsage struct {
+	scope     Scope
+	number    int64   // identifies the count
+	lastTotal float64 // last reported
+	assumed   float64 // units taken off the level since the last report, while the source was silent or overdue
+	counted   total   // units taken off the level so far
 }
 
-// take takes units of a source off the level.
-func (used *use) take(said *share, units float64) {
-	used.level -= units
-	used.all.units += units
-	said.counted.units += units
-	if said.scope == Own {
-		used.group.units += units
+// addUnits adds units that a source has used to the totals and takes them off the level.
+func (usage *usage) addUnits(reported *sourceUsage, units float64) {
+	usage.level -= units
+	usage.all.units += units
+	reported.counted.units += units
+	if reported.scope == Own {
+		usage.group.units += units
 	}
 }
 
-// recent takes over the rate that a source says.
-func (used *use) recent(now clock.Millis, said *share, units float64) {
-	more := units - said.counted.recent.faded(now)
-	said.counted.recent.add(now, more)
-	used.all.recent.add(now, more)
-	if said.scope == Own {
-		used.group.recent.add(now, more)
+// setRecent applies the recent units that a source reported.
+func (usage *usage) setRecent(now clock.Millis, reported *sourceUsage, units float64) {
+	change := units - reported.counted.recent.decayed(now)
+	reported.counted.recent.add(now, change)
+	usage.all.recent.add(now, change)
+	if reported.scope == Own {
+		usage.group.recent.add(now, change)
 	}
 }
--- a/internal/direct/quota/word.go
+++ b/internal/direct/quota/word.go
@@ -10,148 +10,153 @@
 	"teaselmoor/internal/direct/account"
 )
 
-// Scope tells whose use a word speaks of.
+// Scope is the set of daemons whose usage a report covers.
 type Scope int
 
 // Scopes. Their numbers are sent between daemons.
 const (
-	Own    Scope = iota // of the daemon that says it
-	Group               // of a hub and those that have chosen it
-	Others              // of all daemons but the one that hears it
+	Own    Scope = iota // the sending daemon
+	Group               // a hub and the daemons that have chosen it
+	Others              // all daemons except the receiver
 )
 
-// Reading is the use of an account.
+// Reading is the usage of an account.
 type Reading struct {
 	Account string
-	Number  int64   // of the count; another number is a count that began anew
-	Total   float64 // units since the start of who says it
-	Recent  float64 // of them, as they fade
+	Number  int64   // identifies the count; a new number means that the count restarted
+	Total   float64 // units since the start of the count
+	Recent  float64 // the recent part of Total, as an exponentially decaying sum
 }
 
-// Word is what a daemon says of the use of accounts.
+// Word is a report of a daemon on the usage of accounts.
 type Word struct {
 	Scope       Scope
-	Incarnation int64 // start of the process that says it
-	Daemons     int   // that it counts together with, itself included
+	Incarnation int64 // start of the sending process
+	Daemons     int   // that the report covers, the sender included
 	Readings    []Reading
 }
 
-// Hear takes over what a source says. Counts tells that its words count; what others
-// speak for is noted only, in case they count later.
-func (ledger *Ledger) Hear(now clock.Millis, name string, word Word, counts bool) {
-	if ledger.starts[name] != word.Incarnation {
-		ledger.forget(name)
+// Hear applies the report of a source. With counts the reported usage is added up. Otherwise
+// another source covers this one, and its totals are only stored, as the base from which
+// usage counts if its reports are added up later.
+func (ledger *Ledger) Hear(now clock.Millis, name string, report Word, counts bool) {
+	if ledger.incarnations[name] != report.Incarnation {
+		ledger.dropSource(name)
 	}
-	ledger.starts[name] = word.Incarnation
-	if counts && word.Scope != Others && ledger.followed {
-		ledger.Follow() // it counts with the others itself now
-		ledger.followed = false
+	ledger.incarnations[name] = report.Incarnation
+	if counts && report.Scope != Others && ledger.hubReported {
+		ledger.Follow() // this daemon adds up the reports of the other daemons itself now
+		ledger.hubReported = false
 	}
-	for _, reading := range word.Readings {
+	for _, reading := range report.Readings {
 		limit := ledger.limits.Limit(reading.Account)
-		used := ledger.of(now, reading.Account, limit)
-		ledger.advance(now, used, limit)
-		ledger.hear(now, used, name, word.Scope, reading, counts)
+		usage := ledger.usageOf(now, reading.Account, limit)
+		ledger.advance(now, usage, limit)
+		ledger.applyReading(now, usage, name, report.Scope, reading, counts)
 	}
-	ledger.followed = ledger.followed || counts && word.Scope == Others
+	ledger.hubReported = ledger.hubReported || counts && report.Scope == Others
 }
 
-func (ledger *Ledger) hear(now clock.Millis, used *use, name string, scope Scope, reading Reading, counts bool) {
-	said, known := used.sources[name]
-	if !known || said.scope != scope || said.number != reading.Number {
-		said = &share{scope: scope, number: reading.Number, told: reading.Total - reading.Recent}
-		if scope == Others && ledger.followed {
-			said.told = reading.Total // the former hub has told of it
+// applyReading applies a reading to the usage that its source has reported before.
+func (ledger *Ledger) applyReading(now clock.Millis, usage *usage, name string, scope Scope, reading Reading, counts bool) {
+	reported, known := usage.sources[name]
+	if !known || reported.scope != scope || reported.number != reading.Number {
+		reported = &sourceUsage{scope: scope, number: reading.Number, lastTotal: reading.Total - reading.Recent}
+		if scope == Others && ledger.hubReported {
+			reported.lastTotal = reading.Total // the former hub has reported this usage
 		}
-		used.sources[name] = said
+		usage.sources[name] = reported
 	}
-	units := reading.Total - said.told - said.assumed
-	said.told, said.assumed = reading.Total, 0
+	units := reading.Total - reported.lastTotal - reported.assumed
+	reported.lastTotal, reported.assumed = reading.Total, 0
 	if counts {
-		used.take(said, units)
-		used.recent(now, said, reading.Recent)
+		usage.addUnits(reported, units)
+		usage.setRecent(now, reported, reading.Recent)
 	}
 }
 
-// Follow notes that another hub than before, or none, tells what others use.
+// Follow drops what the former hub has reported, because another hub or none reports the
+// usage of the other daemons from now on.
 func (ledger *Ledger) Follow() {
-	for _, used := range ledger.accounts {
-		maps.DeleteFunc(used.sources, func(_ string, said *share) bool { return said.scope == Others })
+	for _, usage := range ledger.accounts {
+		maps.DeleteFunc(usage.sources, func(_ string, reported *sourceUsage) bool { return reported.scope == Others })
 	}
 }
 
-// Forget drops what a source has said: it counts elsewhere, or is gone.
+// Forget drops what a source has reported: another source covers it, or it is gone.
 func (ledger *Ledger) Forget(name string) {
-	delete(ledger.starts, name)
-	ledger.forget(name)
+	delete(ledger.incarnations, name)
+	ledger.dropSource(name)
 }
 
-func (ledger *Ledger) forget(name string) {
-	for _, used := range ledger.accounts {
-		delete(used.sources, name)
+// dropSource removes the readings of a source from all accounts.
+func (ledger *Ledger) dropSource(name string) {
+	for _, usage := range ledger.accounts {
+		delete(usage.sources, name)
 	}
 }
 
-// Told is what a daemon was told, by account.
-type Told map[string]toldTotal
+// Told holds the totals last sent to a daemon, by account.
+type Told map[string]sentTotal
 
-// toldTotal is a total of a count.
-type toldTotal struct {
+// sentTotal is the total last sent, with the number of its count.
+type sentTotal struct {
 	number int64
 	units  float64
 }
 
-// News returns what a daemon has not been told of the use in a scope, and notes it as
-// told. Sharers is the number of daemons whose words add up to what the receiver knows;
-// with 0 it is told all that has changed.
-func (ledger *Ledger) News(now clock.Millis, scope Scope, receiver string, told Told, sharers int) []Reading {
-	var news []Reading
-	for name, used := range ledger.accounts {
+// News returns the readings in a scope that differ enough from those last sent to a receiver,
+// and records them in sent. Reporters is the number of daemons whose reports the receiver
+// adds up; with 0, all but negligible changes are returned.
+func (ledger *Ledger) News(now clock.Millis, scope Scope, receiver string, sent Told, reporters int) []Reading {
+	var readings []Reading
+	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
 		if !limit.Limited() {
 			continue
 		}
-		ledger.advance(now, used, limit)
-		counted := used.of(scope, receiver)
-		before := told[name]
-		if before.number == used.number && math.Abs(counted.units-before.units) < ledger.step(used, limit, sharers) {
+		ledger.advance(now, usage, limit)
+		total := usage.totalFor(scope, receiver)
+		before := sent[name]
+		if before.number == usage.number && math.Abs(total.units-before.units) < ledger.maxUnsent(usage, limit, reporters) {
 			continue
 		}
-		told[name] = toldTotal{number: used.number, units: counted.units}
-		news = append(news, Reading{Account: name, Number: used.number, Total: counted.units, Recent: max(0, counted.recent.faded(now))})
+		sent[name] = sentTotal{number: usage.number, units: total.units}
+		readings = append(readings, Reading{Account: name, Number: usage.number, Total: total.units, Recent: max(0, total.recent.decayed(now))})
 	}
-	slices.SortFunc(news, func(a, b Reading) int { return cmp.Compare(a.Account, b.Account) })
-	return news
+	slices.SortFunc(readings, func(a, b Reading) int { return cmp.Compare(a.Account, b.Account) })
+	return readings
 }
 
-// of returns the count in a scope as a receiver needs it.
-func (used *use) of(scope Scope, receiver string) total {
+// totalFor returns the total in a scope. For Others it leaves out what the receiver itself
+// has reported.
+func (usage *usage) totalFor(scope Scope, receiver string) total {
 	switch scope {
 	case Own:
-		return used.own
+		return usage.own
 	case Group:
-		return used.group
+		return usage.group
 	}
-	others := used.all
-	if said, ok := used.sources[receiver]; ok {
-		others.units -= said.counted.units
-		others.recent.add(others.recent.at, -said.counted.recent.faded(others.recent.at))
+	others := usage.all
+	if reported, ok := usage.sources[receiver]; ok {
+		others.units -= reported.counted.units
+		others.recent.add(others.recent.updatedAt, -reported.counted.recent.decayed(others.recent.updatedAt))
 	}
 	return others
 }
 
-// What is not told is at most half of what is left, over all who tell, and no less than
-// a part of the allowance.
+// Changes that are not sent are bounded: all reporters together may leave unsent unsentShare
+// of what the account has left. Each may always leave unsent minUnsentShare of the allowance.
 const (
-	untoldShare = 0.5
-	leastStep   = 0.001
+	unsentShare    = 0.5
+	minUnsentShare = 0.001
 )
 
-// step is how far a total runs ahead of what was told.
-func (ledger *Ledger) step(used *use, limit account.Limit, sharers int) float64 {
-	least := leastStep * ledger.tolerance.allowance(limit)
-	if sharers <= 0 {
-		return least
+// maxUnsent returns by how much a total may differ from the one last sent.
+func (ledger *Ledger) maxUnsent(usage *usage, limit account.Limit, reporters int) float64 {
+	minimum := minUnsentShare * ledger.tolerance.allowance(limit)
+	if reporters <= 0 {
+		return minimum
 	}
-	return max(untoldShare*used.level/float64(sharers), least)
+	return max(unsentShare*usage.level/float64(reporters), minimum)
 }
