--- a/internal/direct/throttle/part.go
+++ b/internal/direct/throttle/part.go
@@ -8,59 +8,61 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// spareDaemons is how many daemons beyond a server's limit in a second have a part of it.
-// All of them may send one request at once, which the site tolerates besides the limit.
-const spareDaemons = 4
+// extraDaemons is how many more daemons share a server's limit than the limit has requests in
+// a second. Each of the sharing daemons may send one request at the same moment; the site
+// tolerates that excess.
+const extraDaemons = 4
 
-// leastRate is what is sent to a server that names no requests at all, in requests a
-// second: without any answer nobody would learn that it takes requests again.
-const leastRate = 0.1
+// minRate is the lowest rate at which a server is sent requests, in requests a second, also
+// when its limit is zero. Without any response no daemon would learn that the server accepts requests again.
+const minRate = 0.1
 
-// part is a daemon's part of a server's limit: a bucket that holds one request.
-type part struct {
-	rate   float64 // requests a second; 0: none
-	filled float64 // 0 to 1
-	at     clock.Millis
+// share is a daemon's share of a server's limit: a token bucket that holds one request.
+type share struct {
+	rate      float64 // requests a second; 0 means that this daemon sends none
+	level     float64 // requests that may be sent now, at most 1
+	updatedAt clock.Millis
 }
 
-// fill adds what has come in until now.
-func (part *part) fill(now clock.Millis) {
-	part.filled = min(1, part.filled+part.rate*(now-part.at).Seconds())
-	part.at = now
+// refill adds what the rate yields until now.
+func (share *share) refill(now clock.Millis) {
+	share.level = min(1, share.level+share.rate*(now-share.updatedAt).Seconds())
+	share.updatedAt = now
 }
 
-// SetDaemons takes over which daemons there are.
+// SetDaemons replaces the daemons of the site.
 func (limits *Limits) SetDaemons(now clock.Millis, daemons []string) {
 	if slices.Equal(daemons, limits.daemons) {
 		return
 	}
 	limits.daemons = daemons
-	for _, known := range limits.entries {
-		if known.word.Limited {
-			limits.divide(now, known)
+	for _, entry := range limits.entries {
+		if entry.limit.Limited {
+			limits.updateShare(now, entry)
 		}
 	}
 }
 
-// divide finds this daemon's part of a limit. Parts begin to fill at different levels, so
+// updateShare computes this daemon's share of a limit. Buckets start at different levels, so
 // that daemons which learn of a limit together do not send together.
-func (limits *Limits) divide(now clock.Millis, known *entry) {
-	rate := max(leastRate, known.word.Rate)
-	sharers := min(len(limits.daemons), int(rate)+spareDaemons)
-	place := limits.place(known.word.Server)
-	if known.part.at == 0 {
-		known.part.filled = float64(place%sharers) / float64(sharers)
-		known.part.at = now
+func (limits *Limits) updateShare(now clock.Millis, entry *entry) {
+	rate := max(minRate, entry.limit.Rate)
+	sharers := min(len(limits.daemons), int(rate)+extraDaemons)
+	position := limits.position(entry.limit.Server)
+	if entry.share.updatedAt == 0 {
+		entry.share.level = float64(position%sharers) / float64(sharers)
+		entry.share.updatedAt = now
 	}
-	known.part.fill(now)
-	known.part.rate = 0
-	if place < sharers {
-		known.part.rate = rate / float64(sharers)
+	entry.share.refill(now)
+	entry.share.rate = 0
+	if position < sharers {
+		entry.share.rate = rate / float64(sharers)
 	}
 }
 
-// place is the number of daemons that go before this one at a server.
-func (limits *Limits) place(server string) int {
+// position returns how many daemons precede this one in the server's order, which is by the
+// hash of server and daemon.
+func (limits *Limits) position(server string) int {
 	own := xxhash.Sum64String(server + "/" + limits.self)
 	before := 0
 	for _, daemon := range limits.daemons {
@@ -73,29 +75,30 @@
 
 // Allows reports whether this daemon may send a server a request now.
 func (limits *Limits) Allows(now clock.Millis, server string) bool {
-	known, ok := limits.entries[server]
-	if !ok || !known.word.Limited {
+	entry, ok := limits.entries[server]
+	if !ok || !entry.limit.Limited {
 		return true
 	}
-	known.part.fill(now)
-	return known.part.rate > 0 && known.part.filled >= 1
+	entry.share.refill(now)
+	return entry.share.rate > 0 && entry.share.level >= 1
 }
 
-// Take counts a request to a server.
+// Take takes a request to a server from the bucket.
 func (limits *Limits) Take(now clock.Millis, server string) {
-	limits.add(now, server, -1)
+	limits.addToLevel(now, server, -1)
 }
 
-// Return counts a request to a server no longer: it was not sent.
+// Return gives back a request to a server that was not sent.
 func (limits *Limits) Return(now clock.Millis, server string) {
-	limits.add(now, server, 1)
+	limits.addToLevel(now, server, 1)
 }
 
-func (limits *Limits) add(now clock.Millis, server string, more float64) {
-	known, ok := limits.entries[server]
-	if !ok || !known.word.Limited {
+// addToLevel adds requests to the bucket of a server, if it has a limit.
+func (limits *Limits) addToLevel(now clock.Millis, server string, requests float64) {
+	entry, ok := limits.entries[server]
+	if !ok || !entry.limit.Limited {
 		return
 	}
-	known.part.fill(now)
-	known.part.filled = min(1, known.part.filled+more)
+	entry.share.refill(now)
+	entry.share.level = min(1, entry.share.level+requests)
 }
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -1,12 +1,12 @@
-// Package throttle keeps what a server gets within the limit that it has named: the requests
-// a second that it takes from all daemons together. It answers this load: a server in need
-// asks for less, while requests go on to come at all daemons. It does no I/O and reads no
-// clock.
+// Package throttle keeps the requests sent to a server within the limit that the server has
+// set: the requests a second that it accepts from all daemons together. It covers the case
+// that an overloaded server asks for less while requests keep arriving at all daemons. It does
+// no I/O and reads no clock.
 //
-// Daemons part a limit without asking each other. They tell each other of limits, and agree
-// by the hash of server and daemon on a few of them, so that a request at once from each of
-// these is within what the site tolerates. Each takes an equal part of the rate, in a bucket
-// that holds one request; the others send that server nothing.
+// Daemons share a limit without negotiating. They tell each other of limits, and the hash of
+// server and daemon selects a few daemons, so few that a request sent by each of them at the
+// same moment is within what the site tolerates. Each of these has an equal share of the rate,
+// in a bucket that holds one request; the others send that server nothing.
 package throttle
 
 import (
@@ -15,19 +15,19 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// Word is what a server said last of its limit, as daemons tell each other. Of two words on
-// one process of a server the one with the higher number counts, of the same number the
+// Word is the last known limit of a server, as daemons send it to each other. Between two
+// of the same server process the one with the higher number wins; with equal numbers, the
 // lower limit.
 type Word struct {
 	Server  string
 	Born    int64 // start of the server's process, 0 where it is not known
-	Number  int64 // rises with each change
+	Number  int64 // increases with each change
 	Limited bool
 	Rate    float64 // requests a second
 }
 
-// after reports whether a word replaces another one on the same server.
-func (word Word) after(other Word) bool {
+// supersedes reports whether a limit replaces another one of the same server.
+func (word Word) supersedes(other Word) bool {
 	switch {
 	case word.Born != other.Born:
 		return word.Born > other.Born
@@ -38,98 +38,99 @@
 	}
 }
 
-// entry is the last word on a server, and this daemon's part of its limit.
+// entry is the last known limit of a server and this daemon's share of it.
 type entry struct {
-	word   Word
-	at     clock.Millis // when this daemon came to know the word
-	change int64        // of the limits, by which it did
-	part   part
+	limit     Word
+	learnedAt clock.Millis // when this daemon learned of the limit
+	revision  int64        // revision of Limits at which the entry changed last
+	share     share
 }
 
-// Limits are the limits of servers, as one daemon keeps them.
+// Limits holds the limits of servers, as one daemon knows them.
 type Limits struct {
-	self    string
-	daemons []string          // of the site, self included
-	entries map[string]*entry // by server
-	limited int               // servers that have a limit
-	changes int64
+	self     string
+	daemons  []string          // of the site, self included
+	entries  map[string]*entry // by server
+	limited  int               // number of servers that have a limit
+	revision int64
 }
 
-// New returns the limits of a daemon that knows no other and no limit yet.
+// New returns the limits of a daemon that knows of no other daemon and no limit yet.
 func New(self string) *Limits {
 	return &Limits{self: self, daemons: []string{self}, entries: make(map[string]*entry)}
 }
 
-// Heard notes what an answer of a server said of its limit; its number is left open. An
-// answer to a request from before the limit was known does not lift it: answers overtake
-// each other. It reports whether that is news.
-func (limits *Limits) Heard(now, sentAt clock.Millis, word Word) bool {
-	known := limits.of(word.Server)
+// Heard applies the limit that a response of a server carried, and gives it a number. A
+// response to a request that was sent before the limit was known does not lift it, as responses
+// can overtake each other. Heard reports whether the limit changed.
+func (limits *Limits) Heard(now, sentAt clock.Millis, limit Word) bool {
+	known := limits.lookup(limit.Server)
 	switch {
-	case word.Born < known.word.Born:
+	case limit.Born < known.limit.Born:
 		return false
-	case word.Born > known.word.Born: // nothing of before holds
-		if !word.Limited && !known.word.Limited {
+	case limit.Born > known.limit.Born: // a new process: the old limit is void
+		if !limit.Limited && !known.limit.Limited {
 			return false
 		}
-	case word.Limited == known.word.Limited && word.Rate == known.word.Rate:
+	case limit.Limited == known.limit.Limited && limit.Rate == known.limit.Rate:
 		return false
-	case !word.Limited && sentAt < known.at:
+	case !limit.Limited && sentAt < known.learnedAt:
 		return false
 	}
-	word.Number = known.word.Number + 1
-	limits.take(now, word)
+	limit.Number = known.limit.Number + 1
+	limits.replace(now, limit)
 	return true
 }
 
-// Merge takes over what another daemon knows. It reports whether that is news.
-func (limits *Limits) Merge(now clock.Millis, words []Word) bool {
-	news := false
-	for _, word := range words {
-		if known, ok := limits.entries[word.Server]; !ok || word.after(known.word) {
-			limits.take(now, word)
-			news = true
+// Merge applies the limits that another daemon knows. It reports whether any limit changed.
+func (limits *Limits) Merge(now clock.Millis, received []Word) bool {
+	changed := false
+	for _, limit := range received {
+		if known, ok := limits.entries[limit.Server]; !ok || limit.supersedes(known.limit) {
+			limits.replace(now, limit)
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// take replaces what is known of a server. A part that this daemon has of its limit is kept.
-func (limits *Limits) take(now clock.Millis, word Word) {
-	limits.changes++
-	known, ok := limits.entries[word.Server]
-	if !ok || !known.word.Limited || !word.Limited || known.word.Born != word.Born {
+// replace replaces the limit of a server. While the same process keeps a limit, the level of
+// its bucket is kept.
+func (limits *Limits) replace(now clock.Millis, limit Word) {
+	limits.revision++
+	known, ok := limits.entries[limit.Server]
+	if !ok || !known.limit.Limited || !limit.Limited || known.limit.Born != limit.Born {
 		known = &entry{}
 	}
-	known.word, known.at, known.change = word, now, limits.changes
-	limits.entries[word.Server] = known
-	limits.count()
-	if word.Limited {
-		limits.divide(now, known)
+	known.limit, known.learnedAt, known.revision = limit, now, limits.revision
+	limits.entries[limit.Server] = known
+	limits.countLimited()
+	if limit.Limited {
+		limits.updateShare(now, known)
 	}
 }
 
-// Changes rises with each change of the limits.
+// Changes returns the revision of the limits. It increases with each change.
 func (limits *Limits) Changes() int64 {
-	return limits.changes
+	return limits.revision
 }
 
-// Since returns the words that have changed after a change of the limits.
-func (limits *Limits) Since(change int64) []Word {
-	if change >= limits.changes {
+// Since returns the limits that have changed after the given revision.
+func (limits *Limits) Since(revision int64) []Word {
+	if revision >= limits.revision {
 		return nil
 	}
-	var words []Word
+	var changed []Word
 	for _, known := range limits.entries {
-		if known.change > change {
-			words = append(words, known.word)
+		if known.revision > revision {
+			changed = append(changed, known.limit)
 		}
 	}
-	return words
+	return changed
 }
 
-// of returns what is known of a server; an empty entry where that is nothing.
-func (limits *Limits) of(server string) *entry {
+// lookup returns the entry of a server, or an empty one if there is none.
+func (limits *Limits) lookup(server string) *entry {
 	if known, ok := limits.entries[server]; ok {
 		return known
 	}
@@ -141,17 +142,18 @@
 	return limits.limited
 }
 
-func (limits *Limits) count() {
+// countLimited counts the servers that have a limit.
+func (limits *Limits) countLimited() {
 	limits.limited = 0
 	for _, known := range limits.entries {
-		if known.word.Limited {
+		if known.limit.Limited {
 			limits.limited++
 		}
 	}
 }
 
-// Retain forgets the servers that are not kept.
+// Retain drops the servers for which kept is false.
 func (limits *Limits) Retain(kept func(server string) bool) {
 	maps.DeleteFunc(limits.entries, func(server string, _ *entry) bool { return !kept(server) })
-	limits.count()
+	limits.countLimited()
 }
--- a/internal/direct/throttle/throttle_test.go
+++ b/internal/direct/throttle/throttle_test.go
@@ -16,7 +16,7 @@
 	span  = 4 * clock.Second
 )
 
-// site is some daemons that know the same limit of one server.
+// site returns the limits of some daemons that know the same limit of one server.
 func site(daemons int, rate float64) []*throttle.Limits {
 	var names []string
 	for i := range daemons {
@@ -32,8 +32,9 @@
 	return site
 }
 
-// TestSumOverDaemonsIsWithinTheLimit draws how many daemons there are, the limit, and when
-// callers ask at which daemon: in no span is more sent than the site tolerates.
+// TestSumOverDaemonsIsWithinTheLimit draws the number of daemons, the limit and the pauses
+// between bursts of requests at all daemons. In no span may they send more than the site
+// tolerates.
 func TestSumOverDaemonsIsWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(0, 300).Draw(t, "tenths")) / 10
@@ -61,7 +62,7 @@
 	})
 }
 
-// TestLimitIsUsed: while callers ask all the time nearly all of a limit is sent.
+// TestLimitIsUsed checks that under constant demand nearly the whole limit is sent.
 func TestLimitIsUsed(t *testing.T) {
 	for _, daemons := range []int{1, 3, 7, 59, 195} {
 		for _, rate := range []float64{0.5, 1.6, 10, 200} {
@@ -80,8 +81,9 @@
 	}
 }
 
-// TestWhatIsNotSentIsReturned: a request that went elsewhere takes nothing of the limit.
-func TestWhatIsNotSentIsReturned(t *testing.T) {
+// TestUnsentRequestIsReturned checks that a request that was sent elsewhere uses nothing of
+// the limit.
+func TestUnsentRequestIsReturned(t *testing.T) {
 	limits := site(1, 1)[0]
 	now := start + 10*clock.Second
 	require.True(t, limits.Allows(now, "s"))
@@ -95,26 +97,26 @@
 func TestLimitIsLiftedByALaterAnswer(t *testing.T) {
 	limits := throttle.New("d")
 	limited, lifted := throttle.Word{Server: "s", Born: 5, Limited: true, Rate: 2}, throttle.Word{Server: "s", Born: 5}
-	require.False(t, limits.Heard(start, start, lifted), "none was named")
+	require.False(t, limits.Heard(start, start, lifted), "no limit was set")
 	require.True(t, limits.Heard(start, start, limited))
-	require.False(t, limits.Heard(start, start, limited), "no news")
+	require.False(t, limits.Heard(start, start, limited), "the limit is known")
 	require.False(t, limits.Allows(start, "s"))
-	require.False(t, limits.Heard(start+10, start-1, lifted), "the answer to a request from before")
+	require.False(t, limits.Heard(start+10, start-1, lifted), "response to a request sent before the limit was known")
 	require.True(t, limits.Heard(start+10, start+5, lifted))
 	require.True(t, limits.Allows(start+10, "s"))
 	require.Zero(t, limits.Limited())
 	require.True(t, limits.Heard(start+20, start, limited))
-	require.True(t, limits.Heard(start+30, start, throttle.Word{Server: "s", Born: 6}), "another process names none")
+	require.True(t, limits.Heard(start+30, start, throttle.Word{Server: "s", Born: 6}), "the new process has no limit")
 	require.True(t, limits.Allows(start+30, "s"))
-	require.False(t, limits.Heard(start+40, start, limited), "the process of before")
+	require.False(t, limits.Heard(start+40, start, limited), "response of the old process")
 	limits.Retain(func(string) bool { return false })
 	require.True(t, limits.Heard(start+50, start, limited))
 	require.Equal(t, 1, limits.Limited())
 }
 
-// TestWordsMergeInAnyOrder draws answers at daemons and messages between them; once all have
-// told each other all, they agree.
-func TestWordsMergeInAnyOrder(t *testing.T) {
+// TestLimitsMergeInAnyOrder draws responses at daemons and messages between them. Once all
+// daemons have sent each other everything, they agree.
+func TestLimitsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
 		var site []*throttle.Limits
@@ -126,11 +128,11 @@
 			now += clock.Millis(rapid.IntRange(0, 50).Draw(t, "gap"))
 			limits := site[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "answer") {
-				word := throttle.Word{Server: "s", Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))}
+				limit := throttle.Word{Server: "s", Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))}
 				if rate := rapid.IntRange(0, 2).Draw(t, "rate"); rate > 0 {
-					word.Limited, word.Rate = true, float64(rate)
+					limit.Limited, limit.Rate = true, float64(rate)
 				}
-				limits.Heard(now, now-20, word)
+				limits.Heard(now, now-20, limit)
 				continue
 			}
 			limits.Merge(now, site[rapid.IntRange(0, daemons-1).Draw(t, "peer")].Since(0))
