--- a/internal/direct/quarantine/quarantine.go
+++ b/internal/direct/quarantine/quarantine.go
@@ -1,17 +1,19 @@
-// Package quarantine decides which requests are refused because servers have ended under
-// requests with the same content. It answers this load: a request that crashes each server
-// that runs it comes again and again under other ids, at any daemon, and each time takes
-// the work of a server's other callers with it. It does no I/O and reads no clock.
+// Package quarantine decides which requests are refused because server processes have ended
+// while they ran requests with the same content. It covers the case that a request that
+// crashes every server that runs it is repeated under other ids, at any daemon, and each time
+// destroys the work of the server's other callers. It does no I/O and reads no clock.
 //
-// What many callers ask for may be in progress at servers that fail together for another
-// reason: a daemon that has answered a content of late does not count it, and vouches for it.
+// A content that many callers ask for may be in progress at servers that fail together for
+// another reason. A daemon that has recently seen a response to a content therefore does not
+// count the end of a server against it, and clears the records of other daemons on it.
 //
-// Each daemon keeps a List. A content collects the servers that ended while they had a
-// request with it. With Options.Servers of them it is refused for a span that grows with
-// each further one; then single requests are let through again. An answer clears it: what
-// one server answers does not crash each. All requests that a server had when it ended
-// are noted, as nothing tells which of them ended it; only one that comes again meets a
-// second end. Daemons tell each other their records, which merge in any order.
+// Each daemon keeps a List. For each content it records the servers that ended while they had
+// a request with it. Once there are Options.Servers of them, the content is refused for a span
+// that grows with each further server; then single requests are let through again. A response
+// clears the record: a content that one server can answer does not crash every server. All
+// requests that a server had when it ended are recorded, as nothing shows which of them was
+// the cause; only a content that is requested again can be recorded for a second server.
+// Daemons send each other their records, which can be merged in any order.
 package quarantine
 
 import (
@@ -28,28 +30,30 @@
 
 // Options are the limits of a list.
 type Options struct {
-	// Servers is how many servers end under a content before it is refused.
+	// Servers is how many servers must have ended while running a content before it is
+	// refused.
 	Servers int
-	// FirstSpan is how long it is refused then, and Growth by how much longer after each
-	// further server; MostSpan bounds it.
+	// FirstSpan is how long the content is refused then. The span is multiplied by Growth for
+	// each further server, up to MostSpan.
 	FirstSpan, MostSpan clock.Millis
 	Growth              int
-	// Spread is the part of a span by which daemons differ, so that not all of them let
-	// the content through at the same moment.
+	// Spread is the share of a span by which the spans of daemons differ, so that not all of
+	// them let the content through at the same moment.
 	Spread float64
-	// Keep is how long a record is kept beyond its use.
+	// Keep is how long a record is kept after it has stopped having an effect.
 	Keep clock.Millis
-	// Records bounds the list.
+	// Records is the maximum number of records in the list.
 	Records int
-	// Trust is for how long at least a content that was answered does not count as one that
-	// ends servers, and Answers how many such contents are remembered at least.
+	// Trust is for how long at least no end of a server is counted against a content that was
+	// answered. Answers is how many such contents are remembered at least.
 	Trust   clock.Millis
 	Answers int
 }
 
-// DefaultOptions returns limits under which a request that never stops coming ends two
-// servers, further ones after 5 s, 50 s and so on, and one a day in the end. The first span
-// is short: what many callers ask for may be in progress at two servers that fail together.
+// DefaultOptions returns limits under which a crashing request that is repeated without end
+// takes down two servers, further ones after 5 s, 50 s and so on, and finally one a day. The
+// first span is short, as a content that many callers ask for may be in progress at two
+// servers that fail together.
 func DefaultOptions() Options {
 	return Options{
 		Servers: 2, FirstSpan: 5 * clock.Second, MostSpan: 24 * clock.Hour, Growth: 10,
@@ -58,86 +62,88 @@
 	}
 }
 
-// Record is what is known of a content. Of two records of it the one with the higher
-// number counts; with the same number the servers of both do.
+// Record lists the servers that ended while running a content. Between two records of the
+// same content the one with the higher number wins; with equal numbers their servers are
+// united.
 type Record struct {
 	Content content.ID
-	Number  int64 // rises with each answer that clears the record
+	Number  int64 // increases with each response that clears the record
 	Servers []string
-	Age     clock.Millis // since a server ended last, or the record was cleared
+	Age     clock.Millis // time since the last server ended or the record was cleared
 }
 
 // entry is a record in a list.
 type entry struct {
-	number  int64
-	servers map[string]bool
-	at      clock.Millis
-	change  int64 // of the list, by which it became what it is
+	number    int64
+	servers   map[string]bool
+	updatedAt clock.Millis
+	revision  int64 // revision of the list at which the entry changed last
 }
 
-// List is what a daemon knows of contents under which servers ended.
+// List holds what a daemon knows of contents during which servers ended.
 type List struct {
-	options Options
-	daemon  uint64 // hash of the daemon's name
-	entries map[content.ID]*entry
-	answers *recent[content.ID]
-	changes int64
+	options    Options
+	daemonHash uint64 // hash of the daemon's name
+	entries    map[content.ID]*entry
+	answers    *recentSet[content.ID]
+	revision   int64
 }
 
 // New returns the empty list of a daemon.
 func New(options Options, daemon string) *List {
-	return &List{options: options, daemon: xxhash.Sum64String(daemon), entries: make(map[content.ID]*entry), answers: newRecent[content.ID](options.Trust, options.Answers)}
+	return &List{options: options, daemonHash: xxhash.Sum64String(daemon), entries: make(map[content.ID]*entry), answers: newRecentSet[content.ID](options.Trust, options.Answers)}
 }
 
-// Ended notes that a server ended which had a request with a content, unless the content was
-// answered here of late.
+// Ended records that a server ended while it had a request with a content, unless a response
+// to the content was seen recently at this daemon.
 func (list *List) Ended(now clock.Millis, id content.ID, server string) {
 	if list.answers.has(now, id) {
 		return
 	}
 	record := Record{Content: id, Servers: []string{server}}
-	if known, ok := list.entries[id]; ok {
-		record.Number = known.number
+	if entry, ok := list.entries[id]; ok {
+		record.Number = entry.number
 	}
 	list.Merge(now, []Record{record})
 }
 
-// Answered notes that a server answered a request with a content. It reports whether that
-// is news.
+// Answered records that a server answered a request with a content. It reports whether that
+// cleared a record.
 func (list *List) Answered(now clock.Millis, id content.ID) bool {
 	list.answers.add(now, id)
 	return list.clear(now, id)
 }
 
-// clear drops what counts against a content. It reports whether there was anything.
+// clear removes the servers recorded for a content. It reports whether there were any.
 func (list *List) clear(now clock.Millis, id content.ID) bool {
-	known, ok := list.entries[id]
-	if !ok || len(known.servers) == 0 {
+	entry, ok := list.entries[id]
+	if !ok || len(entry.servers) == 0 {
 		return false
 	}
-	return list.merge(now, Record{Content: id, Number: known.number + 1})
+	return list.mergeRecord(now, Record{Content: id, Number: entry.number + 1})
 }
 
-// Refuses returns for how much longer requests with a content are refused; 0: they are not.
+// Refuses returns for how much longer requests with a content are refused, or 0 if they are
+// not.
 func (list *List) Refuses(now clock.Millis, id content.ID) clock.Millis {
-	known, ok := list.entries[id]
-	if !ok || len(known.servers) < list.options.Servers {
+	entry, ok := list.entries[id]
+	if !ok || len(entry.servers) < list.options.Servers {
 		return 0
 	}
-	span := list.span(known)
-	return max(0, known.at+span+list.spread(id, span)-now)
+	span := list.refusalSpan(entry)
+	return max(0, entry.updatedAt+span+list.extraSpan(id, span)-now)
 }
 
-// Servers returns how many servers have ended under a content.
+// Servers returns how many servers have ended while running a content.
 func (list *List) Servers(id content.ID) int {
-	known, ok := list.entries[id]
+	entry, ok := list.entries[id]
 	if !ok {
 		return 0
 	}
-	return len(known.servers)
+	return len(entry.servers)
 }
 
-// Refused returns how many contents are refused.
+// Refused returns how many contents are refused now.
 func (list *List) Refused(now clock.Millis) int {
 	count := 0
 	for id := range list.entries {
@@ -148,42 +154,46 @@
 	return count
 }
 
-// span is how long a content is refused after the last server's end.
-func (list *List) span(known *entry) clock.Millis {
+// refusalSpan returns how long a content is refused after the last server ended. It needs at
+// least Options.Servers servers.
+func (list *List) refusalSpan(entry *entry) clock.Millis {
 	span := list.options.FirstSpan
-	for range len(known.servers) - list.options.Servers {
+	for range len(entry.servers) - list.options.Servers {
 		span = min(span*clock.Millis(list.options.Growth), list.options.MostSpan)
 	}
 	return span
 }
 
-// spread is by how much longer this daemon refuses a content than the first one does.
-func (list *List) spread(id content.ID, span clock.Millis) clock.Millis {
-	drawn := float64((list.daemon^binary.BigEndian.Uint64(id[:]))*mixer>>32) / (1 << 32)
+// extraSpan returns the daemon's own extension of a span, from 0 up to the share
+// Options.Spread of it.
+func (list *List) extraSpan(id content.ID, span clock.Millis) clock.Millis {
+	drawn := float64((list.daemonHash^binary.BigEndian.Uint64(id[:]))*hashMultiplier>>32) / (1 << 32)
 	return clock.Millis(list.options.Spread * drawn * float64(span))
 }
 
-// mixer spreads a hash over all bits (the golden ratio times 2^64).
-const mixer = 0x9E3779B97F4A7C15
+// hashMultiplier spreads the bits of a hash (Fibonacci hashing: 2^64 divided by the golden
+// ratio).
+const hashMultiplier = 0x9E3779B97F4A7C15
 
-// Merge takes over what another daemon knows. It reports whether that is news.
+// Merge applies the records of another daemon. It reports whether any record changed.
 func (list *List) Merge(now clock.Millis, records []Record) bool {
-	news := false
+	changed := false
 	for _, record := range records {
-		if list.merge(now, record) {
-			news = true
+		if list.mergeRecord(now, record) {
+			changed = true
 		}
 		if list.answers.has(now, record.Content) {
 			list.clear(now, record.Content)
 		}
 	}
 	if len(list.entries) > list.options.Records {
-		list.drop()
+		list.evict()
 	}
-	return news
+	return changed
 }
 
-func (list *List) merge(now clock.Millis, record Record) bool {
+// mergeRecord applies one record. It reports whether the entry changed.
+func (list *List) mergeRecord(now clock.Millis, record Record) bool {
 	known, ok := list.entries[record.Content]
 	if ok && record.Number < known.number {
 		return false
@@ -198,51 +208,51 @@
 	if list.entries[record.Content] == known && len(known.servers) == before {
 		return false
 	}
-	known.at = max(known.at, now-record.Age)
-	list.changes++
-	known.change = list.changes
+	known.updatedAt = max(known.updatedAt, now-record.Age)
+	list.revision++
+	known.revision = list.revision
 	list.entries[record.Content] = known
 	return true
 }
 
-// drop forgets the records with the fewest servers, of these the oldest, until there is
-// room for some more.
-func (list *List) drop() {
+// evict removes the records with the fewest servers, the oldest of these first, until a tenth
+// of the list is free.
+func (list *List) evict() {
 	ids := slices.SortedFunc(maps.Keys(list.entries), func(a, b content.ID) int {
 		first, second := list.entries[a], list.entries[b]
-		return cmp.Or(cmp.Compare(len(first.servers), len(second.servers)), cmp.Compare(first.at, second.at))
+		return cmp.Or(cmp.Compare(len(first.servers), len(second.servers)), cmp.Compare(first.updatedAt, second.updatedAt))
 	})
 	for _, id := range ids[:len(ids)-list.options.Records+list.options.Records/10] {
 		delete(list.entries, id)
 	}
 }
 
-// Changes rises with each change of the list.
+// Changes returns the revision of the list. It increases with each change.
 func (list *List) Changes() int64 {
-	return list.changes
+	return list.revision
 }
 
-// Since returns the records that have changed after a change of the list.
-func (list *List) Since(now clock.Millis, change int64) []Record {
-	if change >= list.changes {
+// Since returns the records that have changed after the given revision.
+func (list *List) Since(now clock.Millis, revision int64) []Record {
+	if revision >= list.revision {
 		return nil
 	}
 	var records []Record
-	for id, known := range list.entries {
-		if known.change > change {
-			records = append(records, Record{Content: id, Number: known.number, Servers: slices.Sorted(maps.Keys(known.servers)), Age: now - known.at})
+	for id, entry := range list.entries {
+		if entry.revision > revision {
+			records = append(records, Record{Content: id, Number: entry.number, Servers: slices.Sorted(maps.Keys(entry.servers)), Age: now - entry.updatedAt})
 		}
 	}
 	return records
 }
 
-// Prune forgets what has been of no use for long.
+// Prune removes records that have had no effect for Options.Keep.
 func (list *List) Prune(now clock.Millis) {
-	maps.DeleteFunc(list.entries, func(id content.ID, known *entry) bool {
+	maps.DeleteFunc(list.entries, func(id content.ID, entry *entry) bool {
 		kept := list.options.Keep
-		if len(known.servers) >= list.options.Servers {
-			kept += 2 * list.span(known) // the span of the next end grows from this one
+		if len(entry.servers) >= list.options.Servers {
+			kept += 2 * list.refusalSpan(entry) // the span after the next end is computed from this record
 		}
-		return now-known.at >= kept
+		return now-entry.updatedAt >= kept
 	})
 }
--- a/internal/direct/quarantine/quarantine_test.go
+++ b/internal/direct/quarantine/quarantine_test.go
@@ -33,8 +33,8 @@
 	require.Equal(t, 2, list.Servers(crasher))
 }
 
-// TestEachFurtherEndIsRarer lets a content through whenever it is due, and has it end a
-// server each time.
+// TestEachFurtherEndIsRarer sends a content whenever it is not refused, and each time a server
+// ends. The number of ends within an hour stays small.
 func TestEachFurtherEndIsRarer(t *testing.T) {
 	list := quarantine.New(options, "d")
 	now := start
@@ -60,17 +60,18 @@
 	require.False(t, list.Answered(start, other))
 	require.True(t, list.Answered(start, crasher))
 	require.Zero(t, list.Refuses(start, crasher))
-	require.False(t, list.Answered(start, crasher), "no news")
+	require.False(t, list.Answered(start, crasher), "it was cleared before")
 	require.True(t, peer.Merge(start, list.Since(start, 0)))
 	require.Zero(t, peer.Refuses(start, crasher))
 	peer.Ended(start, crasher, "d")
 	require.Zero(t, peer.Refuses(start, crasher), "it counts from the start again")
 }
 
-// TestDaemonsDoNotAllTryAgainAtOnce: a content that comes to all daemons all the time is
-// let through by few at first, and their word has the others wait on.
+// TestDaemonsDoNotAllTryAgainAtOnce requests a crashing content at all daemons all the time.
+// When the refusal expires, only few daemons let it through before a report of the next end
+// could have reached the others.
 func TestDaemonsDoNotAllTryAgainAtOnce(t *testing.T) {
-	const daemons, news = 59, 100 * clock.Millisecond
+	const daemons, delay = 59, 100 * clock.Millisecond
 	lists := make([]*quarantine.List, daemons)
 	for i := range lists {
 		lists[i] = quarantine.New(options, fmt.Sprintf("d%d", i))
@@ -79,7 +80,7 @@
 	}
 	first := clock.Millis(0)
 	sent := 0
-	for now := start; first == 0 || now < first+news; now++ {
+	for now := start; first == 0 || now < first+delay; now++ {
 		for _, list := range lists {
 			if list.Refuses(now, crasher) > 0 {
 				continue
@@ -94,8 +95,8 @@
 	require.LessOrEqual(t, sent, 3)
 }
 
-// TestRecordsMergeInAnyOrder draws ends, answers and messages between daemons; once all
-// have told each other all, they agree, and have nothing more to tell.
+// TestRecordsMergeInAnyOrder draws ends of servers, responses and messages between daemons.
+// Once all daemons have sent each other everything, they agree and have nothing more to send.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
@@ -131,7 +132,7 @@
 	})
 }
 
-// TestListIsBounded: what has ended most servers stays.
+// TestListIsBounded checks that a full list keeps the contents with the most ended servers.
 func TestListIsBounded(t *testing.T) {
 	list := quarantine.New(options, "d")
 	for _, server := range []string{"a", "b"} {
@@ -146,9 +147,9 @@
 	require.Empty(t, list.Since(start, 0))
 }
 
-// TestWhatManyCallersAskForIsNotRefused: a content that was answered of late is in progress
-// at two servers that fail at once, before any other answer. A daemon that has answered it
-// vouches for it when another one has noted both.
+// TestWhatManyCallersAskForIsNotRefused checks a recently answered content that is in progress
+// at two servers that fail together, before any further response. A daemon that has seen a
+// response does not refuse it, and clears the record when another daemon has counted both ends.
 func TestWhatManyCallersAskForIsNotRefused(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	require.False(t, list.Answered(start, crasher), "there is nothing to clear")
@@ -168,7 +169,8 @@
 	require.Positive(t, list.Refuses(later, crasher), "it may have changed since it was answered")
 }
 
-// TestAnswersAreRememberedInBoundedSpace: what is asked for most is remembered.
+// TestAnswersAreRememberedInBoundedSpace checks that the answered contents which are requested
+// most often stay remembered.
 func TestAnswersAreRememberedInBoundedSpace(t *testing.T) {
 	list := quarantine.New(options, "d")
 	for i := range 5 * options.Answers {
--- a/internal/direct/quarantine/recent.go
+++ b/internal/direct/quarantine/recent.go
@@ -2,39 +2,40 @@
 
 import "teaselmoor/internal/base/clock"
 
-// recent remembers keys for a span and up to twice as long, the newest and those that come
-// again first.
-type recent[K comparable] struct {
-	span       clock.Millis
-	most       int // keys of one generation
-	young, old map[K]bool
-	began      clock.Millis // when the young generation did
+// recentSet remembers keys for at least a span and at most two, in two generations. When the
+// current generation is full, the previous one is dropped early: keys that were added last or
+// that are added again stay.
+type recentSet[K comparable] struct {
+	span              clock.Millis
+	maxKeys           int // in one generation
+	current, previous map[K]bool
+	startedAt         clock.Millis // start of the current generation
 }
 
-func newRecent[K comparable](span clock.Millis, most int) *recent[K] {
-	return &recent[K]{span: span, most: most, young: make(map[K]bool)}
+func newRecentSet[K comparable](span clock.Millis, maxKeys int) *recentSet[K] {
+	return &recentSet[K]{span: span, maxKeys: maxKeys, current: make(map[K]bool)}
 }
 
-func (recent *recent[K]) add(now clock.Millis, key K) {
-	recent.age(now)
-	recent.young[key] = true
+func (recentSet *recentSet[K]) add(now clock.Millis, key K) {
+	recentSet.rotate(now)
+	recentSet.current[key] = true
 }
 
-func (recent *recent[K]) has(now clock.Millis, key K) bool {
-	recent.age(now)
-	return recent.young[key] || recent.old[key]
+func (recentSet *recentSet[K]) has(now clock.Millis, key K) bool {
+	recentSet.rotate(now)
+	return recentSet.current[key] || recentSet.previous[key]
 }
 
-// age begins a new generation when it is time, or the young one is full.
-func (recent *recent[K]) age(now clock.Millis) {
-	passed := now - recent.began
-	if passed < recent.span && len(recent.young) < recent.most {
+// rotate starts a new generation once the span has passed or the current one is full.
+func (recentSet *recentSet[K]) rotate(now clock.Millis) {
+	passed := now - recentSet.startedAt
+	if passed < recentSet.span && len(recentSet.current) < recentSet.maxKeys {
 		return
 	}
-	recent.old = recent.young
-	if passed >= 2*recent.span {
-		recent.old = nil
+	recentSet.previous = recentSet.current
+	if passed >= 2*recentSet.span {
+		recentSet.previous = nil
 	}
-	recent.young = make(map[K]bool)
-	recent.began = now
+	recentSet.current = make(map[K]bool)
+	recentSet.startedAt = now
 }
--- a/internal/direct/throttle/part.go
+++ b/internal/direct/throttle/part.go
@@ -20,7 +20,7 @@
 // share is a daemon's share of a server's limit: a token bucket that holds one request.
 type share struct {
 	rate      float64 // requests a second; 0 means that this daemon sends none
-	level     float64 // requests that may be sent now, at most 1
+	level     float64 // requests that may be sent now, 0 to 1
 	updatedAt clock.Millis
 }
 
