--- a/internal/direct/upstream/check.go
+++ b/internal/direct/upstream/check.go
@@ -8,23 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// Presence is what trying to connect to an address shows.
+// Presence is the result of trying to connect to an address.
 type Presence int
 
-// Presences.
+// Results of Check.
 const (
-	Unknown Presence = iota // no connection came about, for whatever reason
-	Listens
-	Refuses // nothing listens there: the server has ended
+	Unknown Presence = iota // the connection attempt failed for another reason
+	Listens                 // the connection was accepted
+	Refuses                 // the connection was refused: the server process has ended
 )
 
-// Check tries to connect to a server of which a connection broke. A connection that comes
-// about is kept for requests.
+// Check tries to connect to a server, after a connection to it broke. A successful connection
+// is kept for requests.
 func (pool *Pool) Check(ctx context.Context, address string) Presence {
 	opened, err := pool.dial(ctx, address)
 	switch {
 	case err == nil:
-		pool.keep(opened, 0)
+		pool.put(opened, 0)
 		return Listens
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Refuses
@@ -33,14 +33,14 @@
 	}
 }
 
-// closings are what reading from or writing to a connection ends with that the other
-// side has closed.
-var closings = []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}
+// closeErrors are the errors of reading from or writing to a connection that the other side
+// has closed.
+var closeErrors = []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}
 
-// ClosedByServer reports whether an error says that the server has closed the connection
-// or reset it.
+// ClosedByServer reports whether an error means that the server has closed or reset the
+// connection.
 func ClosedByServer(err error) bool {
-	for _, closed := range closings {
+	for _, closed := range closeErrors {
 		if errors.Is(err, closed) {
 			return true
 		}
--- a/internal/direct/upstream/check_test.go
+++ b/internal/direct/upstream/check_test.go
@@ -26,7 +26,8 @@
 	require.Equal(t, upstream.Unknown, pool.Check(ended, address))
 }
 
-// TestClosedByServer: what this side has ended is not the server's doing.
+// TestClosedByServer checks that a connection closed by this side is not taken for one closed
+// by the server.
 func TestClosedByServer(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		readRequest(conn)
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -1,7 +1,8 @@
-// Package upstream sends requests to backend servers and reads their answers.
-// net/http's own transport is not used, because it repeats requests by their
-// method and headers, where here only the route says what may be repeated, and
-// because an answer on a kept connection must be matched with its request.
+// Package upstream sends requests to backend servers and reads their responses.
+// It does not use net/http's transport, because that retries requests depending on
+// their method and headers, whereas here only the route decides what may be
+// repeated, and because a response on a reused connection must be matched with its
+// request.
 package upstream
 
 import (
@@ -24,13 +25,13 @@
 
 // Options are the limits of connections to backend servers.
 type Options struct {
-	DialTimeout clock.Millis // a server that is dark does not answer at all
-	IdleTimeout clock.Millis // of kept connections, where the server names none
-	MaxIdle     int          // kept connections to one server
-	BufferBytes int          // for reading from a connection
-	InlineBytes int          // a longer request is written beside the reading of its answer
-	UserTimeout clock.Millis // unacknowledged bytes break a connection after it
-	MaxStrays   int          // answers to other requests that are skipped
+	DialTimeout clock.Millis // an unreachable server does not respond at all
+	IdleTimeout clock.Millis // of idle connections, unless the server sets one
+	MaxIdle     int          // idle connections to one server
+	BufferBytes int          // size of the read buffer of a connection
+	InlineBytes int          // a longer request is written while its response is read
+	UserTimeout clock.Millis // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
+	MaxStrays   int          // responses to other requests that are skipped before giving up
 }
 
 // DefaultOptions returns limits for servers a few milliseconds away.
@@ -41,11 +42,11 @@
 	}
 }
 
-// Error is a request without a usable answer.
+// Error is the failure of a request that got no usable response.
 type Error struct {
 	// Sent reports whether any byte may have reached the server.
 	Sent bool
-	// Dial reports that no connection came about.
+	// Dial reports whether connecting failed.
 	Dial bool
 	Err  error
 }
@@ -56,13 +57,13 @@
 // Unwrap returns the cause.
 func (failed *Error) Unwrap() error { return failed.Err }
 
-// Pool keeps connections to backend servers.
+// Pool keeps idle connections to backend servers for reuse.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 	mutex   sync.Mutex // guards idle, opened, open
 	idle    map[string][]*conn
-	open    map[string]int // connections to an address, in use or kept
+	open    map[string]int // by address: connections in use or idle
 	opened  int64
 }
 
@@ -93,7 +94,7 @@
 	return errors.Wrap(failed, "set user timeout")
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns how many connections have been opened so far.
 func (pool *Pool) Opened() int64 {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -108,48 +109,49 @@
 	reused  bool
 }
 
-// Answer is a backend server's answer. Its owner calls Close.
+// Answer is the response of a backend server. The caller of Send must call Close.
 type Answer struct {
 	*http.Response
 	pool    *Pool
 	conn    *conn
-	written chan error // nil when the request was written before the answer
-	stop    func() bool
+	written chan error  // nil when the request was written before the response was read
+	stop    func() bool // stops closing the connection when the context ends
 }
 
-// Matches tells whether an answer belongs to the request. First reports that it
-// is the first on its connection.
+// Matches reports whether a response belongs to the request. First is true for the
+// first response on a connection.
 type Matches func(response *http.Response, first bool) bool
 
-// Send sends a request and returns the head of its answer. The connection is
-// closed when the context ends. Errors are *Error.
+// Send sends a request and returns when the head of its response has arrived. The
+// connection is closed when the context ends. Errors are of type *Error.
 func (pool *Pool) Send(ctx context.Context, address string, request *http.Request, matches Matches) (*Answer, error) {
 	var encoded bytes.Buffer
 	if err := request.Write(&encoded); err != nil {
 		return nil, &Error{Err: errors.Wrap(err, "encode request")}
 	}
 	for {
-		used, err := pool.take(ctx, address)
+		used, err := pool.get(ctx, address)
 		if err != nil {
 			return nil, &Error{Dial: true, Err: errors.Wrap(err, "connect")}
 		}
-		answer, err := pool.exchange(ctx, used, request, encoded.Bytes(), matches)
+		answer, err := pool.roundTrip(ctx, used, request, encoded.Bytes(), matches)
 		var failed *Error
 		if errors.As(err, &failed) && !failed.Sent && used.reused && ctx.Err() == nil {
-			continue // a kept connection was closed under the first byte
+			continue // the server had closed the idle connection before the first byte was sent
 		}
 		return answer, err
 	}
 }
 
-func (pool *Pool) exchange(ctx context.Context, used *conn, request *http.Request, encoded []byte, matches Matches) (*Answer, error) {
+// roundTrip writes a request to a connection and reads the head of its response.
+func (pool *Pool) roundTrip(ctx context.Context, used *conn, request *http.Request, encoded []byte, matches Matches) (*Answer, error) {
 	answer := &Answer{pool: pool, conn: used}
 	answer.stop = context.AfterFunc(ctx, func() { _ = used.Conn.Close() })
 	if err := answer.writeRequest(encoded, pool.options.InlineBytes); err != nil {
 		answer.discard()
 		return nil, err
 	}
-	for strays := 0; ; strays++ {
+	for skipped := 0; ; skipped++ {
 		response, err := http.ReadResponse(used.reader, request)
 		if err != nil {
 			answer.discard()
@@ -158,26 +160,27 @@
 		if response.StatusCode/100 == 1 {
 			continue
 		}
-		if matches(response, !used.reused && strays == 0) {
+		if matches(response, !used.reused && skipped == 0) {
 			answer.Response = response
 			return answer, nil
 		}
-		if err := skip(response, strays, pool.options.MaxStrays); err != nil {
+		if err := skipUnmatched(response, skipped, pool.options.MaxStrays); err != nil {
 			answer.discard()
 			return nil, &Error{Sent: true, Err: err}
 		}
 	}
 }
 
-// skip reads over an answer to another request: the one to this request may follow.
-func skip(response *http.Response, strays, most int) error {
-	if strays >= most || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errors.New("the answer belongs to another request")
+// skipUnmatched discards a response to another request, as the one to this request may follow.
+func skipUnmatched(response *http.Response, skipped, maximum int) error {
+	if skipped >= maximum || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+		return errors.New("response belongs to another request")
 	}
 	_, err := io.Copy(io.Discard, response.Body)
 	return errors.Wrap(err, "skip the answer to another request")
 }
 
+// writeRequest writes a short request at once, and a longer one in the background.
 func (answer *Answer) writeRequest(encoded []byte, inline int) error {
 	if len(encoded) <= inline {
 		written, err := answer.conn.Write(encoded)
@@ -199,18 +202,19 @@
 	answer.pool.closeConn(answer.conn)
 }
 
-// Close keeps the connection when the whole answer was read and nothing stands
-// against it, and closes it otherwise.
+// Close keeps the connection for reuse if the whole response was read and the
+// connection is still usable, and closes it otherwise.
 func (answer *Answer) Close(whole bool) {
 	stopped := answer.stop()
-	if !stopped || !whole || answer.Response.Close || answer.unwritten() || answer.conn.reader.Buffered() > 0 {
+	if !stopped || !whole || answer.Response.Close || answer.writePending() || answer.conn.reader.Buffered() > 0 {
 		answer.pool.closeConn(answer.conn)
 		return
 	}
-	answer.pool.keep(answer.conn, keepAlive(answer.Header))
+	answer.pool.put(answer.conn, keepAlive(answer.Header))
 }
 
-func (answer *Answer) unwritten() bool {
+// writePending reports whether the request is still being written, or writing it failed.
+func (answer *Answer) writePending() bool {
 	if answer.written == nil {
 		return false
 	}
@@ -222,7 +226,7 @@
 	}
 }
 
-// keepAlive returns the time that a server keeps an idle connection, or 0.
+// keepAlive returns how long a server keeps an idle connection, or 0 if it does not say.
 func keepAlive(header http.Header) clock.Millis {
 	for parameter := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -234,11 +238,13 @@
 	return 0
 }
 
-// idleMargin is taken off a server's idle timeout, so that a request does not
-// cross the server's close: more than a round trip on a slow link.
+// idleMargin is subtracted from a server's idle timeout, so that a request is not
+// sent while the server closes the connection. It exceeds a round trip on a slow
+// link.
 const idleMargin = 500 * clock.Millisecond
 
-func (pool *Pool) keep(kept *conn, timeout clock.Millis) {
+// put keeps a connection for reuse until the server's idle timeout, 0 for the default.
+func (pool *Pool) put(kept *conn, timeout clock.Millis) {
 	if timeout == 0 {
 		timeout = pool.options.IdleTimeout
 	}
@@ -259,6 +265,7 @@
 	pool.closeLocked(closed)
 }
 
+// closeLocked closes a connection. The mutex is held.
 func (pool *Pool) closeLocked(closed *conn) {
 	_ = closed.Conn.Close()
 	pool.open[closed.address]--
@@ -267,21 +274,21 @@
 	}
 }
 
-// take returns a kept connection that is still open, or a new one.
-func (pool *Pool) take(ctx context.Context, address string) (*conn, error) {
+// get returns an idle connection that is still open, or a new one.
+func (pool *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
-		kept, ok := pool.pop(address)
+		kept, ok := pool.popIdle(address)
 		if !ok {
 			return pool.dial(ctx, address)
 		}
-		if time.Now().Before(kept.expires) && quiet(kept.Conn) {
+		if time.Now().Before(kept.expires) && reusable(kept.Conn) {
 			return kept, nil
 		}
 		pool.closeConn(kept)
 	}
 }
 
-func (pool *Pool) pop(address string) (*conn, bool) {
+func (pool *Pool) popIdle(address string) (*conn, bool) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	idle := pool.idle[address]
@@ -305,7 +312,7 @@
 	return &conn{Conn: dialed, address: address, reader: bufio.NewReaderSize(dialed, pool.options.BufferBytes)}, nil
 }
 
-// Sweep closes kept connections that have expired.
+// Sweep closes idle connections that have expired.
 func (pool *Pool) Sweep() {
 	now := time.Now()
 	pool.mutex.Lock()
@@ -326,9 +333,9 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing has arrived on
-// it: bytes that nobody asked for would be taken for the next answer.
-func quiet(kept net.Conn) bool {
+// reusable reports whether an idle connection is open and no bytes have arrived on
+// it: unsolicited bytes would be taken for the next response.
+func reusable(kept net.Conn) bool {
 	tcp, ok := kept.(*net.TCPConn)
 	if !ok {
 		return false
--- a/internal/direct/upstream/pool_test.go
+++ b/internal/direct/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"teaselmoor/internal/direct/upstream"
 )
 
-// answering serves connections with scripts: each is called with the number of
-// the connection and writes what it likes.
+// answering starts a server that runs serve for each connection, with the number of
+// the connection, and returns its address.
 func answering(t testing.TB, serve func(number int, conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,8 @@
 	require.EqualValues(t, 1, pool.Opened())
 }
 
-// TestConnectionClosedWhileIdle is not used again.
+// TestConnectionClosedWhileIdle checks that a connection which the server closed while
+// idle is not reused.
 func TestConnectionClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	address := answering(t, func(_ int, conn net.Conn) {
@@ -105,7 +106,7 @@
 		}
 	})
 	options := upstream.DefaultOptions()
-	options.IdleTimeout = 100 // below the margin: never used again
+	options.IdleTimeout = 100 // below idleMargin: never reused
 	pool := upstream.New(options)
 	for range 2 {
 		got, err := pool.Send(t.Context(), address, request(t), accept)
@@ -127,7 +128,8 @@
 	require.False(t, failed.Sent)
 }
 
-// TestConnectionThatEndsWithoutAnAnswer: the request may have run.
+// TestConnectionThatEndsWithoutAnAnswer checks that a request without a response is
+// reported as sent, since it may have run.
 func TestConnectionThatEndsWithoutAnAnswer(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		readRequest(conn)
@@ -139,7 +141,8 @@
 	require.True(t, failed.Sent)
 }
 
-// TestAnswerToAnotherRequestIsSkipped: the right one may follow.
+// TestAnswerToAnotherRequestIsSkipped checks that the matching response is found after one
+// to another request.
 func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		readRequest(conn)
@@ -152,7 +155,8 @@
 	require.Equal(t, "ok", readAll(t, got))
 }
 
-// TestContextEndsTheExchange at once, also in the middle of an answer.
+// TestContextEndsTheExchange checks that cancelling the context ends reading at once,
+// also in the middle of a response.
 func TestContextEndsTheExchange(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		readRequest(conn)
@@ -167,8 +171,8 @@
 	got.Close(false)
 }
 
-// TestAnswerBeforeTheBodyWasRead: a long request that is answered early leaves a
-// connection on which the rest of its body is due; it is not used again.
+// TestAnswerBeforeTheBodyWasRead checks that a connection is not reused when the
+// response came before the whole request body was written.
 func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		if readRequest(conn) {
