--- a/internal/direct/trail/trail.go
+++ b/internal/direct/trail/trail.go
@@ -1,6 +1,6 @@
-// Package trail reads the log of gateways and puts together what became of one
-// request. It needs nothing but the log: daemons keep nothing, and the one that
-// decided may be gone.
+// Package trail reconstructs the outcome of one request from the log of gateways. It
+// needs nothing but the log: daemons keep nothing about past requests, and the one that
+// handled the request may no longer exist.
 package trail
 
 import (
@@ -19,8 +19,7 @@
 	"teaselmoor/internal/direct/ending"
 )
 
-// line is a line of the log that speaks of a request. Each message has some of the
-// fields.
+// line is a log line about a request. Each message has some of the fields.
 type line struct {
 	Time           time.Time `json:"time"`
 	Message        string    `json:"msg"`
@@ -36,7 +35,7 @@
 	Loading        int
 	Queued         int
 
-	// Of the line that says that an account is over its limit.
+	// Fields of the message that an account is over its limit.
 	Account        string
 	Units          float64
 	LeftUnits      float64
@@ -44,7 +43,7 @@
 	DaemonsCounted int
 	Daemons        int
 
-	// Of the line that says how the request ended.
+	// Fields of the message that the request ended.
 	Daemon           string
 	Reason           ending.Reason
 	Offers           int
@@ -58,75 +57,76 @@
 	RetryAfterMillis clock.Millis
 }
 
-// mostLength bounds a line, in bytes; a gateway's are below 1 KiB.
-const mostLength = 1 << 20
+// maxLineLength bounds a line, in bytes. A gateway's lines are below 1 KiB.
+const maxLineLength = 1 << 20
 
-// Read looks for a request in a log. Whatever a collector has put before the JSON
-// of a line is passed over, and so are lines that are none of a gateway's.
+// Read returns the record of a request from a log. It ignores what a log collector has put
+// before the JSON of a line, and lines that are not a gateway's.
 func Read(log io.Reader, request string) (outcome.Record, error) {
 	found := reader{record: outcome.Record{Request: request}}
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, mostLength)
+	scanner.Buffer(nil, maxLineLength)
 	for scanner.Scan() {
 		at := bytes.IndexByte(scanner.Bytes(), '{')
 		if at < 0 || !bytes.Contains(scanner.Bytes(), []byte(request)) {
 			continue
 		}
-		var read line
-		if err := json.Unmarshal(scanner.Bytes()[at:], &read); err != nil || read.Request != request {
+		var parsed line
+		if err := json.Unmarshal(scanner.Bytes()[at:], &parsed); err != nil || parsed.Request != request {
 			continue
 		}
-		found.take(read)
+		found.apply(parsed)
 	}
 	if err := scanner.Err(); err != nil {
 		return outcome.Record{}, errors.Wrap(err, "read log")
 	}
-	return found.finish()
+	return found.result()
 }
 
-// reader puts a record together.
+// reader assembles a record from log lines.
 type reader struct {
-	record outcome.Record
-	lines  int
-	ended  bool
-	known  bool // the reason of the ending
-	waited line // the last line that says that an adapter is not ready
-	over   line // the line that says that the account is over its limit
+	record      outcome.Record
+	lines       int
+	ended       bool
+	reasonKnown bool // the reason of the ending is known
+	notReady    line // the last line whose message is MessageNotReady
+	overLimit   line // the last line whose message is MessageOverLimit
 }
 
-func (reader *reader) take(read line) {
+// apply adds what a line says to the record.
+func (reader *reader) apply(line line) {
 	reader.lines++
-	switch read.Message {
+	switch line.Message {
 	case ending.MessageAskedFor:
-		reader.asked(read)
+		reader.addCandidate(line)
 	case ending.MessageNotReady:
-		reader.waited = read
+		reader.notReady = line
 	case ending.MessageOverLimit:
-		reader.over = read
+		reader.overLimit = line
 	case ending.MessageSent:
 		reader.record.Attempts = append(reader.record.Attempts, outcome.Attempt{
-			Engine: ident.EngineID(read.Server), At: clock.Millis(read.Time.UnixMilli()), Dispatched: true,
+			Engine: ident.EngineID(line.Server), At: clock.Millis(line.Time.UnixMilli()), Dispatched: true,
 		})
 	case ending.MessageNoAnswer:
-		reader.attemptEnded(read, read.Sent, outcome.Lost(outcome.ServiceLost))
+		reader.endAttempt(line, line.Sent, outcome.Lost(outcome.ServiceLost))
 	case ending.MessageDeclined:
-		reader.attemptEnded(read, true, outcome.Refused(outcome.EngineRefused, 0))
+		reader.endAttempt(line, true, outcome.Refused(outcome.EngineRefused, 0))
 	case ending.MessageFailed:
-		reader.attemptEnded(read, true, outcome.Outcome{Kind: outcome.Answered, Reason: outcome.ServerFailed})
+		reader.endAttempt(line, true, outcome.Outcome{Kind: outcome.Answered, Reason: outcome.ServerFailed})
 	case ending.MessageBroken, ending.MessageStreamCut:
-		reader.attemptEnded(read, true, outcome.Lost(outcome.Truncated))
+		reader.endAttempt(line, true, outcome.Lost(outcome.Truncated))
 	case ending.MessageEnded:
-		reader.end(read)
+		reader.end(line)
 	}
 }
 
-// asked notes a server at which the request waited for its adapter.
-func (reader *reader) asked(read line) {
+// addCandidate records a server at which the request waited for its adapter.
+func (reader *reader) addCandidate(line line) {
 	verdict := outcome.LoadsAdapter
-	if read.Owner == "" {
+	if line.Owner == "" {
 		verdict = outcome.OwnerUnknown
 	}
-	candidate := outcome.Candidate{Engine: ident.EngineID(read.Server), Verdict: verdict}
+	candidate := outcome.Candidate{Engine: ident.EngineID(line.Server), Verdict: verdict}
 	known := reader.record.Candidates
 	if len(known) > 0 && known[len(known)-1] == candidate {
 		return
@@ -134,9 +134,9 @@
 	reader.record.Candidates = append(known, candidate)
 }
 
-// attemptEnded says how the last attempt ended. Where it was not sent at all, no
-// server has seen it.
-func (reader *reader) attemptEnded(read line, sent bool, result outcome.Outcome) {
+// endAttempt records the outcome of the last attempt. If nothing was sent, no server
+// has received the request.
+func (reader *reader) endAttempt(line line, sent bool, result outcome.Outcome) {
 	attempts := reader.record.Attempts
 	if len(attempts) == 0 {
 		return
@@ -149,29 +149,30 @@
 	}
 }
 
-func (reader *reader) end(read line) {
+// end records how the request ended.
+func (reader *reader) end(line line) {
 	reader.ended = true
 	record := &reader.record
-	record.Daemon = ident.DaemonID(read.Daemon)
-	record.At = clock.Millis(read.Time.UnixMilli())
-	record.ConfigVersion = read.Config
-	record.Rule, record.Class, record.Repeatable = read.Route, read.Kind, read.Repeatable
-	record.Target = read.Service
-	if read.Adapter != "" {
-		record.Target = read.Adapter
+	record.Daemon = ident.DaemonID(line.Daemon)
+	record.At = clock.Millis(line.Time.UnixMilli())
+	record.ConfigVersion = line.Config
+	record.Rule, record.Class, record.Repeatable = line.Route, line.Kind, line.Repeatable
+	record.Target = line.Service
+	if line.Adapter != "" {
+		record.Target = line.Adapter
 	}
-	if read.Route != "" {
-		record.Deadline = record.At + read.LeftMillis
+	if line.Route != "" {
+		record.Deadline = record.At + line.LeftMillis
 	}
-	ended := ending.Ending{Reason: read.Reason, Status: read.Status, Offers: read.Offers}
-	record.Outcome, reader.known = ended.Outcome()
-	record.Outcome.RetryAfter = read.RetryAfterMillis
-	if read.Reason == ending.LoadWait {
+	ended := ending.Ending{Reason: line.Reason, Status: line.Status, Offers: line.Offers}
+	record.Outcome, reader.reasonKnown = ended.Outcome()
+	record.Outcome.RetryAfter = line.RetryAfterMillis
+	if line.Reason == ending.LoadWait {
 		record.Detail = fmt.Sprintf("the request could wait %d ms, a load was expected to take %d ms, %d adapters were on their way and %d waited",
-			reader.waited.PatienceMillis, reader.waited.LoadMillis, reader.waited.Loading, reader.waited.Queued)
+			reader.notReady.PatienceMillis, reader.notReady.LoadMillis, reader.notReady.Loading, reader.notReady.Queued)
 	}
-	if read.Reason == ending.OverLimit {
-		over := reader.over
+	if line.Reason == ending.OverLimit {
+		over := reader.overLimit
 		record.Detail = fmt.Sprintf("account %s had %.0f units left and the request counts %.0f; its limit is %.0f a second; %d of %d daemons were counted together",
 			over.Account, over.LeftUnits, over.Units, over.LimitPerSecond, over.DaemonsCounted, over.Daemons)
 	}
@@ -181,17 +182,18 @@
 	}
 }
 
-func (reader *reader) finish() (outcome.Record, error) {
+// result returns the record, or an error if the log does not tell how the request ended.
+func (reader *reader) result() (outcome.Record, error) {
 	switch {
 	case reader.lines == 0:
 		return outcome.Record{}, ErrNotFound
 	case !reader.ended:
 		return outcome.Record{}, errors.Errorf("the log has %d lines of request %s, but not how it ended: the daemon was lost, or the line was dropped", reader.lines, reader.record.Request)
-	case !reader.known:
+	case !reader.reasonKnown:
 		return outcome.Record{}, errors.Errorf("request %s ended for a reason that is not known here", reader.record.Request)
 	}
 	return reader.record, nil
 }
 
-// ErrNotFound is returned when the log says nothing of a request.
+// ErrNotFound is returned when the log has no line about a request.
 var ErrNotFound = errors.New("the log says nothing of the request")
--- a/internal/direct/trail/trail_test.go
+++ b/internal/direct/trail/trail_test.go
@@ -11,7 +11,7 @@
 	"teaselmoor/internal/serve/explain"
 )
 
-// The lines are of a played day; two have what a collector puts before them.
+// log holds lines of a simulated day; two have a prefix added by a log collector.
 const log = `
   35.543 front-gijon-1 {"time":"2026-06-10T17:35:35.543Z","level":"INFO","msg":"adapter asked for","Request":"765d","Server":"i-62","Adapter":"a2602","Owner":""}
   36.789 front-gijon-1 {"time":"2026-06-10T17:35:36.789Z","level":"INFO","msg":"adapter asked for","Request":"765d","Server":"i-62","Adapter":"a2602","Owner":"front-oviedo-a-1"}
@@ -47,7 +47,8 @@
 	require.Equal(t, outcome.Lost(outcome.Truncated), record.Attempts[0].Outcome)
 }
 
-// TestOverItsLimit: what the account had left, and who was counted, is told.
+// TestOverItsLimit checks that the detail says what the account had left and how many daemons
+// were counted.
 func TestOverItsLimit(t *testing.T) {
 	record, err := trail.Read(strings.NewReader(`{"time":"2026-06-10T17:35:06.500Z","msg":"account over its limit","Request":"4290","Account":"payroll","Units":1630,"LeftUnits":-20,"RatePerSecond":200,"LimitPerSecond":240,"DaemonsCounted":39,"Daemons":59}
 {"time":"2026-06-10T17:35:06.500Z","msg":"request ended","Request":"4290","Status":429,"Reason":"AccountLimit","Offers":0,"Config":21,"Daemon":"d","RetryAfterMillis":900,"Account":"payroll"}
@@ -64,7 +65,7 @@
 	require.ErrorContains(t, err, "not how it ended")
 }
 
-// FuzzRead: a log is what somebody collected; nothing in it stops the command.
+// FuzzRead checks that no content of a log makes Read panic.
 func FuzzRead(f *testing.F) {
 	f.Add(log, "765d")
 	f.Fuzz(func(t *testing.T, text, request string) {
@@ -76,7 +77,8 @@
 	})
 }
 
-// TestFailureOfTheServer reads as an answer, not as a refusal.
+// TestFailureOfTheServer checks that an error response of a server is explained as an answer,
+// not as a refusal.
 func TestFailureOfTheServer(t *testing.T) {
 	const lines = `{"time":"2026-06-10T17:35:11.139Z","msg":"request sent","Request":"8bc7","Server":"i-62"}
 {"time":"2026-06-10T17:35:11.141Z","msg":"server failed","Request":"8bc7","Server":"i-62","Status":500}
