--- a/internal/direct/account/account.go
+++ b/internal/direct/account/account.go
@@ -1,7 +1,6 @@
-// Package account tells who calls: the client accounts of a configuration and the
-// keys that name them. A Directory is immutable, and holds digests in place of keys,
-// so that no key reaches a log line or a status page. It decides nothing about what an
-// account may use; that is package quota's.
+// Package account identifies callers: it holds the client accounts of a configuration and
+// finds them by key. A Directory is immutable. It holds digests instead of keys, so that no
+// key reaches a log line or a status page. Package quota enforces the limits of accounts.
 package account
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Digest stands for a key.
+// Digest identifies a key without revealing it.
 type Digest [16]byte
 
 // DigestOf returns the digest of a key.
@@ -20,29 +19,30 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// shownBytes of a digest tell the keys of a site apart.
-const shownBytes = 4
+// shortBytes is the length of the short form of a digest, enough to distinguish the keys of a
+// site.
+const shortBytes = 4
 
-// String returns the short form of the digest that logs show.
+// String returns the short form of the digest for logs.
 func (digest Digest) String() string {
-	return hex.EncodeToString(digest[:shownBytes])
+	return hex.EncodeToString(digest[:shortBytes])
 }
 
-// Unit is what a limit counts.
+// Unit is the unit in which a limit counts.
 type Unit int
 
 // Units.
 const (
 	Requests Unit = iota
-	Tokens        // of prompt and output together
+	Tokens        // prompt and output together
 )
 
-// Limit is what an account may use over all daemons.
+// Limit is what an account may use across all daemons.
 type Limit struct {
 	Unit  Unit
 	Rate  float64 // units a second; 0 means that there is no limit
 	Burst float64 // units at once, beyond the rate
-	Plain float64 // units of a request that names no tokens, where tokens are counted
+	Plain float64 // with Tokens, the units of a request that states no number of tokens
 }
 
 // Limited reports whether there is a limit.
@@ -50,7 +50,7 @@
 	return limit.Rate > 0
 }
 
-// Cost returns what a request counts. Tokens is 0 for one that names none.
+// Cost returns the units of a request. Tokens is 0 for one that states no number of tokens.
 func (limit Limit) Cost(tokens int) float64 {
 	switch {
 	case limit.Unit == Requests:
@@ -65,12 +65,12 @@
 // Account is a client account.
 type Account struct {
 	Name   string
-	Ranked bool // Rank goes before that of the route
+	Ranked bool // Rank overrides the rank of the route
 	Rank   int  // 0 is the most urgent
 	Limit  Limit
 }
 
-// Entry is an account with its keys as a configuration lists it.
+// Entry is an account with its keys, as listed in a configuration.
 type Entry struct {
 	Account
 	Keys []string
@@ -80,12 +80,12 @@
 type Directory struct {
 	byKey   map[Digest]*Account
 	byName  map[string]*Account
-	limited bool // an account has a limit
+	limited bool // whether any account has a limit
 }
 
-// New returns the directory of accounts, or why the list cannot be used: a list in
-// which a name or key is empty or stands twice, or a limit is negative, is refused as a
-// whole, as no guess says whom such a key stands for.
+// New returns a directory of accounts. It rejects the whole list if a name or key is empty, a
+// name occurs twice, a key belongs to two accounts or a limit is negative: whom such a key
+// identifies cannot be guessed.
 func New(entries []Entry) (*Directory, error) {
 	directory := &Directory{byKey: make(map[Digest]*Account), byName: make(map[string]*Account)}
 	for _, entry := range entries {
@@ -96,6 +96,7 @@
 	return directory, nil
 }
 
+// add adds an account and its keys.
 func (directory *Directory) add(entry Entry) error {
 	account := entry.Account
 	if account.Name == "" {
@@ -133,7 +134,7 @@
 	return directory != nil && directory.limited
 }
 
-// Limit returns the limit of an account, none for one that is not listed.
+// Limit returns the limit of an account, or no limit for one that is not listed.
 func (directory *Directory) Limit(name string) Limit {
 	if directory == nil {
 		return Limit{}
