--- a/internal/direct/content/content.go
+++ b/internal/direct/content/content.go
@@ -1,5 +1,5 @@
-// Package content names what callers ask for, so that a request that comes again under
-// another id, perhaps at another daemon, is recognised. It does no I/O.
+// Package content computes identifiers of the content of requests, so that a request that is
+// repeated under another id, perhaps at another daemon, is recognised. It does no I/O.
 package content
 
 import (
@@ -8,34 +8,34 @@
 	"encoding/hex"
 )
 
-// ID names the content of a request. Two requests have the same one if and only if
-// everything in Request is the same; a caller cannot make one up that collides with
-// another caller's.
+// ID identifies the content of a request. Two requests have the same ID if and only if all
+// fields of Request are equal. A caller cannot construct a request whose ID collides with
+// that of another caller's request.
 type ID [16]byte
 
-// Request is what makes up the content of a request. Its id, its deadline and what else
-// differs from one attempt to the next is left out.
+// Request is the content of a request. It leaves out the id, the deadline and whatever else
+// differs between attempts.
 type Request struct {
 	Host    string
 	Target  string // path and query
-	Account string // the caller's; empty where there are no accounts
+	Account string // name of the caller's account; empty where there are no accounts
 	Body    []byte
 }
 
-// Of returns the name of a request's content.
+// Of returns the ID of a request's content.
 func Of(request Request) ID {
 	hash := sha256.New()
 	for _, part := range []string{request.Host, request.Target, request.Account} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		hash.Write(length[:]) // two parts must not run into each other
+		hash.Write(length[:]) // keeps adjacent fields apart: ("ab", "c") and ("a", "bc") must differ
 		hash.Write([]byte(part))
 	}
 	hash.Write(request.Body)
 	return ID(hash.Sum(nil)[:len(ID{})])
 }
 
-// String returns the name in hexadecimal digits.
+// String returns the ID in hexadecimal digits.
 func (id ID) String() string {
 	return hex.EncodeToString(id[:])
 }
--- a/internal/direct/content/content_test.go
+++ b/internal/direct/content/content_test.go
@@ -25,7 +25,7 @@
 	require.Len(t, content.Of(request).String(), 32)
 }
 
-// BenchmarkOf: the daemon names the content of each request.
+// BenchmarkOf measures Of, which the daemon calls for each request.
 func BenchmarkOf(b *testing.B) {
 	request := content.Request{Host: "site.example", Target: "/contract/1", Account: "account", Body: make([]byte, 512)}
 	for b.Loop() {
