--- a/internal/direct/account/account_test.go
+++ b/internal/direct/account/account_test.go
@@ -8,7 +8,7 @@
 	"teaselmoor/internal/direct/account"
 )
 
-func TestKeysNameAccounts(t *testing.T) {
+func TestByKey(t *testing.T) {
 	directory, err := account.New([]account.Entry{
 		{Account: account.Account{Name: "payroll", Limit: account.Limit{Rate: 5}}, Keys: []string{"one", "two"}},
 		{Account: account.Account{Name: "trustees"}, Keys: []string{"three"}},
@@ -29,7 +29,7 @@
 	require.NotContains(t, account.DigestOf("one").String(), "one")
 }
 
-func TestListsThatCannotBeUsed(t *testing.T) {
+func TestNewRejectsInvalidLists(t *testing.T) {
 	named := func(name string, keys ...string) account.Entry {
 		return account.Entry{Account: account.Account{Name: name}, Keys: keys}
 	}
--- a/internal/direct/content/content_test.go
+++ b/internal/direct/content/content_test.go
@@ -8,7 +8,7 @@
 	"teaselmoor/internal/direct/content"
 )
 
-func TestContentTellsRequestsApart(t *testing.T) {
+func TestDifferentRequestsHaveDifferentIDs(t *testing.T) {
 	request := content.Request{Host: "host", Target: "/path?a=1", Account: "account", Body: []byte("body")}
 	require.Equal(t, content.Of(request), content.Of(request))
 	for name, change := range map[string]func(*content.Request){
--- a/internal/direct/quarantine/quarantine.go
+++ b/internal/direct/quarantine/quarantine.go
@@ -80,7 +80,7 @@
 	revision  int64 // revision of the list at which the entry changed last
 }
 
-// List holds what a daemon knows of contents during which servers ended.
+// List holds what a daemon knows of the contents that servers were running when they ended.
 type List struct {
 	options    Options
 	daemonHash uint64 // hash of the daemon's name
--- a/internal/direct/quarantine/quarantine_test.go
+++ b/internal/direct/quarantine/quarantine_test.go
@@ -33,9 +33,9 @@
 	require.Equal(t, 2, list.Servers(crasher))
 }
 
-// TestEachFurtherEndIsRarer sends a content whenever it is not refused, and each time a server
+// TestRefusalSpanGrows sends a content whenever it is not refused, and each time a server
 // ends. The number of ends within an hour stays small.
-func TestEachFurtherEndIsRarer(t *testing.T) {
+func TestRefusalSpanGrows(t *testing.T) {
 	list := quarantine.New(options, "d")
 	now := start
 	ends := 0
@@ -51,7 +51,7 @@
 	require.GreaterOrEqual(t, ends, 4, "it is tried again")
 }
 
-func TestAnAnswerClears(t *testing.T) {
+func TestAnswerClearsTheRecord(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	for _, server := range []string{"a", "b", "c"} {
 		list.Ended(start, crasher, server)
@@ -67,10 +67,10 @@
 	require.Zero(t, peer.Refuses(start, crasher), "it counts from the start again")
 }
 
-// TestDaemonsDoNotAllTryAgainAtOnce requests a crashing content at all daemons all the time.
+// TestDaemonsRetryAtDifferentTimes requests a crashing content at all daemons all the time.
 // When the refusal expires, only few daemons let it through before a report of the next end
 // could have reached the others.
-func TestDaemonsDoNotAllTryAgainAtOnce(t *testing.T) {
+func TestDaemonsRetryAtDifferentTimes(t *testing.T) {
 	const daemons, delay = 59, 100 * clock.Millisecond
 	lists := make([]*quarantine.List, daemons)
 	for i := range lists {
@@ -147,10 +147,10 @@
 	require.Empty(t, list.Since(start, 0))
 }
 
-// TestWhatManyCallersAskForIsNotRefused checks a recently answered content that is in progress
+// TestRecentlyAnsweredContentIsNotRefused checks a recently answered content that is in progress
 // at two servers that fail together, before any further response. A daemon that has seen a
 // response does not refuse it, and clears the record when another daemon has counted both ends.
-func TestWhatManyCallersAskForIsNotRefused(t *testing.T) {
+func TestRecentlyAnsweredContentIsNotRefused(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	require.False(t, list.Answered(start, crasher), "there is nothing to clear")
 	list.Ended(start+10, crasher, "a")
--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -118,9 +118,9 @@
 	return min(cost, split.depth)
 }
 
-// Waits after which refused callers are told to retry, and their bounds. The upper bound is short enough for
-// callers to notice a raised limit. A caller refused by an isolated daemon retries soon, as
-// the retry may reach another daemon.
+// Waits after which refused callers are told to retry, and their bounds. The upper bound is
+// short enough for callers to notice a raised limit. A caller refused by an isolated daemon
+// retries soon, as the retry may reach another daemon.
 const (
 	minWait      = 100 * clock.Millisecond
 	isolatedWait = 500 * clock.Millisecond
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -62,7 +62,7 @@
 
 // Heard applies the limit that a response of a server carried, and gives it a number. A
 // response to a request that was sent before the limit was known does not lift it, as responses
-// can overtake each other. Heard reports whether the limit changed.
+// can overtake each other. It reports whether the limit changed.
 func (limits *Limits) Heard(now, sentAt clock.Millis, limit Word) bool {
 	known := limits.lookup(limit.Server)
 	switch {
--- a/internal/direct/trail/trail_test.go
+++ b/internal/direct/trail/trail_test.go
@@ -24,7 +24,7 @@
 {"time":"2026-06-10T17:35:06.600Z","level":"INFO","msg":"request sent","Request":"aaaa","Server":"i-f3","Adapter":"a446","Offer":1}
 `
 
-func TestRefusedWhileItWaited(t *testing.T) {
+func TestRefusedWhileWaiting(t *testing.T) {
 	record, err := trail.Read(strings.NewReader(log), "765d")
 	require.NoError(t, err)
 	require.Equal(t, outcome.Refused(outcome.AdapterLate, 500), record.Outcome)
@@ -58,7 +58,7 @@
 	require.Equal(t, "account payroll had -20 units left and the request counts 1630; its limit is 240 a second; 39 of 59 daemons were counted together", record.Detail)
 }
 
-func TestWhatTheLogDoesNotSay(t *testing.T) {
+func TestMissingOrUnfinishedRequest(t *testing.T) {
 	_, err := trail.Read(strings.NewReader(log), "none")
 	require.ErrorIs(t, err, trail.ErrNotFound)
 	_, err = trail.Read(strings.NewReader(log), "aaaa")
@@ -77,9 +77,9 @@
 	})
 }
 
-// TestFailureOfTheServer checks that an error response of a server is explained as an answer,
+// TestServerFailure checks that an error response of a server is explained as an answer,
 // not as a refusal.
-func TestFailureOfTheServer(t *testing.T) {
+func TestServerFailure(t *testing.T) {
 	const lines = `{"time":"2026-06-10T17:35:11.139Z","msg":"request sent","Request":"8bc7","Server":"i-62"}
 {"time":"2026-06-10T17:35:11.141Z","msg":"server failed","Request":"8bc7","Server":"i-62","Status":500}
 {"time":"2026-06-10T17:35:11.141Z","msg":"request ended","Request":"8bc7","Status":500,"Reason":"ServerFailure","Offers":1,"Config":9,"Daemon":"d","Route":"r1","Service":"s","Kind":"streaming"}`
--- a/internal/direct/upstream/check_test.go
+++ b/internal/direct/upstream/check_test.go
@@ -12,7 +12,7 @@
 	"teaselmoor/internal/direct/upstream"
 )
 
-func TestCheckTellsServersThatHaveEnded(t *testing.T) {
+func TestCheckDetectsEndedServers(t *testing.T) {
 	pool := upstream.New(upstream.DefaultOptions())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
