--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -157,8 +157,8 @@
 	ledger.charge(now, usage, -cost)
 }
 
-// startupSlackShare is the share of the slack that an account has left at a daemon that has
-// just started, as it does not know the site's earlier usage.
+// startupSlackShare is the share of the slack that an account has left beside its burst at a
+// daemon that has just started, as the daemon does not know the site's earlier usage.
 const startupSlackShare = 0.25
 
 // usageOf returns the usage of an account. A new one begins with a full bucket, or with less
@@ -167,7 +167,7 @@
 	known, ok := ledger.accounts[name]
 	if !ok {
 		ledger.lastNumber++
-		known = &usage{number: ledger.lastNumber, at: now, sources: make(map[string]*sourceUsage)}
+		known = &usage{number: ledger.lastNumber, updatedAt: now, sources: make(map[string]*sourceUsage)}
 		known.level = ledger.splitOf(known, limit).depth
 		if now-ledger.started < ledger.tolerance.Window {
 			known.level = min(known.level, limit.Burst+startupSlackShare*ledger.tolerance.Slack)
@@ -205,7 +205,7 @@
 
 // Statuses returns at most the given number of accounts in use, those that use the largest
 // share of their limits first.
-func (ledger *Ledger) Statuses(now clock.Millis, most int) []Status {
+func (ledger *Ledger) Statuses(now clock.Millis, maximum int) []Status {
 	statuses := make([]Status, 0, len(ledger.accounts))
 	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
@@ -215,5 +215,5 @@
 	slices.SortFunc(statuses, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(b.Rate*a.Limit, a.Rate*b.Limit), cmp.Compare(a.Account, b.Account))
 	})
-	return statuses[:min(most, len(statuses))]
+	return statuses[:min(maximum, len(statuses))]
 }
--- a/internal/direct/quota/site_test.go
+++ b/internal/direct/quota/site_test.go
@@ -56,12 +56,12 @@
 
 type daemon struct {
 	number, hub int // hub is the daemon's own number for a hub, -1 in a mesh
-	born        int64
+	incarnation int64
 	startedAt   clock.Millis
 	ledger      *quota.Ledger
 	sent        map[int]quota.Told
-	heardAt     map[int]clock.Millis
-	reached     map[int]int // daemons that the last report of each peer covered
+	reportedAt  map[int]clock.Millis // when the last report of each peer arrived
+	reached     map[int]int          // daemons that the last report of each peer covered
 	down        bool
 	admitted    float64
 }
@@ -95,13 +95,13 @@
 
 // start starts or restarts a daemon.
 func (site *site) start(each *daemon) {
-	each.born++
+	each.incarnation++
 	each.startedAt = site.now
 	each.down = false
 	each.ledger = quota.New(site.now, site.tolerance)
 	each.ledger.SetLimits(site.now, site.directory())
 	each.sent = make(map[int]quota.Told)
-	each.heardAt = make(map[int]clock.Millis)
+	each.reportedAt = make(map[int]clock.Millis)
 	each.reached = make(map[int]int)
 	for _, other := range site.daemons {
 		delete(other.sent, each.number)
@@ -139,7 +139,7 @@
 
 // live reports whether the last report of another daemon is recent enough.
 func (site *site) live(each *daemon, other int) bool {
-	at, ok := each.heardAt[other]
+	at, ok := each.reportedAt[other]
 	return ok && site.now-at < quota.SilentAfter
 }
 
@@ -154,10 +154,10 @@
 	case fullLimitPerSide:
 		return quota.Site{Daemons: len(site.daemons), Reached: len(site.daemons)}
 	}
-	if len(each.heardAt) == 0 {
+	if len(each.reportedAt) == 0 {
 		view.Daemons = 64
 	}
-	for other, at := range each.heardAt {
+	for other, at := range each.reportedAt {
 		live := site.live(each, other)
 		covers := max(1, each.reached[other])
 		if each.hub == each.number && site.daemons[other].hub == each.number {
@@ -207,7 +207,7 @@
 			sharers = 0
 		}
 		report := quota.Word{
-			Scope: scope, Incarnation: from.born, Daemons: site.covers(from, scope),
+			Scope: scope, Incarnation: from.incarnation, Daemons: site.covers(from, scope),
 			Readings: from.ledger.News(site.now, scope, fmt.Sprint(to.number), sent, sharers),
 		}
 		if !site.connected(from, to) {
@@ -218,7 +218,7 @@
 		}
 		site.reports++
 		site.readings += len(report.Readings)
-		to.heardAt[from.number] = site.now
+		to.reportedAt[from.number] = site.now
 		to.reached[from.number] = report.Daemons
 		to.ledger.Hear(site.now, fmt.Sprint(from.number), report, true)
 	}
--- a/internal/direct/quota/split.go
+++ b/internal/direct/quota/split.go
@@ -75,11 +75,11 @@
 // and overdue sources. It returns the current split.
 func (ledger *Ledger) advance(now clock.Millis, usage *usage, limit account.Limit) split {
 	split := ledger.splitOf(usage, limit)
-	if now <= usage.at {
+	if now <= usage.updatedAt {
 		return split
 	}
-	seconds := (now - usage.at).Seconds()
-	usage.at = now
+	seconds := (now - usage.updatedAt).Seconds()
+	usage.updatedAt = now
 	ledger.assumeOverdueUse(usage, seconds)
 	if split.silentRate > 0 {
 		ledger.assumeSilentUse(usage, split.silentRate*seconds)
--- a/internal/direct/quota/usage.go
+++ b/internal/direct/quota/usage.go
@@ -6,15 +6,15 @@
 
 // usage is the state of one account as this daemon knows it.
 type usage struct {
-	number  int64    // identifies this count; a new count of the same account starts from 0
-	level   float64  // units left in the bucket; negative when the account is overdrawn
-	history history  // recent snapshots
-	atSplit snapshot // state when the daemons that are missing now last sent reports
-	at      clock.Millis
-	own     total // admitted by this daemon
-	group   total // admitted by this daemon and the members whose hub it is
-	all     total // admitted by all daemons
-	sources map[string]*sourceUsage
+	number    int64        // identifies this count; a new count of the same account starts from 0
+	level     float64      // units left in the bucket; negative when the account is overdrawn
+	history   history      // recent snapshots
+	atSplit   snapshot     // state when the daemons that are missing now last sent reports
+	updatedAt clock.Millis // when the level was last advanced
+	own       total        // admitted by this daemon
+	group     total        // admitted by this daemon and the members whose hub it is
+	all       total        // admitted by all daemons
+	sources   map[string]*sourceUsage
 }
 
 // reportedUnits returns the units that all daemons are known to have used, without those
