--- /dev/null
+++ b/internal/direct/throttle/share.go
@@ -0,0 +1,104 @@
+package throttle
+
+import (
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"teaselmoor/internal/base/clock"
+)
+
+// extraDaemons is how many more daemons share a server's limit than the limit has requests in
+// a second. Each of the sharing daemons may send one request at the same moment; the site
+// tolerates that excess.
+const extraDaemons = 4
+
+// minRate is the lowest rate at which a server is sent requests, in requests a second, also
+// when its limit is zero. Without any response no daemon would learn that the server accepts requests again.
+const minRate = 0.1
+
+// share is a daemon's share of a server's limit: a token bucket that holds one request.
+type share struct {
+	rate      float64 // requests a second; 0 means that this daemon sends none
+	level     float64 // requests that may be sent now, 0 to 1
+	updatedAt clock.Millis
+}
+
+// refill adds what the rate yields until now.
+func (share *share) refill(now clock.Millis) {
+	share.level = min(1, share.level+share.rate*(now-share.updatedAt).Seconds())
+	share.updatedAt = now
+}
+
+// SetDaemons replaces the daemons of the site.
+func (limits *Limits) SetDaemons(now clock.Millis, daemons []string) {
+	if slices.Equal(daemons, limits.daemons) {
+		return
+	}
+	limits.daemons = daemons
+	for _, entry := range limits.entries {
+		if entry.limit.Limited {
+			limits.updateShare(now, entry)
+		}
+	}
+}
+
+// updateShare computes this daemon's share of a limit. Buckets start at different levels, so
+// that daemons which learn of a limit together do not send together.
+func (limits *Limits) updateShare(now clock.Millis, entry *entry) {
+	rate := max(minRate, entry.limit.Rate)
+	sharers := min(len(limits.daemons), int(rate)+extraDaemons)
+	position := limits.position(entry.limit.Server)
+	if entry.share.updatedAt == 0 {
+		entry.share.level = float64(position%sharers) / float64(sharers)
+		entry.share.updatedAt = now
+	}
+	entry.share.refill(now)
+	entry.share.rate = 0
+	if position < sharers {
+		entry.share.rate = rate / float64(sharers)
+	}
+}
+
+// position returns how many daemons precede this one in the server's order, which is by the
+// hash of server and daemon.
+func (limits *Limits) position(server string) int {
+	own := xxhash.Sum64String(server + "/" + limits.self)
+	before := 0
+	for _, daemon := range limits.daemons {
+		if xxhash.Sum64String(server+"/"+daemon) > own {
+			before++
+		}
+	}
+	return before
+}
+
+// Allows reports whether this daemon may send a server a request now.
+func (limits *Limits) Allows(now clock.Millis, server string) bool {
+	entry, ok := limits.entries[server]
+	if !ok || !entry.limit.Limited {
+		return true
+	}
+	entry.share.refill(now)
+	return entry.share.rate > 0 && entry.share.level >= 1
+}
+
+// Take takes a request to a server from the bucket.
+func (limits *Limits) Take(now clock.Millis, server string) {
+	limits.addToLevel(now, server, -1)
+}
+
+// Return gives back a request to a server that was not sent.
+func (limits *Limits) Return(now clock.Millis, server string) {
+	limits.addToLevel(now, server, 1)
+}
+
+// addToLevel adds requests to the bucket of a server, if it has a limit.
+func (limits *Limits) addToLevel(now clock.Millis, server string, requests float64) {
+	entry, ok := limits.entries[server]
+	if !ok || !entry.limit.Limited {
+		return
+	}
+	entry.share.refill(now)
+	entry.share.level = min(1, entry.share.level+requests)
+}
