--- a/internal/direct/gateway/limits.go
+++ b/internal/direct/gateway/limits.go
@@ -25,12 +25,12 @@
 func (core *core) limitNews(to placed, reply port.Reply) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	word := throttle.Word{Server: to.server.ID, Born: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
+	word := throttle.ServerLimit{Server: to.server.ID, StartedAt: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
 	now := core.now()
 	if reply.Limited {
 		core.limits.SetDaemons(now, core.members.Alive())
 	}
-	if !core.limits.Heard(now, to.at, word) {
+	if !core.limits.ApplyResponse(now, to.at, word) {
 		return false
 	}
 	message := ending.MessageLimitLifted
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -117,7 +117,7 @@
 	delete(core.losses, server.ID)
 	core.log.Info(ending.MessageServerEnded, "Server", server.ID, "Lost", spell(lost))
 	for _, id := range lost {
-		core.quarantine.Ended(now, id, processOf(server))
+		core.quarantine.ServerEnded(now, id, processOf(server))
 	}
 	core.notify()
 }
@@ -142,7 +142,7 @@
 		case <-time.After(pause.Duration()):
 		}
 		if shown := gateway.pool.Check(ctx, server.Address); shown != upstream.Unknown {
-			return shown == upstream.Refuses
+			return shown == upstream.ConnectionRefused
 		}
 		pause = examineAgain
 	}
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -41,7 +41,7 @@
 	uses     map[string]map[port.Adapter]int // by server
 	era      int64                           // of the store
 	revision int64                           // of that era
-	usage    quota.Told
+	usage    quota.SentTotals
 	usageAt  clock.Millis // when usage was told last
 	warned   warned
 }
@@ -58,7 +58,7 @@
 
 func newTold() *toldState {
 	return &toldState{
-		usage: make(quota.Told), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[port.Adapter]int),
+		usage: make(quota.SentTotals), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[port.Adapter]int),
 	}
 }
 
--- a/internal/direct/trail/trail.go
+++ b/internal/direct/requestlog/trail.go
@@ -1,7 +1,7 @@
-// Package trail reconstructs the outcome of one request from the log of gateways. It
+// Package requestlog reconstructs the outcome of one request from the log of gateways. It
 // needs nothing but the log: daemons keep nothing about past requests, and the one that
 // handled the request may no longer exist.
-package trail
+package requestlog
 
 import (
 	"bufio"
