--- a/internal/direct/gateway/leaving.go
+++ b/internal/direct/gateway/leaving.go
@@ -7,28 +7,29 @@
 	"teaselmoor/internal/direct/port"
 )
 
-// noteLeaving notes whether an answer says that its server leaves, and tells peers. The store
-// may take that word late, and the server may be gone soon; answered names what was answered.
-func (gateway *Gateway) noteLeaving(server port.Server, leaving bool, answered string) {
-	if leaving && gateway.core.heardLeaving(server, answered) {
-		gateway.tellWarnings()
+// handleLeaving checks whether an answer says that its server is leaving, and notifies peers:
+// the store may show that late, when the server is already gone. The parameter answered names
+// what the answer belongs to.
+func (gateway *Gateway) handleLeaving(server port.Server, leaving bool, answered string) {
+	if leaving && gateway.core.markLeavingByReply(server, answered) {
+		gateway.sendWarnings()
 	}
 }
 
-// heardLeaving reports whether it is news that a server leaves.
-func (core *core) heardLeaving(server port.Server, answered string) bool {
+// markLeavingByReply records that a server is leaving, and reports whether that is new.
+func (core *core) markLeavingByReply(server port.Server, answered string) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.leaves(core.now(), fleet.Departure{Server: server.ID, Born: server.Born}, answered)
+	return core.markLeaving(core.now(), fleet.Departure{Server: server.ID, Born: server.Born}, answered)
 }
 
-// leaves takes over that a server leaves, and reports whether that is news; by names what said
-// so. The mutex is held.
-func (core *core) leaves(now clock.Millis, word fleet.Departure, by string) bool {
-	if !core.fleet.Leaving(now, word) {
+// markLeaving records a server's notice that it is leaving, and reports whether that is new; by
+// names the source of the notice. The mutex must be held.
+func (core *core) markLeaving(now clock.Millis, notice fleet.Departure, by string) bool {
+	if !core.fleet.Leaving(now, notice) {
 		return false
 	}
-	core.log.Info(ending.MessageServerLeaving, "Server", word.Server, "Born", word.Born, "By", by)
-	core.notify()
+	core.log.Info(ending.MessageServerLeaving, "Server", notice.Server, "Born", notice.Born, "By", by)
+	core.wakeWaitingRequests()
 	return true
 }
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -18,7 +18,7 @@
 	"teaselmoor/internal/direct/upstream"
 )
 
-// Platform is what a daemon needs of the platform that it runs on.
+// Platform holds the interfaces to the platform that a daemon runs on.
 type Platform struct {
 	Store    port.Store
 	Decoder  port.Decoder
@@ -26,23 +26,23 @@
 	Servers  port.Servers
 }
 
-// Gateway is a daemon that serves callers.
+// Gateway is a daemon that serves callers' requests.
 type Gateway struct {
-	settings Settings
-	options  Options
-	store    port.Store
-	protocol port.Protocol
-	servers  port.Servers
-	core     *core
-	pool     *upstream.Pool
-	mesh     *peers.Mesh
-	telling  sync.Mutex // held while digests are made and sent; taken before the core's
-	group    *task.Group
-	counters *counters
-	log      *slog.Logger
+	settings   Settings
+	options    Options
+	store      port.Store
+	protocol   port.Protocol
+	servers    port.Servers
+	core       *core
+	pool       *upstream.Pool
+	mesh       *peers.Mesh
+	deltaMutex sync.Mutex // held while deltas are encoded and sent; acquired before core.mutex
+	group      *task.Group
+	counters   *counters
+	log        *slog.Logger
 }
 
-// New returns a daemon whose goroutines end with the context.
+// New returns a daemon whose goroutines end when the context does.
 func New(ctx context.Context, settings Settings, options Options, platform Platform, log *slog.Logger) *Gateway {
 	gateway := &Gateway{
 		settings: settings, options: options, store: platform.Store, protocol: platform.Protocol, servers: platform.Servers,
@@ -53,7 +53,7 @@
 	return gateway
 }
 
-// Serve serves until stop is closed, then lets requests in progress end.
+// Serve serves requests until stop is closed, then lets requests in progress finish.
 func (gateway *Gateway) Serve(stop <-chan struct{}) error {
 	listeners, err := gateway.listen()
 	if err != nil {
@@ -64,9 +64,9 @@
 		ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(gateway.log.Handler(), slog.LevelDebug),
 	}
 	gateway.log.Info("started", "Name", gateway.settings.Name, "DataCentre", gateway.settings.DataCentre,
-		"Callers", gateway.settings.CallerAddress, "Peers", gateway.settings.PeerAddress, "Incarnation", gateway.core.born)
+		"Callers", gateway.settings.CallerAddress, "Peers", gateway.settings.PeerAddress, "Incarnation", gateway.core.incarnation)
 	gateway.start(listeners, callers)
-	gateway.group.Go("leave", func(ctx context.Context) error { return gateway.leave(ctx, stop, callers) })
+	gateway.group.Go("leave", func(ctx context.Context) error { return gateway.shutDown(ctx, stop, callers) })
 	var failed error
 	gateway.group.Reap(func(end task.End) {
 		if end.Err != nil {
@@ -78,14 +78,14 @@
 	return failed
 }
 
-// Limits of callers' requests while no configuration says so. The platform's
-// configuration asks for 3 s and 16 KiB.
+// Limits on callers' requests that the configuration does not set. The platform's configuration
+// asks for 3 s and 16 KiB.
 const (
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 32 << 10
 )
 
-// listeners are the sockets of a daemon.
+// listeners holds the listening sockets of a daemon.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
@@ -119,12 +119,12 @@
 	gateway.serve("metrics", opened.metrics, &http.Server{Handler: http.HandlerFunc(gateway.serveMetrics), ReadHeaderTimeout: headerTimeout})
 	reader := mirror.New(gateway.options.Mirror, gateway.store, gateway.core.decoder.Prefix(), gateway.core)
 	gateway.group.Go("mirror", reader.Run)
-	gateway.relink()
-	gateway.group.Go("news", gateway.tellNews)
-	gateway.group.Go("work", gateway.tellWork)
-	gateway.repeat("reading", gateway.tellReadings)
-	gateway.group.Go("usage", gateway.tellUsages)
-	gateway.every("updates", gateway.options.UpdateInterval, gateway.tellUpdates)
+	gateway.updateConnections()
+	gateway.group.Go("news", gateway.sendDeltasLoop)
+	gateway.group.Go("work", gateway.sendWorkLoop)
+	gateway.repeat("reading", gateway.sendReadingsIfMesh)
+	gateway.group.Go("usage", gateway.sendUsageLoop)
+	gateway.every("updates", gateway.options.UpdateInterval, gateway.sendDueUpdates)
 	gateway.every("ticks", tickInterval, func() { gateway.tick(gateway.core.now()) })
 	gateway.every("sweep", sweepInterval, gateway.pool.Sweep)
 }
@@ -141,14 +141,14 @@
 	})
 }
 
-// sweepInterval is how often expired connections are looked for.
+// sweepInterval is the time between two removals of expired connections.
 const sweepInterval = clock.Second
 
-// tickInterval is how often the daemon looks at what passing time calls for. It
-// is well below the gap that counts as a pause.
+// tickInterval is the time between two calls of tick. It is well below the gap between ticks
+// that is treated as a pause of the process.
 const tickInterval = 100 * clock.Millisecond
 
-// every does something at intervals until the daemon ends.
+// every calls a function at intervals until the daemon ends.
 func (gateway *Gateway) every(name string, interval clock.Millis, do func()) {
 	gateway.group.Go(name, func(ctx context.Context) error {
 		ticker := time.NewTicker(interval.Duration())
@@ -164,7 +164,8 @@
 	})
 }
 
-// repeat does something until the daemon ends, each time after as long as it returned.
+// repeat calls a function until the daemon ends, each time after the wait that the last call
+// returned.
 func (gateway *Gateway) repeat(name string, do func() clock.Millis) {
 	gateway.group.Go(name, func(ctx context.Context) error {
 		for ctx.Err() == nil {
@@ -178,18 +179,18 @@
 }
 
 func (gateway *Gateway) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	if !gateway.core.ready() {
+	if !gateway.core.isReady() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	writer.WriteHeader(http.StatusOK)
 }
 
-// leave stops the daemon: it is not ready any more, takes the connections that
-// still come, and ends once the requests in progress have. It gives up its servers
-// at once: the later they change hands, the more of them have no orders while daemons
-// are replaced in turn.
-func (gateway *Gateway) leave(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
+// shutDown stops the daemon. It reports not ready, still accepts connections for LeaveSpan, and
+// ends once the requests in progress have. It releases its servers at once: the later their
+// owners change, the more servers are without an owner while daemons are replaced one after
+// another.
+func (gateway *Gateway) shutDown(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
 	defer gateway.group.Stop()
 	select {
 	case <-stop:
@@ -199,10 +200,10 @@
 	core := gateway.core
 	core.mutex.Lock()
 	core.leaving = true
-	core.tenure.Release()
+	core.claims.Release()
 	core.members.Leave()
 	core.mutex.Unlock()
-	gateway.tellUpdate(core.now(), gateway.mesh.Addresses())
+	gateway.sendUpdate(core.now(), gateway.mesh.Addresses())
 	gateway.log.Info("stopping")
 	time.Sleep(gateway.options.LeaveSpan.Duration())
 	core.mutex.Lock()
