--- a/internal/direct/gateway/accounts.go
+++ b/internal/direct/gateway/accounts.go
@@ -15,7 +15,7 @@
 		return 0, ""
 	}
 	job.accounts = true
-	found, known := config.Accounts.ByKey(job.call.Key)
+	found, known := config.Accounts.ByKey(job.headers.Key)
 	switch {
 	case known:
 		job.account = *found
@@ -39,7 +39,7 @@
 	old := core.configurationAge(job.arrived) > core.options.AccountsAge
 	core.mutex.Unlock()
 	if old {
-		return http.StatusServiceUnavailable, ending.OldAccounts
+		return http.StatusServiceUnavailable, ending.StaleAccounts
 	}
 	return http.StatusUnauthorized, ending.UnknownKey
 }
@@ -54,7 +54,7 @@
 // exceeded.
 func (gateway *Gateway) chargeAccount(job *job) (int, ending.Reason) {
 	core := gateway.core
-	cost := job.account.Limit.Cost(job.call.Tokens())
+	cost := job.account.Limit.Cost(job.headers.Tokens())
 	core.mutex.Lock()
 	decision := core.ledger.Take(job.arrived, job.account.Name, cost)
 	core.markUsageChanged()
@@ -64,7 +64,7 @@
 		return 0, ""
 	}
 	job.retryAfter = decision.After
-	gateway.log.Info(ending.MessageOverLimit, "Request", job.call.Attempt, "Account", job.account.Name, "Units", decision.Cost,
+	gateway.log.Info(ending.MessageOverLimit, "Request", job.headers.Attempt, "Account", job.account.Name, "Units", decision.Cost,
 		"LeftUnits", int(decision.Left), "RatePerSecond", int(decision.Rate), "LimitPerSecond", int(job.account.Limit.Rate),
 		"DaemonsCounted", decision.Reached, "Daemons", decision.Daemons)
 	return http.StatusTooManyRequests, ending.OverLimit
--- a/internal/direct/gateway/dispatch.go
+++ b/internal/direct/gateway/dispatch.go
@@ -37,7 +37,7 @@
 		}
 		if result.retry && result.needsBudget && !gateway.takeRetryBudget(job) {
 			result.retry = false
-			result.reason = ending.NoBudget
+			result.reason = ending.RetryBudgetSpent
 		}
 		if !result.retry || job.timesSent >= gateway.options.MostSends {
 			gateway.failRequest(writer, job, result)
@@ -73,7 +73,7 @@
 	if failed != nil {
 		return *failed
 	}
-	active := &activeRequest{gateway: gateway, to: assigned, unreadTokens: job.call.Prompt}
+	active := &activeRequest{gateway: gateway, to: assigned, unreadTokens: job.headers.Prompt}
 	defer active.end()
 	return gateway.sendRequest(ctx, writer, job, assigned, active)
 }
@@ -86,7 +86,7 @@
 		return tryResult{status: http.StatusServiceUnavailable, reason: ending.Deadline}
 	}
 	job.timesSent++
-	gateway.log.Info(ending.MessageSent, "Request", job.call.Attempt, "Server", to.server.ID, "Adapter", job.adapter.Name, "Prompt", job.call.Prompt, "Alone", to.alone,
+	gateway.log.Info(ending.MessageSent, "Request", job.headers.Attempt, "Server", to.server.ID, "Adapter", job.adapter.Name, "Prompt", job.headers.Prompt, "Alone", to.alone,
 		"Offer", job.timesSent, "CostMillis", int(to.cost), "LeftMillis", left, "Version", to.version, "WaitedMillis", job.waited, "HeldMillis", job.holdTime, "Content", job.content.String())
 	tryCtx, cancel := job.tryContext(ctx, left)
 	defer cancel()
@@ -145,7 +145,7 @@
 func (gateway *Gateway) answerMatcher(job *job) upstream.Matches {
 	return func(response *http.Response, first bool) bool {
 		reply := gateway.protocol.Reply(response)
-		return reply.Attempt == job.call.Attempt || reply.Attempt == "" && first && !reply.Signed
+		return reply.Attempt == job.headers.Attempt || reply.Attempt == "" && first && !reply.Signed
 	}
 }
 
@@ -153,7 +153,7 @@
 func (gateway *Gateway) handleNoAnswer(ctx context.Context, job *job, to assignment, err error) tryResult {
 	var failed *upstream.Error
 	sent := !errors.As(err, &failed) || failed.Sent
-	gateway.log.Info(ending.MessageNoAnswer, "Request", job.call.Attempt, "Server", to.server.ID, "Sent", sent, "Error", err.Error())
+	gateway.log.Info(ending.MessageNoAnswer, "Request", job.headers.Attempt, "Server", to.server.ID, "Sent", sent, "Error", err.Error())
 	if sent {
 		job.mayHaveRun++
 	}
@@ -179,7 +179,7 @@
 		return tryResult{status: http.StatusGatewayTimeout, reason: ending.Timeout}
 	}
 	gateway.recordLoss(job, to.server, err)
-	return gateway.lostResult(job, http.StatusBadGateway, ending.Lost)
+	return gateway.lostResult(job, http.StatusBadGateway, ending.AnswerLost)
 }
 
 // lostResult is the result of a try that may have run but gave no usable answer.
@@ -192,7 +192,7 @@
 func (gateway *Gateway) handleAnswer(ctx context.Context, writer http.ResponseWriter, job *job, to assignment, active *activeRequest, answer *upstream.Answer) tryResult {
 	reply := gateway.protocol.Reply(answer.Response)
 	gateway.handleLimit(to, answer.StatusCode, reply)
-	gateway.handleLeaving(to.server, reply.Leaving, "request "+job.call.Attempt)
+	gateway.handleLeaving(to.server, reply.Leaving, "request "+job.headers.Attempt)
 	gateway.core.recordPause(to.server.ID, reply.Rest)
 	if reply.NotRun {
 		gateway.drain(answer)
@@ -204,7 +204,7 @@
 		answer.Close(false)
 		gateway.recordOutcome(to, true)
 		job.triedServers = append(job.triedServers, to.server.ID)
-		return gateway.lostResult(job, http.StatusBadGateway, ending.Invalid)
+		return gateway.lostResult(job, http.StatusBadGateway, ending.InvalidAnswer)
 	}
 	if !success {
 		return gateway.handleFailure(writer, job, to, answer)
@@ -231,7 +231,7 @@
 
 // handleNotRun decides how to go on with a request that a server says it did not run.
 func (gateway *Gateway) handleNotRun(job *job, to assignment, status int, reply port.Reply) tryResult {
-	gateway.log.Info(ending.MessageDeclined, "Request", job.call.Attempt, "Server", to.server.ID, "Status", status, "Absent", reply.Absent, "RestMillis", reply.Rest)
+	gateway.log.Info(ending.MessageDeclined, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", status, "Absent", reply.Absent, "RestMillis", reply.Rest)
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -242,7 +242,7 @@
 		core.fleet.Answered(now, to.server.ID, true)
 		job.triedServers = append(job.triedServers, to.server.ID)
 	}
-	return tryResult{retry: true, needsBudget: true, status: http.StatusServiceUnavailable, reason: ending.Tries}
+	return tryResult{retry: true, needsBudget: true, status: http.StatusServiceUnavailable, reason: ending.TriesUsed}
 }
 
 // handleAbsent records that a server lacks an adapter that it was believed to hold, and
@@ -267,19 +267,19 @@
 func (gateway *Gateway) handleFailure(writer http.ResponseWriter, job *job, to assignment, answer *upstream.Answer) tryResult {
 	gateway.recordOutcome(to, answer.StatusCode >= 500)
 	job.triedServers = append(job.triedServers, to.server.ID)
-	gateway.log.Info(ending.MessageFailed, "Request", job.call.Attempt, "Server", to.server.ID, "Status", answer.StatusCode)
+	gateway.log.Info(ending.MessageFailed, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", answer.StatusCode)
 	if answer.StatusCode >= 500 && job.route.Repeatable() && job.mayHaveRun < job.route.Attempts && gateway.takeRetryBudget(job) {
 		gateway.drain(answer)
-		return tryResult{retry: true, status: http.StatusBadGateway, reason: ending.Lost}
+		return tryResult{retry: true, status: http.StatusBadGateway, reason: ending.AnswerLost}
 	}
 	if ending.PromisesNotRun(answer.StatusCode) || job.headSent {
 		gateway.drain(answer)
-		return tryResult{status: http.StatusBadGateway, reason: ending.Invalid}
+		return tryResult{status: http.StatusBadGateway, reason: ending.InvalidAnswer}
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxFailureBytes))
 	answer.Close(err == nil)
 	if err != nil {
-		return tryResult{status: http.StatusBadGateway, reason: ending.Lost}
+		return tryResult{status: http.StatusBadGateway, reason: ending.AnswerLost}
 	}
 	copyHeader(writer.Header(), answer.Header)
 	gateway.logEnd(job, answer.StatusCode, ending.ServerFailure)
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -17,7 +17,7 @@
 
 // job is the state of a caller's request in this daemon.
 type job struct {
-	call         port.Call
+	headers      port.Call
 	incoming     *http.Request
 	body         []byte
 	content      content.ID
@@ -60,7 +60,7 @@
 		writer.Header().Set("Connection", "close")
 	}
 	if config == nil {
-		gateway.refuse(writer, &job{incoming: request, arrived: core.now()}, http.StatusServiceUnavailable, ending.NotReady)
+		gateway.refuse(writer, &job{incoming: request, arrived: core.now()}, http.StatusServiceUnavailable, ending.NoConfiguration)
 		return
 	}
 	job, status, reason := gateway.accept(writer, request, config)
@@ -78,8 +78,8 @@
 	core := gateway.core
 	now := core.now()
 	job := &job{incoming: request, arrived: now, lastEventAt: now, config: config.Version}
-	call, err := gateway.protocol.Call(request)
-	job.call = call
+	headers, err := gateway.protocol.Call(request)
+	job.headers = headers
 	if err != nil || strings.HasPrefix(request.RequestURI, "//") {
 		return job, http.StatusBadRequest, ending.BadRequest
 	}
@@ -92,12 +92,12 @@
 	if status, reason := gateway.admit(job, config); status != 0 {
 		return job, status, reason
 	}
-	job.service = route.Service(call.Attempt)
+	job.service = route.Service(headers.Attempt)
 	job.deadline = deadlineOf(job)
 	service := config.Services[job.service]
 	job.engine = service != nil && service.Engine != nil
 	if job.engine {
-		job.adapter = port.Adapter{Model: call.Model, Name: call.Adapter}
+		job.adapter = port.Adapter{Model: headers.Model, Name: headers.Adapter}
 		job.adapterHash = adapterHash(job.adapter)
 		job.adapterSlots = service.Engine.AdapterSlots
 	}
@@ -131,8 +131,8 @@
 
 func deadlineOf(job *job) clock.Millis {
 	span := defaultTimeout
-	if job.call.Left > 0 {
-		span = min(span, job.call.Left)
+	if job.headers.Left > 0 {
+		span = min(span, job.headers.Left)
 	}
 	if job.route.Timeout > 0 {
 		span = min(span, job.route.Timeout)
@@ -154,7 +154,7 @@
 func (gateway *Gateway) logEnd(job *job, status int, reason ending.Reason) {
 	now := gateway.core.now()
 	line := []any{
-		"Request", job.call.Attempt, "Status", status, "Reason", string(reason), "Millis", now - job.arrived,
+		"Request", job.headers.Attempt, "Status", status, "Reason", string(reason), "Millis", now - job.arrived,
 		"Offers", job.timesSent, "WaitedMillis", job.waited, "Config", job.config, "Daemon", gateway.settings.Name,
 	}
 	if job.retryAfter > 0 {
--- a/internal/direct/gateway/limits.go
+++ b/internal/direct/gateway/limits.go
@@ -35,7 +35,7 @@
 	}
 	message := ending.MessageLimitLifted
 	if reply.Limited {
-		message = ending.MessageLimitNamed
+		message = ending.MessageLimitAnnounced
 	}
 	core.log.Info(message, "Server", to.server.ID, "RatePerSecond", reply.Limit)
 	return true
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -110,7 +110,7 @@
 		}
 		use := tally.Use{Server: choice.Member.ID, Adapter: job.adapter}
 		if use != counted.use {
-			core.moveCount(counted, use, job.call.Prompt)
+			core.moveCount(counted, use, job.headers.Prompt)
 			lastRequest = 0
 		}
 		if choice.Held && ctx.Err() == nil && core.shouldDelay(now, now-started, job, use.Server) {
@@ -120,7 +120,7 @@
 			continue
 		}
 		if choice.Held {
-			core.moveCount(counted, use, job.call.Prompt)
+			core.moveCount(counted, use, job.headers.Prompt)
 			if choice.Copy != nil {
 				gateway.requestCopy(job, choice.Copy, now)
 			}
@@ -148,7 +148,7 @@
 		return false
 	}
 	rate := core.readRate.TokensPerMS()
-	prompt := choose.Prompt{Tokens: job.call.Prompt, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
+	prompt := choose.Prompt{Tokens: job.headers.Prompt, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
 	return core.options.Hold.Holds(prompt, core.promptBuckets.Tokens(now, server, rate), rate)
 }
 
@@ -172,10 +172,10 @@
 		Now:        now,
 		Service:    job.service,
 		DataCentre: core.settings.DataCentre,
-		Attempt:    xxhash.Sum64String(job.call.Attempt),
+		Attempt:    xxhash.Sum64String(job.headers.Attempt),
 		Adapter:    job.adapter,
 		Version:    core.requiredVersion(now, job.adapter),
-		Prompt:     job.call.Prompt,
+		Prompt:     job.headers.Prompt,
 		Places:     job.adapterSlots,
 		Tried:      job.triedServers,
 		Barred:     core.overLimit(now, waiting),
@@ -189,13 +189,13 @@
 func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) assignment {
 	job.waited += now - started
 	if job.engine {
-		core.promptBuckets.Add(now, use.Server, job.call.Prompt, core.readRate.TokensPerMS())
-		core.sentTokens[use.Server] += job.call.Prompt
+		core.promptBuckets.Add(now, use.Server, job.headers.Prompt, core.readRate.TokensPerMS())
+		core.sentTokens[use.Server] += job.headers.Prompt
 	}
 	if worker, ok := core.orderWorkers[use.Server]; ok {
 		worker.planner.Used(now, job.adapter, 1)
 	}
-	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.call.Prompt, at: now}
+	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.headers.Prompt, at: now}
 	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newestVersion(job.adapter) > 0 && slot.Version >= core.newestVersion(job.adapter) {
 		result.version = core.newestVersion(job.adapter)
 	}
@@ -222,7 +222,7 @@
 	core := gateway.core
 	request := peers.Want{Server: use.Server, Adapter: use.Adapter, Version: core.newestVersion(use.Adapter), Rank: job.rank, Left: left}
 	owner, ok := core.ownerOf(now, use.Server)
-	gateway.log.Info(ending.MessageAskedFor, "Request", job.call.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
+	gateway.log.Info(ending.MessageAskedFor, "Request", job.headers.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
 	if !ok && core.hub == "" {
 		return
 	}
--- a/internal/direct/gateway/rest.go
+++ b/internal/direct/gateway/rest.go
@@ -14,7 +14,7 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	core.fleet.Rest(server, core.now()+rest)
-	core.log.Info(ending.MessageServerRests, "Server", server, "Millis", rest)
+	core.log.Info(ending.MessageServerPaused, "Server", server, "Millis", rest)
 	core.wakeWaitingRequests()
 }
 
--- a/internal/direct/gateway/settings.go
+++ b/internal/direct/gateway/settings.go
@@ -1,7 +1,8 @@
 // Package gateway implements the daemon that sends callers' requests directly to backend
 // servers. It connects the decisions of its sibling packages: it reads the platform's store,
 // exchanges state with the other daemons, sends orders to the servers that it owns, and passes
-// requests and answers on. The interfaces of package port hide the platform's own formats.
+// requests and answers on. The platform's own formats are hidden behind the interfaces in
+// Platform.
 package gateway
 
 import (
--- a/internal/direct/gateway/unplaced.go
+++ b/internal/direct/gateway/unplaced.go
@@ -15,14 +15,14 @@
 	result := &tryResult{status: http.StatusServiceUnavailable, reason: ending.NoServer}
 	for _, member := range core.fleet.Usable(job.service) {
 		if !slices.Contains(job.triedServers, member.ID) && !core.serverLimits.Allows(now, member.ID) {
-			result.reason = ending.Limited
+			result.reason = ending.ServersLimited
 		}
 	}
 	left := core.shortestPause(now, job)
 	if left == 0 || result.reason != ending.NoServer {
 		return result
 	}
-	result.reason = ending.Resting
+	result.reason = ending.ServersPaused
 	if job.mayHaveRun == 0 {
 		job.retryAfter = min(left, core.options.RetryAfter)
 	}
@@ -35,7 +35,7 @@
 	loading, queued := core.incomingAdapters()
 	loadingHere, queuedHere := server.Coming()
 	owner, _ := core.ownerOf(now, server.ID)
-	core.log.Info(ending.MessageNotReady, "Request", job.call.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
+	core.log.Info(ending.MessageNotReady, "Request", job.headers.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
 		"AtOnce", tooLate, "PatienceMillis", maxWait, "LoadMillis", core.expectedLoadTime(server), "Loading", loading, "Queued", queued,
 		"LoadingHere", loadingHere, "QueuedHere", queuedHere)
 }
--- a/internal/direct/port/port.go
+++ b/internal/direct/port/port.go
@@ -1,7 +1,6 @@
-// Package port is the boundary between the direct way of serving and the
-// platform that it runs on: values that say what the platform says, in the
-// project's words, and the interfaces that an adapter for a platform implements.
-// Nothing here decides.
+// Package port defines the boundary between the gateway and the platform that it runs on: types
+// for what the platform sends and expects, independent of its formats, and the interfaces that
+// the code for a platform implements. It makes no decisions.
 package port
 
 import (
@@ -12,69 +11,70 @@
 	"teaselmoor/internal/direct/catalog"
 )
 
-// Call is what the headers of a caller's request say.
+// Call holds the values from the headers of a caller's request.
 type Call struct {
 	Attempt   string       // the caller's id of this attempt
-	Left      clock.Millis // how long the caller waits; 0 means that it did not say
+	Left      clock.Millis // time until the caller gives up; 0: unknown
 	Model     string
-	Adapter   string // empty for the base model
-	Prompt    int    // prompt tokens; 0 for a plain service
-	Output    int    // most output tokens
+	Adapter   string // empty: the base model
+	Prompt    int    // number of prompt tokens; 0 for a plain service
+	Output    int    // maximum number of output tokens
 	Parts     []Part
-	LastEvent string // the event after which a resumed stream goes on
-	Key       string // names the caller's account; empty when there is none
+	LastEvent string // id of the event after which a stream is to be resumed
+	Key       string // identifies the caller's account; empty: none
 }
 
-// Tokens returns prompt and output together, 0 for a request that names none.
+// Tokens returns the prompt and output tokens together, 0 if the request states none.
 func (call Call) Tokens() int {
 	return call.Prompt + call.Output
 }
 
-// Part is one part of a prompt. Requests that share their first parts share
-// what an engine has cached of them.
+// Part is a part of a prompt. Requests with the same first parts can share the engine's cache
+// of them.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Sending is what a daemon adds to a request that it passes on.
+// Sending holds the values that a daemon adds to a request that it forwards.
 type Sending struct {
-	Server    string // the only server that may run it
+	Server    string // the only server that may run the request
 	Left      clock.Millis
-	Version   int // of the adapter that must run it; 0 means any
-	Urgency   int // 0 to 9, 0 first; negative means the engine's default
+	Version   int // required version of the adapter; 0: any
+	Urgency   int // 0 to 9, 0 is the most urgent; negative: the engine's default
 	LastEvent string
-	// Accounts tells that the configuration lists accounts: the key stays here, and the
-	// server is told Account, which is empty for a caller without one.
+	// Accounts reports that the configuration lists accounts. The caller's key is then not
+	// forwarded, and the server receives Account instead, which is empty for a caller without
+	// one.
 	Accounts bool
 	Account  string
 }
 
-// Reply is what the head of a backend server's answer says.
+// Reply holds the values from the head of a backend server's answer.
 type Reply struct {
-	Attempt string // the attempt that it answers; empty when it does not say
+	Attempt string // the attempt that the answer belongs to; empty: not stated
 	NotRun  bool   // the server states that it did not run the request
-	Absent  bool   // the server is another one, or does not hold model, adapter or version
-	Signed  bool   // the server's signature is there
-	Leaving bool   // the server says that it will end soon
-	// Rest is how long the server wants nothing from this daemon; 0 where it does not say.
+	Absent  bool   // the server is a different one, or does not hold the model, adapter or version
+	Signed  bool   // the answer carries the server's signature
+	Leaving bool   // the server announces that it will end soon
+	// Rest is how long the server wants no requests from this daemon; 0 if it does not say.
 	Rest clock.Millis
-	// Limited tells that the server takes no more than Limit requests a second from all
+	// Limited reports that the server takes no more than Limit requests a second from all
 	// daemons together.
 	Limited bool
 	Limit   float64
 }
 
-// Protocol translates requests and answers.
+// Protocol converts between HTTP headers and the types of this package.
 type Protocol interface {
 	// Call reads the headers of a caller's request.
 	Call(request *http.Request) (Call, error)
-	// Outgoing returns the headers of a request as it is passed on.
+	// Outgoing returns the headers of a request for forwarding.
 	Outgoing(incoming http.Header, sending Sending) http.Header
 	// Reply reads the head of a backend server's answer.
 	Reply(response *http.Response) Reply
-	// Refusal sets the headers of a refusal; after is 0 when there is nothing
-	// to say on when to come back.
+	// Refusal sets the headers of a refusal; after is the time until the caller may retry, or 0
+	// if unknown.
 	Refusal(header http.Header, after clock.Millis)
 }
 
@@ -86,25 +86,25 @@
 	Deleted  bool
 }
 
-// Page is an answer of the store.
+// Page is a page of the store's items or changes.
 type Page struct {
 	Items []Item
-	More  bool  // another page begins after the last item's key
-	AsOf  int64 // the store's revision
-	// Era rises each time the store comes back from a copy of some time before, which has
-	// lower revisions; 0 where it does not say.
+	More  bool  // another page follows, after the last item's key
+	AsOf  int64 // the revision of the store that the page reflects
+	// Era increases each time the store is restored from an earlier copy, which has lower
+	// revisions; 0 if the store does not report it.
 	Era int64
 }
 
-// Failure says why the store did not answer as asked.
+// Failure classifies why a call of the store failed.
 type Failure int
 
-// Failures of the store.
+// Failures of calls of the store.
 const (
-	Unreachable   Failure = iota // no answer, or not one of the store
-	Unavailable                  // nothing was done
+	Unreachable   Failure = iota // no answer, or one that is not from the store
+	Unavailable                  // the store did nothing
 	Limited                      // too many calls
-	HistoryIsGone                // the changes asked for are no longer available
+	HistoryIsGone                // the requested changes are no longer available
 )
 
 // StoreError is a failed call of the store.
@@ -114,38 +114,38 @@
 }
 
 // Error implements error.
-func (failed *StoreError) Error() string { return failed.Err.Error() }
+func (storeError *StoreError) Error() string { return storeError.Err.Error() }
 
-// Unwrap returns the cause.
-func (failed *StoreError) Unwrap() error { return failed.Err }
+// Unwrap returns the underlying error.
+func (storeError *StoreError) Unwrap() error { return storeError.Err }
 
-// Store reads the platform's store. Errors are *StoreError.
+// Store reads the platform's store. Its errors are of type *StoreError.
 type Store interface {
-	// Range returns a page of the items that begin with prefix, after a key.
+	// Range returns a page of the items whose keys begin with prefix and follow the key after.
 	Range(ctx context.Context, prefix, after string) (Page, error)
-	// Watch returns the changes after a revision as soon as there are any, or
-	// none once wait is over.
+	// Watch returns the changes after a revision as soon as there are any, or none when wait
+	// has passed.
 	Watch(ctx context.Context, prefix string, after int64, wait clock.Millis) (Page, error)
 }
 
-// Belief is what an item says: one of the pointers is set.
+// Belief is the decoded content of an item. Exactly one of its pointers is set.
 type Belief struct {
 	Catalog *catalog.Catalog
 	Server  *Server
 	Version *AdapterVersion
 }
 
-// Decoder reads items of the store.
+// Decoder decodes items of the store.
 type Decoder interface {
-	// Prefix is that of all keys that are read.
+	// Prefix returns the common prefix of all keys that are read.
 	Prefix() string
-	// Decode returns what an item says, or why it says nothing that can be used.
+	// Decode returns the content of an item, or an error if it is unusable.
 	Decode(item Item) (Belief, error)
-	// ServerOf returns the server that a key is about.
+	// ServerOf returns the id of the server that a key belongs to, if any.
 	ServerOf(key string) (string, bool)
 }
 
-// Server is a backend server as it registered itself.
+// Server is a backend server as it is registered in the store.
 type Server struct {
 	ID         string
 	Service    string
@@ -153,50 +153,50 @@
 	DataCentre string
 	Slots      int
 	Draining   bool
-	Leaves     clock.Millis // how long until it is gone; 0 when it does not say
-	Born       int64        // start of its process, Unix milliseconds; 0 when it does not say
+	Leaves     clock.Millis // time until the server ends; 0: not announced
+	Born       int64        // start of its process in Unix milliseconds; 0: unknown
 	Models     []Holding
 }
 
-// Holding is a base model and the adapters that a server holds of it.
+// Holding is a base model that a server holds, with its adapters.
 type Holding struct {
 	Model    string
-	Adapters map[string]int // version by adapter
+	Adapters map[string]int // versions by adapter name
 }
 
-// Adapter names an adapter of a model.
+// Adapter identifies an adapter of a base model.
 type Adapter struct {
 	Model string
 	Name  string
 }
 
-// AdapterVersion is the newest version of an adapter that operators named.
+// AdapterVersion is the newest version of an adapter that operators have named.
 type AdapterVersion struct {
 	Adapter Adapter
 	Version int
 }
 
-// Order tells a server to load or unload an adapter, or a model when Adapter's
-// name is empty.
+// Order tells a server to load or unload an adapter, or a base model if Adapter's name is
+// empty.
 type Order struct {
 	Load    bool
 	Adapter Adapter
-	Version int // to load; 0 means the newest
+	Version int // to load; 0: the newest
 	Holder  string
 	Fence   int64
 }
 
-// Result is a server's answer to an order.
+// Result is the result of an order.
 type Result int
 
-// Results of an order.
+// Results of orders.
 const (
-	Unknown  Result = iota // no answer: it may have been accepted
-	Accepted               // it is being carried out
-	Holds                  // there is nothing to do
-	Conflict               // another order is under way
-	Fenced                 // a higher fencing number was seen
-	Invalid                // there is no such order
+	Unknown  Result = iota // no answer; the order may have been accepted
+	Accepted               // the order is being carried out
+	Holds                  // the server is already in the ordered state
+	Conflict               // another order is in progress
+	Fenced                 // the server has seen a higher fencing number
+	Invalid                // the server does not know such an order
 	Other                  // the address belongs to another server
 )
 
@@ -205,22 +205,22 @@
 	return [...]string{"Unknown", "Accepted", "Holds", "Conflict", "Fenced", "Invalid", "Other"}[result]
 }
 
-// Answer is what a server answers to an order.
+// Answer is a server's answer to an order.
 type Answer struct {
 	Result  Result
-	Leaving bool // the server says that it will end soon
+	Leaving bool // the server announces that it will end soon
 }
 
 // Report is a server's state, some hundred milliseconds old.
 type Report struct {
-	Leaving  bool // the server says that it will end soon
+	Leaving  bool // the server announces that it will end soon
 	Born     int64
 	Busy     bool // a model is being loaded or unloaded
 	Models   []Holding
 	Incoming []Adapter
 }
 
-// Servers gives orders to model engines and reads their reports.
+// Servers sends orders to model engines and reads their reports.
 type Servers interface {
 	Order(ctx context.Context, server Server, order Order) (Answer, error)
 	Report(ctx context.Context, server Server) (Report, error)
