--- a/internal/direct/gateway/accounts.go
+++ b/internal/direct/gateway/accounts.go
@@ -14,7 +14,7 @@
 	if config.Accounts == nil {
 		return 0, ""
 	}
-	job.accounts = true
+	job.accountsListed = true
 	found, known := config.Accounts.ByKey(job.headers.Key)
 	switch {
 	case known:
--- a/internal/direct/gateway/copies.go
+++ b/internal/direct/gateway/copies.go
@@ -81,12 +81,12 @@
 		Now: now, Service: from.Service, DataCentre: from.DataCentre, Adapter: adapter, Places: core.adapterSlots(from.Service),
 		Ordered: func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
 	}
-	spares := core.weights().Spares(query, adapterHash(adapter), core.fleet, core.work, count)
-	core.copiesRequested[adapter] = requestedCopies{count: core.demand(now, adapter).Coming + len(spares), at: now}
-	for _, spare := range spares {
-		owner, _ := core.ownerOf(now, spare.ID)
-		core.log.Info("adapter copy requested", "Server", spare.ID, "Adapter", adapter.Name, "Owner", owner, "Busy", from.ID, "Copies", count)
-		gateway.sendAdapterRequest(owner, peers.Want{Server: spare.ID, Adapter: adapter, Version: core.newestVersion(adapter), Rank: copyRank, Left: copyRequestLifetime})
+	targets := core.weights().Spares(query, adapterHash(adapter), core.fleet, core.work, count)
+	core.copiesRequested[adapter] = requestedCopies{count: core.demand(now, adapter).Coming + len(targets), at: now}
+	for _, target := range targets {
+		owner, _ := core.ownerOf(now, target.ID)
+		core.log.Info("adapter copy requested", "Server", target.ID, "Adapter", adapter.Name, "Owner", owner, "Busy", from.ID, "Copies", count)
+		gateway.sendAdapterRequest(owner, peers.Want{Server: target.ID, Adapter: adapter, Version: core.newestVersion(adapter), Rank: copyRank, Left: copyRequestLifetime})
 	}
 }
 
--- a/internal/direct/gateway/core.go
+++ b/internal/direct/gateway/core.go
@@ -24,7 +24,7 @@
 )
 
 // core holds the state that all goroutines of a daemon share. One mutex guards it: every step
-// under the mutex is short and does no I/O. To avoid deadlock, locks of the mesh and the
+// under the mutex is short and does no I/O. To avoid deadlock, locks of the peer network and the
 // connection pool may be taken while it is held, but not the other way round.
 type core struct {
 	settings Settings
--- a/internal/direct/gateway/dispatch.go
+++ b/internal/direct/gateway/dispatch.go
@@ -123,12 +123,13 @@
 // assume 5 if none is sent.
 const urgencyBase = 3
 
+// forwardedRequest returns the request as it is sent to a server.
 func (gateway *Gateway) forwardedRequest(ctx context.Context, job *job, to assignment, left clock.Millis) *http.Request {
 	sending := port.Sending{Server: to.server.ID, Left: left, Version: to.version, Urgency: -1, LastEvent: job.lastEventID}
 	if job.engine {
 		sending.Urgency = min(urgencyBase+job.rank, 9)
 	}
-	sending.Accounts, sending.Account = job.accounts, job.account.Name
+	sending.Accounts, sending.Account = job.accountsListed, job.account.Name
 	request := &http.Request{
 		Method: job.incoming.Method, URL: &url.URL{Opaque: job.incoming.RequestURI}, Host: job.incoming.Host,
 		Header: gateway.protocol.Outgoing(job.incoming.Header, sending), ContentLength: int64(len(job.body)),
@@ -237,7 +238,7 @@
 	defer core.mutex.Unlock()
 	now := core.now()
 	if reply.Absent && job.engine {
-		gateway.handleAbsent(now, job, to)
+		gateway.handleMissingAdapter(now, job, to)
 	} else {
 		core.fleet.Answered(now, to.server.ID, true)
 		job.triedServers = append(job.triedServers, to.server.ID)
@@ -245,9 +246,9 @@
 	return tryResult{retry: true, needsBudget: true, status: http.StatusServiceUnavailable, reason: ending.TriesUsed}
 }
 
-// handleAbsent records that a server lacks an adapter that it was believed to hold, and
+// handleMissingAdapter records that a server lacks an adapter that it was believed to hold, and
 // requests a load from its owner. The mutex must be held.
-func (gateway *Gateway) handleAbsent(now clock.Millis, job *job, to assignment) {
+func (gateway *Gateway) handleMissingAdapter(now clock.Millis, job *job, to assignment) {
 	core := gateway.core
 	core.fleet.Lacks(to.server.ID, job.adapter)
 	owner, ok := core.ownerOf(now, to.server.ID)
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -45,6 +45,7 @@
 	gateway.sendUpdate(core.now(), []string{address})
 }
 
+// handleUpdate applies a peer's update, and adapts connections to it.
 func (gateway *Gateway) handleUpdate(update *peers.Update) {
 	if update.Name == gateway.settings.Name {
 		return
@@ -115,7 +116,7 @@
 // send sends a message. It reports false if there is no connection; a peer that reconnects is
 // sent an update.
 func (gateway *Gateway) send(address string, message peers.Message) bool {
-	sent, err := gateway.mesh.Send(address, message)
+	sent, err := gateway.network.Send(address, message)
 	if err != nil {
 		gateway.log.Error("cannot encode message", "Address", address, "Error", err.Error())
 	}
@@ -152,7 +153,7 @@
 	core.mutex.Unlock()
 	gateway.updateConnections()
 	if changed {
-		gateway.sendUpdate(now, gateway.mesh.Addresses())
+		gateway.sendUpdate(now, gateway.network.Addresses())
 	}
 	gateway.sendWarnings() // includes newly connected peers
 	gateway.readUnknownHoldings(now)
@@ -174,11 +175,11 @@
 	if !behind {
 		return peers.Pull{}, ""
 	}
-	address, most := "", versionStamp{pull.Era, pull.After}
+	address, newest := "", versionStamp{pull.Era, pull.After}
 	for name, peer := range core.members.Peers() {
 		version := versionStamp{peer.Era, peer.Revision}
-		if version.after(most) && core.members.Live(now, name) {
-			address, most = peer.Address, version
+		if version.after(newest) && core.members.Live(now, name) {
+			address, newest = peer.Address, version
 		}
 	}
 	return pull, address
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -17,23 +17,23 @@
 
 // job is the state of a caller's request in this daemon.
 type job struct {
-	headers      port.Call
-	incoming     *http.Request
-	body         []byte
-	content      content.ID
-	config       int64 // version of the configuration that the request is served with
-	route        *catalog.Route
-	service      string
-	engine       bool
-	accounts     bool            // the configuration lists accounts
-	account      account.Account // of the caller; unnamed if there is none
-	charged      float64         // units charged to the account's limit
-	rank         int             // 0 is the most urgent
-	adapter      port.Adapter    // empty for a plain service
-	adapterHash  uint64
-	adapterSlots int // of each server of the service
-	arrived      clock.Millis
-	deadline     clock.Millis // the earlier of the caller's and the route's
+	headers        port.Call
+	incoming       *http.Request
+	body           []byte
+	content        content.ID
+	config         int64 // version of the configuration that the request is served with
+	route          *catalog.Route
+	service        string
+	engine         bool
+	accountsListed bool            // the configuration lists accounts
+	account        account.Account // of the caller; unnamed if there is none
+	charged        float64         // units charged to the account's limit
+	rank           int             // 0 is the most urgent
+	adapter        port.Adapter    // empty for a plain service
+	adapterHash    uint64
+	adapterSlots   int // of each server of the service
+	arrived        clock.Millis
+	deadline       clock.Millis // the earlier of the caller's and the route's
 
 	triedServers []string     // servers that are not tried again
 	mayHaveRun   int          // number of servers that may have run the request
--- a/internal/direct/gateway/holdings.go
+++ b/internal/direct/gateway/holdings.go
@@ -27,7 +27,7 @@
 	for _, member := range core.unknownHoldings(now) {
 		core.reportRequestedAt[member.ID] = now
 		target := member.Server
-		gateway.group.Go("holdings "+target.ID, func(ctx context.Context) error {
+		gateway.tasks.Go("holdings "+target.ID, func(ctx context.Context) error {
 			gateway.readHoldings(ctx, target)
 			return nil
 		})
@@ -75,6 +75,7 @@
 // together would each read all reports.
 const meshReportDelay = 300 * clock.Millisecond
 
+// readHoldings reads the report of a server that nobody has sent holdings of.
 func (gateway *Gateway) readHoldings(ctx context.Context, target port.Server) {
 	report, err := gateway.servers.Report(ctx, target)
 	target.Born = max(report.Born, target.Born)
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -72,7 +72,7 @@
 		return
 	}
 	lost.probing = true
-	gateway.group.Go("examine "+server.ID, func(ctx context.Context) error {
+	gateway.tasks.Go("examine "+server.ID, func(ctx context.Context) error {
 		gateway.probe(ctx, server)
 		return nil
 	})
--- a/internal/direct/gateway/models.go
+++ b/internal/direct/gateway/models.go
@@ -14,8 +14,8 @@
 // loads never exceeds the loads that the weight store allows to start in one second, whatever
 // rate was learned. The mutex must be held.
 func (core *core) modelStates(name string, engine *catalog.Engine) loading.Models {
-	turns, most := core.turnsOf(name), max(1, int(engine.LoadsPerS))
-	models := loading.Models{AtOnce: min(turns.AtOnce(), most), Trial: min(turns.Trial(), most), LoadTime: slowestModelLoad(engine)}
+	turns, maxLoads := core.turnsOf(name), max(1, int(engine.LoadsPerS))
+	models := loading.Models{AtOnce: min(turns.AtOnce(), maxLoads), Trial: min(turns.Trial(), maxLoads), LoadTime: slowestModelLoad(engine)}
 	var waiting []*fleet.Member
 	for _, member := range core.fleet.Members() {
 		switch {
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -76,7 +76,7 @@
 func (gateway *Gateway) startOrderWorker(server string) {
 	core := gateway.core
 	fence, _ := core.claims.Holds(server)
-	ctx, cancel := context.WithCancel(gateway.group.Context())
+	ctx, cancel := context.WithCancel(gateway.tasks.Context())
 	recentlyHeld := func(adapter port.Adapter) bool {
 		member, ok := core.fleet.Member(server)
 		return ok && member.AtHand(adapter)
@@ -87,7 +87,7 @@
 	}
 	core.orderWorkers[server] = worker
 	core.log.Info("server ownership taken over", "Server", server, "Fence", fence, "Live", core.claims.Live(core.now()))
-	gateway.group.Go("orders "+server, func(context.Context) error { return gateway.runOrderWorker(ctx, server, worker) })
+	gateway.tasks.Go("orders "+server, func(context.Context) error { return gateway.runOrderWorker(ctx, server, worker) })
 }
 
 // engineLimits returns what a server of a service can hold.
@@ -136,8 +136,8 @@
 	core.mutex.Lock()
 	now := core.now()
 	member, known := core.fleet.Member(server)
-	fence, may := core.claims.MayOrder(now, server)
-	if !known || !may || member.Suspect(now) || member.Draining || member.Rests(now) > 0 {
+	fence, allowed := core.claims.MayOrder(now, server)
+	if !known || !allowed || member.Suspect(now) || member.Draining || member.Rests(now) > 0 {
 		core.mutex.Unlock()
 		return idleCheckInterval
 	}
@@ -170,6 +170,7 @@
 	return 0
 }
 
+// sendOrder sends an order to a server and passes the result to the planner.
 func (gateway *Gateway) sendOrder(ctx context.Context, target port.Server, worker *orderWorker, order port.Order) {
 	answer, err := gateway.servers.Order(ctx, target, order)
 	gateway.handleLeaving(target, answer.Leaving, "order")
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/patience.go
@@ -38,15 +38,15 @@
 	options := core.options.Loading
 	loading, queued := core.incomingAdapters()
 	atOnce := core.loadRate.AtOnce(core.engineCount())
-	everywhere := loadRoundsAhead(loading+queued, atOnce)
+	storeRounds := loadRoundsAhead(loading+queued, atOnce)
 	incoming := options.MostIncoming
 	if loading+queued >= atOnce {
 		incoming = options.CrowdedIncoming
 	}
 	loadingHere, queuedHere := server.Coming()
-	here := loadRoundsAhead(loadingHere+queuedHere, incoming)
+	serverRounds := loadRoundsAhead(loadingHere+queuedHere, incoming)
 	loadTime := core.loadRate.LoadTime()
-	return loadTime + clock.Millis(float64(loadTime)*max(everywhere, here))
+	return loadTime + clock.Millis(float64(loadTime)*max(storeRounds, serverRounds))
 }
 
 // loadRoundsAhead is the number of consecutive loads that finish before the next one starts.
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -47,6 +47,7 @@
 	activeRequest.unreadTokens = 0
 }
 
+// end removes the request from its server's count.
 func (activeRequest *activeRequest) end() {
 	core := activeRequest.gateway.core
 	core.mutex.Lock()
@@ -167,6 +168,8 @@
 	return ok && now-last < frequentWindow
 }
 
+// query returns the inputs for choosing a server; waiting is the server at which the request
+// waits already. The mutex must be held.
 func (core *core) query(now clock.Millis, job *job, waiting string, frequent bool) choose.Query {
 	return choose.Query{
 		Now:        now,
@@ -186,6 +189,8 @@
 	}
 }
 
+// assign records that a request is sent to the chosen server, and returns the assignment. The
+// mutex must be held.
 func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) assignment {
 	job.waited += now - started
 	if job.engine {
@@ -231,11 +236,11 @@
 
 // waitForChange releases the mutex until holdings change, the time is over or the context ends.
 // The mutex must be held.
-func (gateway *Gateway) waitForChange(ctx context.Context, most clock.Millis) {
+func (gateway *Gateway) waitForChange(ctx context.Context, timeout clock.Millis) {
 	core := gateway.core
 	changed := core.holdingsChanged
 	core.mutex.Unlock()
-	timer := time.NewTimer(max(1, most).Duration())
+	timer := time.NewTimer(max(1, timeout).Duration())
 	select {
 	case <-changed:
 	case <-timer.C:
--- a/internal/direct/gateway/reading.go
+++ b/internal/direct/gateway/reading.go
@@ -50,7 +50,7 @@
 		return
 	}
 	for _, target := range targets {
-		gateway.mesh.SendEncoded(target.Address, encoded)
+		gateway.network.SendEncoded(target.Address, encoded)
 	}
 }
 
--- a/internal/direct/gateway/relay.go
+++ b/internal/direct/gateway/relay.go
@@ -116,6 +116,7 @@
 	writer.WriteHeader(answer.StatusCode)
 }
 
+// finishStream ends a stream that the server has completed.
 func (gateway *Gateway) finishStream(writer http.ResponseWriter, job *job, to assignment, answer *upstream.Answer) tryResult {
 	answer.Close(true)
 	gateway.recordSuccess(job, to)
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -35,9 +35,9 @@
 	servers    port.Servers
 	core       *core
 	pool       *upstream.Pool
-	mesh       *peers.Mesh
+	network    *peers.Mesh
 	deltaMutex sync.Mutex // held while deltas are encoded and sent; acquired before core.mutex
-	group      *task.Group
+	tasks      *task.Group
 	counters   *counters
 	log        *slog.Logger
 }
@@ -46,10 +46,10 @@
 func New(ctx context.Context, settings Settings, options Options, platform Platform, log *slog.Logger) *Gateway {
 	gateway := &Gateway{
 		settings: settings, options: options, store: platform.Store, protocol: platform.Protocol, servers: platform.Servers,
-		pool: upstream.New(options.Upstream), group: task.New(ctx), counters: newCounters(), log: log,
+		pool: upstream.New(options.Upstream), tasks: task.New(ctx), counters: newCounters(), log: log,
 	}
 	gateway.core = newCore(settings, options, platform.Decoder, clock.Steady(), clock.System, log)
-	gateway.mesh = peers.New(options.Peers, settings.Name, gateway, gateway.group)
+	gateway.network = peers.New(options.Peers, settings.Name, gateway, gateway.tasks)
 	return gateway
 }
 
@@ -66,12 +66,12 @@
 	gateway.log.Info("started", "Name", gateway.settings.Name, "DataCentre", gateway.settings.DataCentre,
 		"Callers", gateway.settings.CallerAddress, "Peers", gateway.settings.PeerAddress, "Incarnation", gateway.core.incarnation)
 	gateway.start(listeners, callers)
-	gateway.group.Go("leave", func(ctx context.Context) error { return gateway.shutDown(ctx, stop, callers) })
+	gateway.tasks.Go("leave", func(ctx context.Context) error { return gateway.shutDown(ctx, stop, callers) })
 	var failed error
-	gateway.group.Reap(func(end task.End) {
+	gateway.tasks.Reap(func(end task.End) {
 		if end.Err != nil {
 			failed = errors.Wrap(end.Err, end.Name)
-			gateway.group.Stop()
+			gateway.tasks.Stop()
 		}
 	})
 	gateway.log.Info("stopped")
@@ -114,23 +114,23 @@
 	gateway.serve("callers", opened.callers, callers)
 	gateway.serve("ready", opened.ready, &http.Server{Handler: http.HandlerFunc(gateway.serveReady), ReadHeaderTimeout: headerTimeout})
 	peerMux := http.NewServeMux()
-	peerMux.Handle(peers.Path, gateway.mesh)
+	peerMux.Handle(peers.Path, gateway.network)
 	gateway.serve("peers", opened.peers, &http.Server{Handler: peerMux, ReadHeaderTimeout: headerTimeout})
 	gateway.serve("metrics", opened.metrics, &http.Server{Handler: http.HandlerFunc(gateway.serveMetrics), ReadHeaderTimeout: headerTimeout})
 	reader := mirror.New(gateway.options.Mirror, gateway.store, gateway.core.decoder.Prefix(), gateway.core)
-	gateway.group.Go("mirror", reader.Run)
+	gateway.tasks.Go("mirror", reader.Run)
 	gateway.updateConnections()
-	gateway.group.Go("news", gateway.sendDeltasLoop)
-	gateway.group.Go("work", gateway.sendWorkLoop)
+	gateway.tasks.Go("news", gateway.sendDeltasLoop)
+	gateway.tasks.Go("work", gateway.sendWorkLoop)
 	gateway.repeat("reading", gateway.sendReadingsIfMesh)
-	gateway.group.Go("usage", gateway.sendUsageLoop)
+	gateway.tasks.Go("usage", gateway.sendUsageLoop)
 	gateway.every("updates", gateway.options.UpdateInterval, gateway.sendDueUpdates)
 	gateway.every("ticks", tickInterval, func() { gateway.tick(gateway.core.now()) })
 	gateway.every("sweep", sweepInterval, gateway.pool.Sweep)
 }
 
 func (gateway *Gateway) serve(name string, listener net.Listener, server *http.Server) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer stop()
 		err := server.Serve(listener)
@@ -150,7 +150,7 @@
 
 // every calls a function at intervals until the daemon ends.
 func (gateway *Gateway) every(name string, interval clock.Millis, do func()) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		ticker := time.NewTicker(interval.Duration())
 		defer ticker.Stop()
 		for {
@@ -167,7 +167,7 @@
 // repeat calls a function until the daemon ends, each time after the wait that the last call
 // returned.
 func (gateway *Gateway) repeat(name string, do func() clock.Millis) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		for ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
@@ -191,7 +191,7 @@
 // owners change, the more servers are without an owner while daemons are replaced one after
 // another.
 func (gateway *Gateway) shutDown(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
-	defer gateway.group.Stop()
+	defer gateway.tasks.Stop()
 	select {
 	case <-stop:
 	case <-ctx.Done():
@@ -203,7 +203,7 @@
 	core.claims.Release()
 	core.members.Leave()
 	core.mutex.Unlock()
-	gateway.sendUpdate(core.now(), gateway.mesh.Addresses())
+	gateway.sendUpdate(core.now(), gateway.network.Addresses())
 	gateway.log.Info("stopping")
 	time.Sleep(gateway.options.LeaveSpan.Duration())
 	core.mutex.Lock()
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -232,7 +232,7 @@
 	sent.tablesAt = changes
 	var unsent []fleet.Table
 	for _, table := range changed {
-		version := stampOf(table)
+		version := tableVersion(table)
 		if version.after(sent.tables[table.Server]) && core.sendsTable(now, target.Scope, table.Server) {
 			sent.tables[table.Server] = version
 			unsent = append(unsent, table)
@@ -257,7 +257,7 @@
 	return ok && peer.Hub == core.settings.Name
 }
 
-func stampOf(table fleet.Table) versionStamp {
+func tableVersion(table fleet.Table) versionStamp {
 	return versionStamp{table.Fence, table.Number}
 }
 
@@ -325,7 +325,7 @@
 	core := gateway.core
 	changed := false
 	for _, table := range tables {
-		sent.tables[table.Server] = stampOf(table)
+		sent.tables[table.Server] = tableVersion(table)
 		if !core.fleet.SetTable(table) {
 			continue
 		}
--- a/internal/direct/gateway/store.go
+++ b/internal/direct/gateway/store.go
@@ -107,6 +107,7 @@
 	core.applyDecoded(now, decoded, item.Revision)
 }
 
+// applyDecoded applies the content of a store item. The mutex must be held.
 func (core *core) applyDecoded(now clock.Millis, decoded port.Belief, revision int64) {
 	switch {
 	case decoded.Catalog != nil:
@@ -130,6 +131,7 @@
 	}
 }
 
+// applyServer applies a server entry of the store. The mutex must be held.
 func (core *core) applyServer(server port.Server, revision int64) {
 	before, known := core.fleet.Member(server.ID)
 	former, draining := server, false
@@ -159,6 +161,8 @@
 	core.wakeWaitingRequests()
 }
 
+// wakeOrderWorkers wakes the workers of all servers that this daemon owns. The mutex must be
+// held.
 func (core *core) wakeOrderWorkers() {
 	for _, worker := range core.orderWorkers {
 		worker.wakeUp()
--- a/internal/direct/gateway/storecopy.go
+++ b/internal/direct/gateway/storecopy.go
@@ -74,6 +74,7 @@
 // that lag further behind read the store themselves.
 const tombstoneRevisions = 20_000
 
+// pruneTombstones forgets items that were removed long ago. The mutex must be held.
 func (core *core) pruneTombstones() {
 	for key, item := range core.store.items {
 		if item.Deleted && item.Revision < core.store.revision-tombstoneRevisions {
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -17,12 +17,12 @@
 	maxIntervalFactor       = 4 // with an update each 2 s the servers of a daemon that died wait 1.5 s longer for an owner
 )
 
-// memberIntervalFactor is the factor on UpdateInterval for updates that only show that the sender is
-// alive.
+// memberIntervalFactor is the factor on UpdateInterval for updates that only show that the
+// sender is alive.
 const memberIntervalFactor = 2
 
-// updateIntervalFactor is the factor on UpdateInterval for updates to daemons that claim servers. The
-// mutex must be held.
+// updateIntervalFactor is the factor on UpdateInterval for updates to daemons that claim
+// servers. The mutex must be held.
 func (core *core) updateIntervalFactor() int {
 	orderers := len(core.members.Orderers()) + 1
 	return min((orderers+orderersPerIntervalStep-1)/orderersPerIntervalStep, maxIntervalFactor)
@@ -62,7 +62,7 @@
 // sendDueUpdates sends an update to each peer for which one is due.
 func (gateway *Gateway) sendDueUpdates() {
 	core := gateway.core
-	addresses := gateway.mesh.Addresses()
+	addresses := gateway.network.Addresses()
 	core.mutex.Lock()
 	now := core.now()
 	due := slices.DeleteFunc(addresses, func(address string) bool {
@@ -74,14 +74,14 @@
 		ping *= memberIntervalFactor
 	}
 	core.mutex.Unlock()
-	gateway.mesh.SetPing(ping)
+	gateway.network.SetPing(ping)
 	gateway.sendUpdate(now, due)
 }
 
 // sendUpdateToOrderers sends an update at once to the daemons that claim servers.
 func (gateway *Gateway) sendUpdateToOrderers(now clock.Millis) {
 	core := gateway.core
-	addresses := gateway.mesh.Addresses()
+	addresses := gateway.network.Addresses()
 	core.mutex.Lock()
 	orderers := slices.DeleteFunc(addresses, func(address string) bool { return !core.audienceOf(address).claims })
 	core.mutex.Unlock()
@@ -112,7 +112,7 @@
 		if !hasUnsent {
 			plain[audience] = encoded
 		}
-		gateway.mesh.SendEncoded(address, encoded)
+		gateway.network.SendEncoded(address, encoded)
 	}
 }
 
@@ -198,7 +198,7 @@
 		return core.peerNames[address] == "" && !core.seedAddresses[address]
 	})
 	core.mutex.Unlock()
-	gateway.mesh.Retain(links)
+	gateway.network.Retain(links)
 }
 
 // hasJoinedGroup reports whether this daemon is an ordinary member with a hub. Candidates and
--- a/internal/direct/gateway/wants.go
+++ b/internal/direct/gateway/wants.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		if gateway.send(peer.Address, peers.Message{Digest: &peers.Digest{Tables: []fleet.Table{table}}}) {
-			core.sentTo(peer.Address).tables[table.Server] = stampOf(table)
+			core.sentTo(peer.Address).tables[table.Server] = tableVersion(table)
 		}
 	}
 }
--- a/internal/direct/port/port.go
+++ b/internal/direct/port/port.go
@@ -70,7 +70,7 @@
 	// Call reads the headers of a caller's request.
 	Call(request *http.Request) (Call, error)
 	// Outgoing returns the headers of a request for forwarding.
-	Outgoing(incoming http.Header, sending Sending) http.Header
+	Outgoing(incoming http.Header, added Sending) http.Header
 	// Reply reads the head of a backend server's answer.
 	Reply(response *http.Response) Reply
 	// Refusal sets the headers of a refusal; after is the time until the caller may retry, or 0
@@ -103,7 +103,7 @@
 const (
 	Unreachable   Failure = iota // no answer, or one that is not from the store
 	Unavailable                  // the store did nothing
-	Limited                      // too many calls
+	Limited                      // the store refused the call for its rate limit
 	HistoryIsGone                // the requested changes are no longer available
 )
 
