--- a/internal/direct/gateway/accounts.go
+++ b/internal/direct/gateway/accounts.go
@@ -24,7 +24,7 @@
 	default:
 		return gateway.refuseUnknownKey(job)
 	}
-	if job.account.Ranked {
+	if job.account.HasRank {
 		job.rank = job.account.Rank
 	}
 	return gateway.chargeAccount(job)
@@ -59,11 +59,11 @@
 	decision := core.ledger.Take(job.arrived, job.account.Name, cost)
 	core.markUsageChanged()
 	core.mutex.Unlock()
-	if decision.Within {
+	if decision.Allowed {
 		job.charged = cost
 		return 0, ""
 	}
-	job.retryAfter = decision.After
+	job.retryAfter = decision.RetryAfter
 	gateway.log.Info(ending.MessageOverLimit, "Request", job.headers.Attempt, "Account", job.account.Name, "Units", decision.Cost,
 		"LeftUnits", int(decision.Left), "RatePerSecond", int(decision.Rate), "LimitPerSecond", int(job.account.Limit.Rate),
 		"DaemonsCounted", decision.Reached, "Daemons", decision.Daemons)
--- a/internal/direct/gateway/limits.go
+++ b/internal/direct/gateway/limits.go
@@ -25,12 +25,12 @@
 func (core *core) applyLimit(to assignment, reply port.Reply) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	limit := throttle.Word{Server: to.server.ID, Born: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
+	limit := throttle.ServerLimit{Server: to.server.ID, StartedAt: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
 	now := core.now()
 	if reply.Limited {
 		core.serverLimits.SetDaemons(now, core.members.Alive())
 	}
-	if !core.serverLimits.Heard(now, to.at, limit) {
+	if !core.serverLimits.ApplyResponse(now, to.at, limit) {
 		return false
 	}
 	message := ending.MessageLimitLifted
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -118,7 +118,7 @@
 	delete(core.lostRequests, server.ID)
 	core.log.Info(ending.MessageServerEnded, "Server", server.ID, "Lost", contentNames(lost))
 	for _, id := range lost {
-		core.quarantine.Ended(now, id, processID(server))
+		core.quarantine.ServerEnded(now, id, processID(server))
 	}
 	core.wakeWaitingRequests()
 }
@@ -143,7 +143,7 @@
 		case <-time.After(pause.Duration()):
 		}
 		if shown := gateway.pool.Check(ctx, server.Address); shown != upstream.Unknown {
-			return shown == upstream.Refuses
+			return shown == upstream.ConnectionRefused
 		}
 		pause = probeRetryInterval
 	}
--- a/internal/direct/gateway/quarantine.go
+++ b/internal/direct/gateway/quarantine.go
@@ -9,7 +9,7 @@
 
 // refuseQuarantined refuses a request whose content is in quarantine. The mutex must be held.
 func (core *core) refuseQuarantined(now clock.Millis, job *job) *tryResult {
-	left := core.quarantine.Refuses(now, job.content)
+	left := core.quarantine.RefusedFor(now, job.content)
 	if left == 0 {
 		return nil
 	}
@@ -17,7 +17,7 @@
 		job.retryAfter = left
 	}
 	core.log.Info(ending.MessageQuarantined, "Request", job.headers.Attempt, "Content", job.content.String(),
-		"Servers", core.quarantine.Servers(job.content), "LeftMillis", left)
+		"Servers", core.quarantine.ServerCount(job.content), "LeftMillis", left)
 	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Quarantined}
 }
 
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -126,7 +126,7 @@
 	gateway.tasks.Go("usage", gateway.sendUsageLoop)
 	gateway.every("updates", gateway.options.UpdateInterval, gateway.sendDueUpdates)
 	gateway.every("ticks", tickInterval, func() { gateway.tick(gateway.core.now()) })
-	gateway.every("sweep", sweepInterval, gateway.pool.Sweep)
+	gateway.every("sweep", sweepInterval, gateway.pool.CloseExpired)
 }
 
 func (gateway *Gateway) serve(name string, listener net.Listener, server *http.Server) {
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -41,7 +41,7 @@
 	uses      map[string]map[port.Adapter]int // last sent, by server
 	era       int64                           // of the store
 	revision  int64                           // of the store, in that era
-	usage     quota.Told
+	usage     quota.SentTotals
 	usageAt   clock.Millis // when usage was last sent
 	warnings  warningsSent
 }
@@ -59,7 +59,7 @@
 
 func newSentState() *sentState {
 	return &sentState{
-		usage: make(quota.Told), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[port.Adapter]int),
+		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[port.Adapter]int),
 	}
 }
 
--- a/internal/direct/gateway/sums.go
+++ b/internal/direct/gateway/sums.go
@@ -80,7 +80,7 @@
 	core.hub = hub
 	if hub != "" && hub != core.lastHub {
 		core.lastHub = hub
-		core.ledger.Follow()
+		core.ledger.ForgetHub()
 	}
 	core.work.ClearOthers()
 	if peer, ok := core.members.Peer(hub); ok {
--- a/internal/direct/gateway/usage.go
+++ b/internal/direct/gateway/usage.go
@@ -65,7 +65,7 @@
 	core := gateway.core
 	core.mutex.Lock()
 	targets := core.members.Plan().Targets
-	reports := make([]*quota.Word, len(targets))
+	reports := make([]*quota.Report, len(targets))
 	for i, target := range targets {
 		reports[i] = core.unsentUsage(core.now(), target, core.sentTo(target.Address))
 	}
@@ -79,11 +79,11 @@
 
 // unsentUsage returns the use of accounts that a target has not been sent. The mutex must be
 // held.
-func (core *core) unsentUsage(now clock.Millis, target topology.Target, sent *sentState) *quota.Word {
-	if !core.ledger.Limits() {
+func (core *core) unsentUsage(now clock.Millis, target topology.Target, sent *sentState) *quota.Report {
+	if !core.ledger.Limited() {
 		return nil
 	}
-	report := &quota.Word{Incarnation: core.incarnation}
+	report := &quota.Report{Incarnation: core.incarnation}
 	sharers := core.members.Daemons()
 	switch target.Scope {
 	case topology.Sums:
@@ -98,7 +98,7 @@
 		sent.usageAt = now
 		sharers = 0
 	}
-	report.Readings = core.ledger.News(now, report.Scope, target.Name, sent.usage, sharers)
+	report.Readings = core.ledger.UnsentReadings(now, report.Scope, target.Name, sent.usage, sharers)
 	if len(report.Readings) == 0 && !due {
 		return nil
 	}
@@ -110,7 +110,7 @@
 func (core *core) groupSize(now clock.Millis) int {
 	size := 1
 	for name, report := range core.usageReports {
-		if report.scope == quota.Own && core.inGroup(name) && now-report.at < quota.SilentAfter {
+		if report.scope == quota.Own && core.inGroup(name) && now-report.at < quota.SourceTimeout {
 			size++
 		}
 	}
@@ -118,9 +118,9 @@
 }
 
 // applyUsage applies a peer's report on the use of accounts. The mutex must be held.
-func (core *core) applyUsage(now clock.Millis, from string, report quota.Word) {
+func (core *core) applyUsage(now clock.Millis, from string, report quota.Report) {
 	core.usageReports[from] = usageReport{at: now, scope: report.Scope, daemons: report.Daemons}
-	core.ledger.Hear(now, from, report, core.addsUpUsage(from, report.Scope))
+	core.ledger.ApplyReport(now, from, report, core.addsUpUsage(from, report.Scope))
 	if len(report.Readings) > 0 && core.hub == "" && !core.members.Plan().Mesh {
 		core.markUsageChanged() // a hub forwards the change
 	}
@@ -152,7 +152,7 @@
 		if !cutOff && !core.addsUpUsage(name, report.scope) {
 			continue
 		}
-		source := quota.Source{Live: !cutOff && now-report.at < quota.SilentAfter, HeardAt: report.at, Daemons: report.daemons}
+		source := quota.Source{Live: !cutOff && now-report.at < quota.SourceTimeout, LastReportAt: report.at, Daemons: report.daemons}
 		site.Sources[name] = source
 		if source.Live {
 			site.Reached += source.Daemons
@@ -167,7 +167,7 @@
 
 // updateLimitSite updates which daemons share the accounts' limits. The mutex must be held.
 func (core *core) updateLimitSite(now clock.Millis) {
-	if !core.ledger.Limits() {
+	if !core.ledger.Limited() {
 		return
 	}
 	core.ledger.SetSite(now, core.limitSite(now))
@@ -178,7 +178,7 @@
 	maps.DeleteFunc(core.usageReports, func(name string, _ usageReport) bool {
 		_, known := core.members.Peer(name)
 		if !known {
-			core.ledger.Forget(name)
+			core.ledger.ForgetSource(name)
 		}
 		return !known
 	})
--- a/internal/direct/gateway/warnings.go
+++ b/internal/direct/gateway/warnings.go
@@ -30,13 +30,13 @@
 // currentWarnings is the state of a peer that has been sent every warning. The mutex must be
 // held.
 func (core *core) currentWarnings() warningsSent {
-	return warningsSent{quarantine: core.quarantine.Changes(), limits: core.serverLimits.Changes(), drainNotices: core.fleet.DeparturesHeard()}
+	return warningsSent{quarantine: core.quarantine.Revision(), limits: core.serverLimits.Revision(), drainNotices: core.fleet.DeparturesHeard()}
 }
 
 // unsentWarnings returns the warnings that a peer has not been sent. The mutex must be held.
 func (core *core) unsentWarnings(now clock.Millis, since warningsSent) peers.Warnings {
 	return peers.Warnings{
-		Quarantine: core.quarantine.Since(now, since.quarantine), Limits: core.serverLimits.Since(since.limits),
+		Quarantine: core.quarantine.ChangedSince(now, since.quarantine), Limits: core.serverLimits.ChangedSince(since.limits),
 		Leaving: core.fleet.DeparturesSince(since.drainNotices),
 	}
 }
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -35,7 +35,7 @@
 	Group    *GroupShare     // nil unless both are hubs
 	Owners   *Owners         // nil when they have not changed, or the sender is not the receiver's hub
 	Reported []Reported      // what servers say that no daemon gives orders to yet
-	Usage    *quota.Word     // nil where no account has a limit
+	Usage    *quota.Report   // nil where no account has a limit
 }
 
 // GroupShare is what a hub and the daemons that have chosen it have in progress.
@@ -136,7 +136,7 @@
 // which servers ended, of limits that servers named, and of servers that said that they leave.
 type Warnings struct {
 	Quarantine []quarantine.Record
-	Limits     []throttle.Word
+	Limits     []throttle.ServerLimit
 	Leaving    []fleet.Departure
 }
 
--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -65,10 +65,10 @@
 				{Content: content.ID{1, 2, 3}, Number: 2, Servers: []string{"s@1", "t@0"}, Age: 5},
 				{Content: content.ID{4}, Number: 3, Age: 7},
 			},
-			Limits:  []throttle.Word{{Server: "s", Born: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
+			Limits:  []throttle.ServerLimit{{Server: "s", StartedAt: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
 			Leaving: []fleet.Departure{{Server: "s", Born: 1}, {Server: "t"}},
 		}},
-		{Digest: &peers.Digest{Usage: &quota.Word{
+		{Digest: &peers.Digest{Usage: &quota.Report{
 			Scope: quota.Others, Incarnation: 7, Daemons: 59,
 			Readings: []quota.Reading{{Account: "payroll", Number: 2, Total: 1630, Recent: 800}},
 		}}},
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -245,7 +245,7 @@
 	return wire
 }
 
-func encodeUsage(usage *quota.Word) *wireUsage {
+func encodeUsage(usage *quota.Report) *wireUsage {
 	wire := &wireUsage{Scope: int(usage.Scope), Incarnation: usage.Incarnation, Daemons: usage.Daemons}
 	for _, reading := range usage.Readings {
 		wire.Readings = append(wire.Readings, wireReading{
@@ -256,8 +256,8 @@
 	return wire
 }
 
-func decodeUsage(wire *wireUsage) *quota.Word {
-	usage := &quota.Word{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
+func decodeUsage(wire *wireUsage) *quota.Report {
+	usage := &quota.Report{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
 	for _, reading := range wire.Readings {
 		usage.Readings = append(usage.Readings, quota.Reading{
 			Account: reading.Account, Number: reading.Number, Total: float64(reading.Total), Recent: float64(reading.Recent),
--- a/internal/direct/trail/trail.go
+++ b/internal/direct/requestlog/trail.go
@@ -1,7 +1,7 @@
-// Package trail reads the log of gateways and puts together what became of one
+// Package requestlog reads the log of gateways and puts together what became of one
 // request. It needs nothing but the log: daemons keep nothing, and the one that
 // decided may be gone.
-package trail
+package requestlog
 
 import (
 	"bufio"
