--- a/internal/direct/choose/choose.go
+++ b/internal/direct/choose/choose.go
@@ -7,7 +7,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
@@ -66,7 +66,7 @@
 	Service    string
 	DataCentre string                   // of this daemon
 	Attempt    uint64                   // hash of the request's id
-	Adapter    port.Adapter             // its name is empty for the base model, both for a plain service
+	Adapter    platformapi.Adapter      // its name is empty for the base model, both for a plain service
 	Version    int                      // least version of the adapter
 	Prompt     int                      // tokens
 	Places     int                      // for adapters at each server
--- a/internal/direct/ending/ending.go
+++ b/internal/direct/ending/ending.go
@@ -7,16 +7,16 @@
 
 // Messages of log lines about a request.
 const (
-	MessageSent      = "request sent"
-	MessageAskedFor  = "adapter asked for"
-	MessageNotReady  = "adapter not ready"
-	MessageDeclined  = "server declined"
-	MessageFailed    = "server failed"
-	MessageNoAnswer  = "no answer"
-	MessageBroken    = "answer broken"
-	MessageStreamCut = "stream broken"
-	MessageOverLimit = "account over its limit"
-	MessageEnded     = "request ended"
+	MessageRequestSent      = "request sent"
+	MessageAdapterRequested = "adapter asked for"
+	MessageAdapterNotReady  = "adapter not ready"
+	MessageServerDeclined   = "server declined"
+	MessageServerFailed     = "server failed"
+	MessageNoAnswer         = "no answer"
+	MessageAnswerBroken     = "answer broken"
+	MessageStreamBroken     = "stream broken"
+	MessageAccountOverLimit = "account over its limit"
+	MessageRequestEnded     = "request ended"
 )
 
 // Messages of log lines about a server and its requests.
@@ -26,7 +26,7 @@
 	MessageServerPaused   = "server rests"
 	MessageLimitAnnounced = "server limit named"
 	MessageLimitLifted    = "server limit lifted"
-	MessageQuarantined    = "content refused"
+	MessageContentRefused = "content refused"
 )
 
 // Reason is the reason why a request ended.
@@ -41,12 +41,12 @@
 	BadRequest       Reason = "BadRequest"      // headers or body cannot be read
 	UnknownKey       Reason = "UnknownKey"      // the key is not in the configuration
 	StaleAccounts    Reason = "AccountsOld"     // the key is unknown, but the configuration may be stale
-	OverLimit        Reason = "AccountLimit"    // the account's limit is used up
+	AccountLimit     Reason = "AccountLimit"    // the account's limit is used up
 	TooLarge         Reason = "TooLarge"        // the body exceeds the limit
 	NoServer         Reason = "NoServer"        // no server of the service can take the request
 	ServersLimited   Reason = "ServersLimited"  // the rate limits of the servers that could take it are used up
 	ServersPaused    Reason = "ServersRest"     // the servers that could take it asked this daemon to pause
-	LoadWait         Reason = "AdapterNotReady" // its adapter was not loaded in time
+	AdapterNotReady  Reason = "AdapterNotReady" // its adapter was not loaded in time
 	Quarantined      Reason = "CrashesServers"  // servers crashed while they ran requests with the same content
 	RetryBudgetSpent Reason = "RetryBudget"     // the budget for retries is used up
 	TriesUsed        Reason = "TriesUsed"       // servers declined it in every try
@@ -62,11 +62,11 @@
 var outcomeReasons = map[Reason]outcome.Reason{
 	Complete: outcome.Complete, ServerFailure: outcome.ServerFailed, NoConfiguration: outcome.NoConfiguration,
 	NoRoute: outcome.UnknownPath, BadRequest: outcome.BadRequest, TooLarge: outcome.BodyTooLarge,
-	NoServer: outcome.NoEngine, LoadWait: outcome.AdapterLate, RetryBudgetSpent: outcome.RetryBudget,
+	NoServer: outcome.NoEngine, AdapterNotReady: outcome.AdapterLate, RetryBudgetSpent: outcome.RetryBudget,
 	TriesUsed: outcome.EngineRefused, Deadline: outcome.DeadlinePassed, Timeout: outcome.AnswerLate,
 	AnswerLost: outcome.ServiceLost, InvalidAnswer: outcome.InvalidAnswer, CallerLeft: outcome.CallerGone,
 	StreamBroken: outcome.Truncated, UnknownKey: outcome.Unauthorized, StaleAccounts: outcome.OldConfiguration,
-	OverLimit: outcome.CallerLimit, Quarantined: outcome.CrashesEngines,
+	AccountLimit: outcome.CallerLimit, Quarantined: outcome.CrashesEngines,
 	ServersLimited: outcome.EnginesLimited, ServersPaused: outcome.EnginesRest,
 }
 
@@ -81,9 +81,9 @@
 
 // Ending describes how a request ended.
 type Ending struct {
-	Reason Reason
-	Status int // 0: the connection was closed without a complete answer
-	Offers int // number of times that the request was sent to a server
+	Reason    Reason
+	Status    int // 0: the connection was closed without a complete answer
+	TimesSent int // number of times that the request was sent to a server
 }
 
 // Outcome returns what the ending means to the caller. It returns false for an unknown reason.
@@ -93,7 +93,7 @@
 	switch {
 	case ending.Reason == Complete || ending.Reason == ServerFailure:
 		result.Kind = outcome.Answered
-	case ending.Offers == 0 || PromisesNotRun(ending.Status):
+	case ending.TimesSent == 0 || PromisesNotRun(ending.Status):
 		result.Kind = outcome.NotRun
 	}
 	return result, known
--- a/internal/direct/fleet/leaving.go
+++ b/internal/direct/fleet/leaving.go
@@ -2,7 +2,7 @@
 
 import (
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // departure is the last process of a server that has said that it leaves. It stays leaving
@@ -28,7 +28,7 @@
 		return false
 	}
 	member, known := fleet.members[word.Server]
-	if known && word.Born < member.Born {
+	if known && word.Born < member.StartedAt {
 		return false // another process has started under the id
 	}
 	fleet.departuresHeard++
@@ -62,9 +62,9 @@
 
 // leaves reports whether the process that an entry is of leaves, by the entry or by an
 // earlier word.
-func (fleet *Fleet) leaves(server port.Server) bool {
+func (fleet *Fleet) leaves(server platformapi.Server) bool {
 	left, ok := fleet.departures[server.ID]
-	if ok && server.Born <= left.born {
+	if ok && server.StartedAt <= left.born {
 		if server.Draining {
 			left.until = 0
 			fleet.departures[server.ID] = left
@@ -72,7 +72,7 @@
 		return true
 	}
 	if server.Draining {
-		fleet.departures[server.ID] = departure{born: server.Born}
+		fleet.departures[server.ID] = departure{born: server.StartedAt}
 		return true
 	}
 	delete(fleet.departures, server.ID) // another process has started under the id
@@ -104,7 +104,7 @@
 // returned has a process work again that was removed and is back, unless the entry is one of
 // an earlier process than the one removed, which has ended before.
 func (fleet *Fleet) returned(id string, member *Member, left departure) {
-	if member != nil && member.Born < left.born {
+	if member != nil && member.StartedAt < left.born {
 		left.until = 0
 		fleet.departures[id] = left
 		return
--- a/internal/direct/gateway/accounts.go
+++ b/internal/direct/gateway/accounts.go
@@ -15,7 +15,7 @@
 		return 0, ""
 	}
 	job.accountsListed = true
-	found, known := config.Accounts.ByKey(job.headers.Key)
+	found, known := config.Accounts.ByKey(job.headers.AccountKey)
 	switch {
 	case known:
 		job.account = *found
@@ -64,10 +64,10 @@
 		return 0, ""
 	}
 	job.retryAfter = decision.RetryAfter
-	gateway.log.Info(ending.MessageOverLimit, "Request", job.headers.Attempt, "Account", job.account.Name, "Units", decision.Cost,
+	gateway.log.Info(ending.MessageAccountOverLimit, "Request", job.headers.Attempt, "Account", job.account.Name, "Units", decision.Cost,
 		"LeftUnits", int(decision.Left), "RatePerSecond", int(decision.Rate), "LimitPerSecond", int(job.account.Limit.Rate),
 		"DaemonsCounted", decision.Reached, "Daemons", decision.Daemons)
-	return http.StatusTooManyRequests, ending.OverLimit
+	return http.StatusTooManyRequests, ending.AccountLimit
 }
 
 // refundUnrun refunds an account's charge for a request that no server ran.
--- a/internal/direct/gateway/copies.go
+++ b/internal/direct/gateway/copies.go
@@ -6,7 +6,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // copyRank is the rank of copies that no particular request waits for. It is less urgent than
@@ -54,7 +54,7 @@
 
 // demand returns the backlog of the servers that hold an adapter, and how many hold it or are
 // loading it. The mutex must be held.
-func (core *core) demand(now clock.Millis, adapter port.Adapter) loading.Demand {
+func (core *core) demand(now clock.Millis, adapter platformapi.Adapter) loading.Demand {
 	demand := loading.Demand{}
 	for _, member := range core.fleet.Holders(adapter) {
 		demand.Backlog += core.promptBacklog(member.ID)
@@ -72,7 +72,7 @@
 
 // requestCopiesOf requests further copies of an adapter that a server holds. The mutex must be
 // held.
-func (gateway *Gateway) requestCopiesOf(now clock.Millis, from *fleet.Member, adapter port.Adapter, count int) {
+func (gateway *Gateway) requestCopiesOf(now clock.Millis, from *fleet.Member, adapter platformapi.Adapter, count int) {
 	core := gateway.core
 	if count == 0 || gateway.storeBusy() {
 		return
--- a/internal/direct/gateway/core.go
+++ b/internal/direct/gateway/core.go
@@ -14,7 +14,7 @@
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/retry"
@@ -29,7 +29,7 @@
 type core struct {
 	settings Settings
 	options  Options
-	decoder  port.Decoder
+	decoder  platformapi.Decoder
 	now      clock.Source // monotonic
 	wall     clock.Source
 	log      *slog.Logger
@@ -40,7 +40,7 @@
 	// State read from the store.
 	catalog  *catalog.Catalog
 	store    *storeCopy
-	versions map[port.Adapter]namedVersion
+	versions map[platformapi.Adapter]namedVersion
 
 	// Use of callers' accounts.
 	ledger         *quota.Ledger
@@ -51,17 +51,17 @@
 	// Backend servers and their work.
 	fleet             *fleet.Fleet
 	work              *tally.Tally
-	budgets           map[string]*retry.Budget      // by service
-	readRate          *choose.ReadRate              // of engines
-	slotTime          choose.SlotTime               // of engines
-	loadRate          *loading.Rate                 // of adapter loads from the weight store
-	promptBuckets     *choose.Intake                // prompt tokens recently sent to each server by all daemons of a mesh
-	requestedAt       map[port.Adapter]clock.Millis // when callers last requested an adapter here
-	reportRequestedAt map[string]clock.Millis       // when a server's report was last requested because its table is unknown
-	quarantine        *quarantine.List              // contents that servers have crashed on
-	lostRequests      map[string]*lostAtServer      // by server, recent ones
-	serverLimits      *throttle.Limits              // request rates that servers have announced
-	holdingsChanged   chan struct{}                 // closed and replaced when holdings change
+	budgets           map[string]*retry.Budget             // by service
+	readRate          *choose.ReadRate                     // of engines
+	slotTime          choose.SlotTime                      // of engines
+	loadRate          *loading.Rate                        // of adapter loads from the weight store
+	promptBuckets     *choose.Intake                       // prompt tokens recently sent to each server by all daemons of a mesh
+	requestedAt       map[platformapi.Adapter]clock.Millis // when callers last requested an adapter here
+	reportRequestedAt map[string]clock.Millis              // when a server's report was last requested because its table is unknown
+	quarantine        *quarantine.List                     // contents that servers have crashed on
+	lostRequests      map[string]*lostAtServer             // by server, recent ones
+	serverLimits      *throttle.Limits                     // request rates that servers have announced
+	holdingsChanged   chan struct{}                        // closed and replaced when holdings change
 
 	// Ownership of servers, and the servers that this daemon owns.
 	claims                 *tenure.Tenure
@@ -69,7 +69,7 @@
 	modelTurns             map[string]*loading.Turns // for loading base models, by service
 	owners                 map[string]string         // by server: as received from this daemon's hub, or as a hub sends them
 	relayedAdapterRequests map[string]waitingPeers   // by server: peers for which this hub has forwarded a request to the owner
-	copiesRequested        map[port.Adapter]requestedCopies
+	copiesRequested        map[platformapi.Adapter]requestedCopies
 	ordersSent             int64
 
 	// Other daemons.
@@ -115,7 +115,7 @@
 	waiting     waitingPeers
 }
 
-func newCore(settings Settings, options Options, decoder port.Decoder, now, wall clock.Source, log *slog.Logger) *core {
+func newCore(settings Settings, options Options, decoder platformapi.Decoder, now, wall clock.Source, log *slog.Logger) *core {
 	core := &core{
 		settings:    settings,
 		options:     options,
@@ -126,7 +126,7 @@
 		incarnation: int64(wall()),
 
 		store:    newStoreCopy(),
-		versions: make(map[port.Adapter]namedVersion),
+		versions: make(map[platformapi.Adapter]namedVersion),
 
 		ledger:       quota.New(now(), settings.Quota),
 		usageReports: make(map[string]usageReport),
@@ -137,7 +137,7 @@
 		readRate:          choose.NewReadRate(),
 		loadRate:          loading.NewRate(),
 		promptBuckets:     choose.NewIntake(),
-		requestedAt:       make(map[port.Adapter]clock.Millis),
+		requestedAt:       make(map[platformapi.Adapter]clock.Millis),
 		reportRequestedAt: make(map[string]clock.Millis),
 		lostRequests:      make(map[string]*lostAtServer),
 		quarantine:        quarantine.New(options.Quarantine, settings.Name),
@@ -149,7 +149,7 @@
 		modelTurns:             make(map[string]*loading.Turns),
 		owners:                 make(map[string]string),
 		relayedAdapterRequests: make(map[string]waitingPeers),
-		copiesRequested:        make(map[port.Adapter]requestedCopies),
+		copiesRequested:        make(map[platformapi.Adapter]requestedCopies),
 
 		peerNames:     make(map[string]string),
 		seedAddresses: make(map[string]bool),
@@ -224,13 +224,13 @@
 
 // newestVersion returns the newest version of an adapter that operators named, or 0 if there is
 // none. The mutex must be held.
-func (core *core) newestVersion(adapter port.Adapter) int {
+func (core *core) newestVersion(adapter platformapi.Adapter) int {
 	return core.versions[adapter].version
 }
 
 // requiredVersion returns the lowest version of an adapter that may serve now: the newest one,
 // once there was time to load it. The mutex must be held.
-func (core *core) requiredVersion(now clock.Millis, adapter port.Adapter) int {
+func (core *core) requiredVersion(now clock.Millis, adapter platformapi.Adapter) int {
 	named := core.versions[adapter]
 	if now-named.at < core.options.VersionGrace {
 		return 0
@@ -240,7 +240,7 @@
 
 // adapterHash determines the servers that are preferred for an adapter. All daemons must
 // compute the same value.
-func adapterHash(adapter port.Adapter) uint64 {
+func adapterHash(adapter platformapi.Adapter) uint64 {
 	return xxhash.Sum64String(adapter.Model + "/" + adapter.Name)
 }
 
--- a/internal/direct/gateway/dispatch.go
+++ b/internal/direct/gateway/dispatch.go
@@ -13,7 +13,7 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/upstream"
 )
 
@@ -73,7 +73,7 @@
 	if failed != nil {
 		return *failed
 	}
-	active := &activeRequest{gateway: gateway, to: assigned, unreadTokens: job.headers.Prompt}
+	active := &activeRequest{gateway: gateway, to: assigned, unreadTokens: job.headers.PromptTokens}
 	defer active.end()
 	return gateway.sendRequest(ctx, writer, job, assigned, active)
 }
@@ -86,7 +86,7 @@
 		return tryResult{status: http.StatusServiceUnavailable, reason: ending.Deadline}
 	}
 	job.timesSent++
-	gateway.log.Info(ending.MessageSent, "Request", job.headers.Attempt, "Server", to.server.ID, "Adapter", job.adapter.Name, "Prompt", job.headers.Prompt, "Alone", to.alone,
+	gateway.log.Info(ending.MessageRequestSent, "Request", job.headers.Attempt, "Server", to.server.ID, "Adapter", job.adapter.Name, "Prompt", job.headers.PromptTokens, "Alone", to.alone,
 		"Offer", job.timesSent, "CostMillis", int(to.cost), "LeftMillis", left, "Version", to.version, "WaitedMillis", job.waited, "HeldMillis", job.holdTime, "Content", job.content.String())
 	tryCtx, cancel := job.tryContext(ctx, left)
 	defer cancel()
@@ -125,14 +125,14 @@
 
 // forwardedRequest returns the request as it is sent to a server.
 func (gateway *Gateway) forwardedRequest(ctx context.Context, job *job, to assignment, left clock.Millis) *http.Request {
-	sending := port.Sending{Server: to.server.ID, Left: left, Version: to.version, Urgency: -1, LastEvent: job.lastEventID}
+	sending := platformapi.ForwardHeaders{Server: to.server.ID, TimeLeft: left, Version: to.version, Urgency: -1, LastEventID: job.lastEventID}
 	if job.engine {
 		sending.Urgency = min(urgencyBase+job.rank, 9)
 	}
-	sending.Accounts, sending.Account = job.accountsListed, job.account.Name
+	sending.AccountsListed, sending.Account = job.accountsListed, job.account.Name
 	request := &http.Request{
 		Method: job.incoming.Method, URL: &url.URL{Opaque: job.incoming.RequestURI}, Host: job.incoming.Host,
-		Header: gateway.protocol.Outgoing(job.incoming.Header, sending), ContentLength: int64(len(job.body)),
+		Header: gateway.protocol.ForwardedHeader(job.incoming.Header, sending), ContentLength: int64(len(job.body)),
 	}
 	if len(job.body) > 0 {
 		request.Body = io.NopCloser(bytes.NewReader(job.body))
@@ -145,7 +145,7 @@
 // request.
 func (gateway *Gateway) answerMatcher(job *job) upstream.Matches {
 	return func(response *http.Response, first bool) bool {
-		reply := gateway.protocol.Reply(response)
+		reply := gateway.protocol.ParseAnswer(response)
 		return reply.Attempt == job.headers.Attempt || reply.Attempt == "" && first && !reply.Signed
 	}
 }
@@ -191,10 +191,10 @@
 
 // handleAnswer evaluates the head of an answer, and passes the answer on.
 func (gateway *Gateway) handleAnswer(ctx context.Context, writer http.ResponseWriter, job *job, to assignment, active *activeRequest, answer *upstream.Answer) tryResult {
-	reply := gateway.protocol.Reply(answer.Response)
+	reply := gateway.protocol.ParseAnswer(answer.Response)
 	gateway.handleLimit(to, answer.StatusCode, reply)
 	gateway.handleLeaving(to.server, reply.Leaving, "request "+job.headers.Attempt)
-	gateway.core.recordPause(to.server.ID, reply.Rest)
+	gateway.core.recordPause(to.server.ID, reply.Pause)
 	if reply.NotRun {
 		gateway.drain(answer)
 		return gateway.handleNotRun(job, to, answer.StatusCode, reply)
@@ -231,8 +231,8 @@
 }
 
 // handleNotRun decides how to go on with a request that a server says it did not run.
-func (gateway *Gateway) handleNotRun(job *job, to assignment, status int, reply port.Reply) tryResult {
-	gateway.log.Info(ending.MessageDeclined, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", status, "Absent", reply.Absent, "RestMillis", reply.Rest)
+func (gateway *Gateway) handleNotRun(job *job, to assignment, status int, reply platformapi.AnswerHeaders) tryResult {
+	gateway.log.Info(ending.MessageServerDeclined, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", status, "Absent", reply.Absent, "RestMillis", reply.Pause)
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -268,7 +268,7 @@
 func (gateway *Gateway) handleFailure(writer http.ResponseWriter, job *job, to assignment, answer *upstream.Answer) tryResult {
 	gateway.recordOutcome(to, answer.StatusCode >= 500)
 	job.triedServers = append(job.triedServers, to.server.ID)
-	gateway.log.Info(ending.MessageFailed, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", answer.StatusCode)
+	gateway.log.Info(ending.MessageServerFailed, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", answer.StatusCode)
 	if answer.StatusCode >= 500 && job.route.Repeatable() && job.mayHaveRun < job.route.Attempts && gateway.takeRetryBudget(job) {
 		gateway.drain(answer)
 		return tryResult{retry: true, status: http.StatusBadGateway, reason: ending.AnswerLost}
--- a/internal/direct/gateway/era.go
+++ b/internal/direct/gateway/era.go
@@ -2,7 +2,7 @@
 
 import (
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // enterEra prepares for items of a store era, and reports whether they are to be applied. Items
@@ -48,7 +48,7 @@
 func (core *core) removeUnlisted(listed map[string]bool, asOf int64) {
 	for key, known := range core.store.items {
 		if !listed[key] && !known.Deleted && known.Revision <= asOf {
-			core.applyItem(port.Item{Key: key, Revision: asOf, Deleted: true})
+			core.applyItem(platformapi.Item{Key: key, Revision: asOf, Deleted: true})
 		}
 	}
 }
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -6,7 +6,7 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
@@ -133,14 +133,16 @@
 	core.updateLimitSite(now)
 	gateway.requestCopies(now)
 	maps.DeleteFunc(core.relayedAdapterRequests, func(server string, _ waitingPeers) bool { _, ok := core.fleet.Member(server); return !ok })
-	maps.DeleteFunc(core.copiesRequested, func(_ port.Adapter, requested requestedCopies) bool { return now-requested.at >= copyVisibilityDelay })
+	maps.DeleteFunc(core.copiesRequested, func(_ platformapi.Adapter, requested requestedCopies) bool {
+		return now-requested.at >= copyVisibilityDelay
+	})
 	core.updateModelTurns(now)
 	for _, id := range core.fleet.Tick(now) {
 		core.log.Info("server gone", "Server", id, "Cause", "its entry did not come back")
 	}
 	core.claims.Prune(now, func(server string) bool { _, ok := core.fleet.Member(server); return ok })
 	core.pruneTombstones()
-	maps.DeleteFunc(core.requestedAt, func(_ port.Adapter, at clock.Millis) bool { return now-at >= frequentWindow })
+	maps.DeleteFunc(core.requestedAt, func(_ platformapi.Adapter, at clock.Millis) bool { return now-at >= frequentWindow })
 	pull, address := core.choosePullPeer(now)
 	core.quarantine.Prune(now)
 	core.pruneLosses(now)
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -12,12 +12,12 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/content"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // job is the state of a caller's request in this daemon.
 type job struct {
-	headers        port.Call
+	headers        platformapi.RequestHeaders
 	incoming       *http.Request
 	body           []byte
 	content        content.ID
@@ -25,11 +25,11 @@
 	route          *catalog.Route
 	service        string
 	engine         bool
-	accountsListed bool            // the configuration lists accounts
-	account        account.Account // of the caller; unnamed if there is none
-	charged        float64         // units charged to the account's limit
-	rank           int             // 0 is the most urgent
-	adapter        port.Adapter    // empty for a plain service
+	accountsListed bool                // the configuration lists accounts
+	account        account.Account     // of the caller; unnamed if there is none
+	charged        float64             // units charged to the account's limit
+	rank           int                 // 0 is the most urgent
+	adapter        platformapi.Adapter // empty for a plain service
 	adapterHash    uint64
 	adapterSlots   int // of each server of the service
 	arrived        clock.Millis
@@ -78,7 +78,7 @@
 	core := gateway.core
 	now := core.now()
 	job := &job{incoming: request, arrived: now, lastEventAt: now, config: config.Version}
-	headers, err := gateway.protocol.Call(request)
+	headers, err := gateway.protocol.ParseRequest(request)
 	job.headers = headers
 	if err != nil || strings.HasPrefix(request.RequestURI, "//") {
 		return job, http.StatusBadRequest, ending.BadRequest
@@ -97,7 +97,7 @@
 	service := config.Services[job.service]
 	job.engine = service != nil && service.Engine != nil
 	if job.engine {
-		job.adapter = port.Adapter{Model: headers.Model, Name: headers.Adapter}
+		job.adapter = platformapi.Adapter{Model: headers.Model, Name: headers.Adapter}
 		job.adapterHash = adapterHash(job.adapter)
 		job.adapterSlots = service.Engine.AdapterSlots
 	}
@@ -131,8 +131,8 @@
 
 func deadlineOf(job *job) clock.Millis {
 	span := defaultTimeout
-	if job.headers.Left > 0 {
-		span = min(span, job.headers.Left)
+	if job.headers.TimeLeft > 0 {
+		span = min(span, job.headers.TimeLeft)
 	}
 	if job.route.Timeout > 0 {
 		span = min(span, job.route.Timeout)
@@ -145,7 +145,7 @@
 	if ending.PromisesNotRun(status) && job.retryAfter == 0 {
 		job.retryAfter = gateway.options.RetryAfter
 	}
-	gateway.protocol.Refusal(writer.Header(), job.retryAfter)
+	gateway.protocol.SetRefusalHeaders(writer.Header(), job.retryAfter)
 	gateway.logEnd(job, status, reason)
 	http.Error(writer, string(reason), status)
 }
@@ -173,6 +173,6 @@
 	if job.firstEventAt > 0 {
 		line = append(line, "FirstMillis", job.firstEventAt-job.arrived, "GapMillis", job.longestGap)
 	}
-	gateway.log.Info(ending.MessageEnded, line...)
+	gateway.log.Info(ending.MessageRequestEnded, line...)
 	gateway.counters.recordEnd(job, status, reason, now)
 }
--- a/internal/direct/gateway/leaving.go
+++ b/internal/direct/gateway/leaving.go
@@ -4,23 +4,23 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // handleLeaving checks whether an answer says that its server is leaving, and notifies peers:
 // the store may show that late, when the server is already gone. The parameter answered names
 // what the answer belongs to.
-func (gateway *Gateway) handleLeaving(server port.Server, leaving bool, answered string) {
+func (gateway *Gateway) handleLeaving(server platformapi.Server, leaving bool, answered string) {
 	if leaving && gateway.core.markLeavingByReply(server, answered) {
 		gateway.sendWarnings()
 	}
 }
 
 // markLeavingByReply records that a server is leaving, and reports whether that is new.
-func (core *core) markLeavingByReply(server port.Server, answered string) bool {
+func (core *core) markLeavingByReply(server platformapi.Server, answered string) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.markLeaving(core.now(), fleet.Departure{Server: server.ID, Born: server.Born}, answered)
+	return core.markLeaving(core.now(), fleet.Departure{Server: server.ID, Born: server.StartedAt}, answered)
 }
 
 // markLeaving records a server's notice that it is leaving, and reports whether that is new; by
--- a/internal/direct/gateway/limits.go
+++ b/internal/direct/gateway/limits.go
@@ -5,14 +5,14 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/throttle"
 )
 
 // handleLimit updates a server's request limit from an answer. An answer without a limit
 // removes the limit, if the server ran the request successfully.
-func (gateway *Gateway) handleLimit(to assignment, status int, reply port.Reply) {
-	if !reply.Limited && (reply.NotRun || status != http.StatusOK) {
+func (gateway *Gateway) handleLimit(to assignment, status int, reply platformapi.AnswerHeaders) {
+	if !reply.HasLimit && (reply.NotRun || status != http.StatusOK) {
 		return
 	}
 	if gateway.core.applyLimit(to, reply) {
@@ -22,19 +22,19 @@
 
 // applyLimit applies a server's limit from an answer, and reports whether it differs from the
 // known one.
-func (core *core) applyLimit(to assignment, reply port.Reply) bool {
+func (core *core) applyLimit(to assignment, reply platformapi.AnswerHeaders) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	limit := throttle.ServerLimit{Server: to.server.ID, StartedAt: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
+	limit := throttle.ServerLimit{Server: to.server.ID, StartedAt: to.server.StartedAt, Limited: reply.HasLimit, Rate: reply.Limit}
 	now := core.now()
-	if reply.Limited {
+	if reply.HasLimit {
 		core.serverLimits.SetDaemons(now, core.members.Alive())
 	}
 	if !core.serverLimits.ApplyResponse(now, to.at, limit) {
 		return false
 	}
 	message := ending.MessageLimitLifted
-	if reply.Limited {
+	if reply.HasLimit {
 		message = ending.MessageLimitAnnounced
 	}
 	core.log.Info(message, "Server", to.server.ID, "RatePerSecond", reply.Limit)
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/content"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/upstream"
 )
 
@@ -55,7 +55,7 @@
 
 // recordLoss records that a server closed the connection before its answer was complete, and
 // starts a probe of the server.
-func (gateway *Gateway) recordLoss(job *job, server port.Server, err error) {
+func (gateway *Gateway) recordLoss(job *job, server platformapi.Server, err error) {
 	if !upstream.ClosedByServer(err) {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // probe finds out whether a server at which requests were lost has ended.
-func (gateway *Gateway) probe(ctx context.Context, server port.Server) {
+func (gateway *Gateway) probe(ctx context.Context, server platformapi.Server) {
 	ended := gateway.hasEnded(ctx, server)
 	core := gateway.core
 	core.mutex.Lock()
@@ -90,7 +90,7 @@
 
 // applyProbe applies the result of a probe. The end of a draining server is expected and not
 // blamed on its requests. The mutex must be held.
-func (core *core) applyProbe(server port.Server, ended bool) {
+func (core *core) applyProbe(server platformapi.Server, ended bool) {
 	lost, ok := core.lostRequests[server.ID]
 	if !ok {
 		return // a restart was detected in the meantime
@@ -105,7 +105,7 @@
 
 // handleRestart records that a server has restarted without announcing that it would leave. The
 // mutex must be held.
-func (core *core) handleRestart(server port.Server) {
+func (core *core) handleRestart(server platformapi.Server) {
 	if lost, ok := core.lostRequests[server.ID]; ok {
 		core.handleServerEnd(server, append(lost.earlier, lost.unprobed...))
 	}
@@ -113,7 +113,7 @@
 
 // handleServerEnd records the requests that were lost when a server ended. The mutex must be
 // held.
-func (core *core) handleServerEnd(server port.Server, lost []content.ID) {
+func (core *core) handleServerEnd(server platformapi.Server, lost []content.ID) {
 	now := core.now()
 	delete(core.lostRequests, server.ID)
 	core.log.Info(ending.MessageServerEnded, "Server", server.ID, "Lost", contentNames(lost))
@@ -124,8 +124,8 @@
 }
 
 // processID identifies a server's process, as a server keeps its id when it restarts.
-func processID(server port.Server) string {
-	return fmt.Sprintf("%s@%d", server.ID, server.Born)
+func processID(server platformapi.Server) string {
+	return fmt.Sprintf("%s@%d", server.ID, server.StartedAt)
 }
 
 // pruneLosses removes losses at servers that have not ended. The mutex must be held.
@@ -134,7 +134,7 @@
 }
 
 // hasEnded reports whether the address of a server refuses connections.
-func (gateway *Gateway) hasEnded(ctx context.Context, server port.Server) bool {
+func (gateway *Gateway) hasEnded(ctx context.Context, server platformapi.Server) bool {
 	pause := probeDelay
 	for range probeTries {
 		select {
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -8,7 +8,7 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
@@ -77,7 +77,7 @@
 	core := gateway.core
 	fence, _ := core.claims.Holds(server)
 	ctx, cancel := context.WithCancel(gateway.tasks.Context())
-	recentlyHeld := func(adapter port.Adapter) bool {
+	recentlyHeld := func(adapter platformapi.Adapter) bool {
 		member, ok := core.fleet.Member(server)
 		return ok && member.AtHand(adapter)
 	}
@@ -151,7 +151,9 @@
 		}
 		return gateway.readReport(ctx, target, worker)
 	}
-	uses := func(adapter port.Adapter) int { return core.work.Uses(tally.Use{Server: server, Adapter: adapter}) }
+	uses := func(adapter platformapi.Adapter) int {
+		return core.work.Uses(tally.Use{Server: server, Adapter: adapter})
+	}
 	order, ok, at := worker.planner.Next(now, uses, core.newestVersion, core.traffic(), core.mayLoadModel(now, member))
 	if !ok {
 		core.mutex.Unlock()
@@ -163,7 +165,7 @@
 	if order.Load && order.Adapter.Name == "" && member.Bare() && !member.ModelComing() {
 		core.log.Info("base model load ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).Ends(now))
 	}
-	order.Holder, order.Fence = core.settings.Name, fence
+	order.Owner, order.Fence = core.settings.Name, fence
 	core.claims.Ordered(now, server)
 	core.mutex.Unlock()
 	gateway.sendOrder(ctx, target, worker, order)
@@ -171,8 +173,8 @@
 }
 
 // sendOrder sends an order to a server and passes the result to the planner.
-func (gateway *Gateway) sendOrder(ctx context.Context, target port.Server, worker *orderWorker, order port.Order) {
-	answer, err := gateway.servers.Order(ctx, target, order)
+func (gateway *Gateway) sendOrder(ctx context.Context, target platformapi.Server, worker *orderWorker, order platformapi.Order) {
+	answer, err := gateway.servers.SendOrder(ctx, target, order)
 	gateway.handleLeaving(target, answer.Leaving, "order")
 	result := answer.Result
 	core := gateway.core
@@ -189,10 +191,10 @@
 		line = append(line, "Error", err.Error())
 	}
 	core.log.Info("order sent", line...)
-	if result == port.Fenced {
+	if result == platformapi.Fenced {
 		core.claims.Fenced(now, target.ID)
 	}
-	if result == port.Unknown {
+	if result == platformapi.Unknown {
 		core.fleet.Unreachable(now, target.ID)
 	}
 	worker.planner.Done(now, order, result, core.traffic())
@@ -239,9 +241,9 @@
 }
 
 // readReport reads what a server holds before it is sent orders.
-func (gateway *Gateway) readReport(ctx context.Context, target port.Server, worker *orderWorker) clock.Millis {
-	report, err := gateway.servers.Report(ctx, target)
-	target.Born = max(report.Born, target.Born)
+func (gateway *Gateway) readReport(ctx context.Context, target platformapi.Server, worker *orderWorker) clock.Millis {
+	report, err := gateway.servers.ReadReport(ctx, target)
+	target.StartedAt = max(report.StartedAt, target.StartedAt)
 	gateway.handleLeaving(target, report.Leaving, "report")
 	core := gateway.core
 	core.mutex.Lock()
@@ -252,9 +254,9 @@
 		core.fleet.Unreachable(now, target.ID)
 		return idleCheckInterval
 	}
-	worker.serverStart = target.Born
+	worker.serverStart = target.StartedAt
 	worker.planner.SetReport(now, report)
-	core.log.Info("report read", "Server", target.ID, "Born", report.Born, "Models", len(report.Models), "Incoming", len(report.Incoming))
+	core.log.Info("report read", "Server", target.ID, "Born", report.StartedAt, "Models", len(report.Models), "Incoming", len(report.Incoming))
 	gateway.publishTable(target.ID, worker)
 	return 0
 }
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/patience.go
@@ -4,7 +4,7 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // maxAdapterWait is how long a request may wait for its adapter. Callers abandon a stream that
@@ -55,7 +55,7 @@
 }
 
 // isIncoming reports whether an adapter is being loaded or queued on a server.
-func isIncoming(member *fleet.Member, adapter port.Adapter) bool {
+func isIncoming(member *fleet.Member, adapter platformapi.Adapter) bool {
 	slot, ok := member.Slot(adapter)
 	return ok && slot.Coming
 }
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -11,13 +11,13 @@
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
 // assignment is the server that a request is sent to.
 type assignment struct {
-	server  port.Server
+	server  platformapi.Server
 	use     tally.Use
 	version int
 	cost    float64
@@ -111,7 +111,7 @@
 		}
 		use := tally.Use{Server: choice.Member.ID, Adapter: job.adapter}
 		if use != counted.use {
-			core.moveCount(counted, use, job.headers.Prompt)
+			core.moveCount(counted, use, job.headers.PromptTokens)
 			lastRequest = 0
 		}
 		if choice.Held && ctx.Err() == nil && core.shouldDelay(now, now-started, job, use.Server) {
@@ -121,7 +121,7 @@
 			continue
 		}
 		if choice.Held {
-			core.moveCount(counted, use, job.headers.Prompt)
+			core.moveCount(counted, use, job.headers.PromptTokens)
 			if choice.Copy != nil {
 				gateway.requestCopy(job, choice.Copy, now)
 			}
@@ -149,7 +149,7 @@
 		return false
 	}
 	rate := core.readRate.TokensPerMS()
-	prompt := choose.Prompt{Tokens: job.headers.Prompt, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
+	prompt := choose.Prompt{Tokens: job.headers.PromptTokens, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
 	return core.options.Hold.Holds(prompt, core.promptBuckets.Tokens(now, server, rate), rate)
 }
 
@@ -178,7 +178,7 @@
 		Attempt:    xxhash.Sum64String(job.headers.Attempt),
 		Adapter:    job.adapter,
 		Version:    core.requiredVersion(now, job.adapter),
-		Prompt:     job.headers.Prompt,
+		Prompt:     job.headers.PromptTokens,
 		Places:     job.adapterSlots,
 		Tried:      job.triedServers,
 		Barred:     core.overLimit(now, waiting),
@@ -194,13 +194,13 @@
 func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) assignment {
 	job.waited += now - started
 	if job.engine {
-		core.promptBuckets.Add(now, use.Server, job.headers.Prompt, core.readRate.TokensPerMS())
-		core.sentTokens[use.Server] += job.headers.Prompt
+		core.promptBuckets.Add(now, use.Server, job.headers.PromptTokens, core.readRate.TokensPerMS())
+		core.sentTokens[use.Server] += job.headers.PromptTokens
 	}
 	if worker, ok := core.orderWorkers[use.Server]; ok {
 		worker.planner.Used(now, job.adapter, 1)
 	}
-	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.headers.Prompt, at: now}
+	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.headers.PromptTokens, at: now}
 	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newestVersion(job.adapter) > 0 && slot.Version >= core.newestVersion(job.adapter) {
 		result.version = core.newestVersion(job.adapter)
 	}
@@ -227,7 +227,7 @@
 	core := gateway.core
 	request := peers.Want{Server: use.Server, Adapter: use.Adapter, Version: core.newestVersion(use.Adapter), Rank: job.rank, Left: left}
 	owner, ok := core.ownerOf(now, use.Server)
-	gateway.log.Info(ending.MessageAskedFor, "Request", job.headers.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
+	gateway.log.Info(ending.MessageAdapterRequested, "Request", job.headers.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
 	if !ok && core.hub == "" {
 		return
 	}
--- a/internal/direct/gateway/quarantine.go
+++ b/internal/direct/gateway/quarantine.go
@@ -16,7 +16,7 @@
 	if job.mayHaveRun == 0 {
 		job.retryAfter = left
 	}
-	core.log.Info(ending.MessageQuarantined, "Request", job.headers.Attempt, "Content", job.content.String(),
+	core.log.Info(ending.MessageContentRefused, "Request", job.headers.Attempt, "Content", job.content.String(),
 		"Servers", core.quarantine.ServerCount(job.content), "LeftMillis", left)
 	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Quarantined}
 }
--- a/internal/direct/gateway/relay.go
+++ b/internal/direct/gateway/relay.go
@@ -58,7 +58,7 @@
 // handleBrokenAnswer decides how to go on after an answer that broke off before the caller saw
 // any of it.
 func (gateway *Gateway) handleBrokenAnswer(ctx context.Context, job *job, to assignment, err error) tryResult {
-	gateway.log.Info(ending.MessageBroken, "Request", job.headers.Attempt, "Error", err.Error())
+	gateway.log.Info(ending.MessageAnswerBroken, "Request", job.headers.Attempt, "Error", err.Error())
 	if job.incoming.Context().Err() != nil {
 		gateway.logEnd(job, 0, ending.CallerLeft)
 		return tryResult{done: true}
@@ -131,7 +131,7 @@
 // stream continues on another server.
 func (gateway *Gateway) handleBrokenStream(ctx context.Context, job *job, to assignment, err error) tryResult {
 	if job.headSent && job.incoming.Context().Err() == nil && ctx.Err() == nil {
-		gateway.log.Info(ending.MessageStreamCut, "Request", job.headers.Attempt, "After", job.lastEventID, "Error", err.Error())
+		gateway.log.Info(ending.MessageStreamBroken, "Request", job.headers.Attempt, "After", job.lastEventID, "Error", err.Error())
 		gateway.recordLoss(job, to.server, err)
 		result := gateway.lostResult(job, http.StatusBadGateway, ending.StreamBroken)
 		result.retry = result.retry && job.lastEventID != ""
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -14,25 +14,25 @@
 	"teaselmoor/internal/base/task"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/upstream"
 )
 
 // Platform holds the interfaces to the platform that a daemon runs on.
 type Platform struct {
-	Store    port.Store
-	Decoder  port.Decoder
-	Protocol port.Protocol
-	Servers  port.Servers
+	Store    platformapi.Store
+	Decoder  platformapi.Decoder
+	Protocol platformapi.Protocol
+	Servers  platformapi.ServerClient
 }
 
 // Gateway is a daemon that serves callers' requests.
 type Gateway struct {
 	settings   Settings
 	options    Options
-	store      port.Store
-	protocol   port.Protocol
-	servers    port.Servers
+	store      platformapi.Store
+	protocol   platformapi.Protocol
+	servers    platformapi.ServerClient
 	core       *core
 	pool       *upstream.Pool
 	network    *peers.Mesh
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
@@ -27,20 +27,20 @@
 // sentState records what a peer has been sent on the current connection, or has sent itself and
 // so knows.
 type sentState struct {
-	members   int64                           // number of membership changes sent
-	orderers  []string                        // last sent; nil: none yet
-	updateAt  clock.Millis                    // when the last update was sent
-	snapshots map[string]versionStamp         // last version sent, by daemon
-	group     int64                           // number of the last group snapshot sent
-	owners    int64                           // version of the owners last sent
-	reported  map[string]int64                // process start in the last holdings sent from a server's own report, by server
-	tables    map[string]versionStamp         // last version sent, by server
-	tablesAt  int64                           // number of table changes when tables were last compared
-	reports   int64                           // number of servers' reports when they were last compared
-	sums      map[string]tally.Sum            // last sent, by server; nil: none yet
-	uses      map[string]map[port.Adapter]int // last sent, by server
-	era       int64                           // of the store
-	revision  int64                           // of the store, in that era
+	members   int64                                  // number of membership changes sent
+	orderers  []string                               // last sent; nil: none yet
+	updateAt  clock.Millis                           // when the last update was sent
+	snapshots map[string]versionStamp                // last version sent, by daemon
+	group     int64                                  // number of the last group snapshot sent
+	owners    int64                                  // version of the owners last sent
+	reported  map[string]int64                       // process start in the last holdings sent from a server's own report, by server
+	tables    map[string]versionStamp                // last version sent, by server
+	tablesAt  int64                                  // number of table changes when tables were last compared
+	reports   int64                                  // number of servers' reports when they were last compared
+	sums      map[string]tally.Sum                   // last sent, by server; nil: none yet
+	uses      map[string]map[platformapi.Adapter]int // last sent, by server
+	era       int64                                  // of the store
+	revision  int64                                  // of the store, in that era
 	usage     quota.SentTotals
 	usageAt   clock.Millis // when usage was last sent
 	warnings  warningsSent
@@ -59,7 +59,7 @@
 
 func newSentState() *sentState {
 	return &sentState{
-		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[port.Adapter]int),
+		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[platformapi.Adapter]int),
 	}
 }
 
@@ -373,8 +373,8 @@
 	core.store.readerHeardAt = now
 }
 
-// Turn implements mirror.Sink.
-func (core *core) Turn() (bool, mirror.Known) {
+// NextTurn implements mirror.Sink.
+func (core *core) NextTurn() (bool, mirror.Known) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
--- a/internal/direct/gateway/store.go
+++ b/internal/direct/gateway/store.go
@@ -3,11 +3,11 @@
 import (
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Whole implements mirror.Sink.
-func (core *core) Whole(page port.Page) {
+// ReplaceAll implements mirror.Sink.
+func (core *core) ReplaceAll(page platformapi.Page) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if !core.enterEra(page.Era, true) {
@@ -22,8 +22,8 @@
 	core.store.revision = max(core.store.revision, page.AsOf)
 }
 
-// Changed implements mirror.Sink.
-func (core *core) Changed(page port.Page) {
+// ApplyChanges implements mirror.Sink.
+func (core *core) ApplyChanges(page platformapi.Page) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if !core.enterEra(page.Era, false) {
@@ -35,8 +35,8 @@
 	core.store.revision = max(core.store.revision, page.AsOf)
 }
 
-// Contact implements mirror.Sink.
-func (core *core) Contact(err error) {
+// RecordContact implements mirror.Sink.
+func (core *core) RecordContact(err error) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
@@ -73,7 +73,7 @@
 }
 
 // applyItem applies a store item that this daemon has read. The mutex must be held.
-func (core *core) applyItem(item port.Item) {
+func (core *core) applyItem(item platformapi.Item) {
 	if core.store.isNewer(item.Key, item.Revision) {
 		core.store.put(peers.Pack(item))
 		core.decodeAndApply(item)
@@ -85,9 +85,9 @@
 }
 
 // decodeAndApply applies a store item that is newer than the known one. The mutex must be held.
-func (core *core) decodeAndApply(item port.Item) {
+func (core *core) decodeAndApply(item platformapi.Item) {
 	now := core.now()
-	id, ofServer := core.decoder.ServerOf(item.Key)
+	id, ofServer := core.decoder.ServerID(item.Key)
 	if item.Deleted {
 		if ofServer {
 			core.log.Info("server removed", "Server", id, "Revision", item.Revision)
@@ -108,7 +108,7 @@
 }
 
 // applyDecoded applies the content of a store item. The mutex must be held.
-func (core *core) applyDecoded(now clock.Millis, decoded port.Belief, revision int64) {
+func (core *core) applyDecoded(now clock.Millis, decoded platformapi.DecodedItem, revision int64) {
 	switch {
 	case decoded.Catalog != nil:
 		if core.catalog != nil && decoded.Catalog.Version <= core.catalog.Version {
@@ -118,13 +118,13 @@
 		core.catalog = decoded.Catalog
 		core.ledger.SetLimits(now, decoded.Catalog.Accounts)
 		core.log.Info("configuration in force", "Version", decoded.Catalog.Version, "Revision", revision)
-	case decoded.Version != nil:
-		if decoded.Version.Version <= core.newestVersion(decoded.Version.Adapter) {
+	case decoded.AdapterVersion != nil:
+		if decoded.AdapterVersion.Version <= core.newestVersion(decoded.AdapterVersion.Adapter) {
 			return
 		}
-		core.versions[decoded.Version.Adapter] = namedVersion{version: decoded.Version.Version, at: now}
-		core.log.Info("new adapter version", "Model", decoded.Version.Adapter.Model, "Adapter", decoded.Version.Adapter.Name,
-			"Version", decoded.Version.Version, "Revision", revision)
+		core.versions[decoded.AdapterVersion.Adapter] = namedVersion{version: decoded.AdapterVersion.Version, at: now}
+		core.log.Info("new adapter version", "Model", decoded.AdapterVersion.Adapter.Model, "Adapter", decoded.AdapterVersion.Adapter.Name,
+			"Version", decoded.AdapterVersion.Version, "Revision", revision)
 		core.wakeOrderWorkers()
 	case decoded.Server != nil:
 		core.applyServer(*decoded.Server, revision)
@@ -132,13 +132,13 @@
 }
 
 // applyServer applies a server entry of the store. The mutex must be held.
-func (core *core) applyServer(server port.Server, revision int64) {
+func (core *core) applyServer(server platformapi.Server, revision int64) {
 	before, known := core.fleet.Member(server.ID)
 	former, draining := server, false
 	if known {
 		former, draining = before.Server, before.Draining
 	}
-	restarted := known && before.Born != server.Born
+	restarted := known && before.StartedAt != server.StartedAt
 	newlyDraining := server.Draining && (!known || !before.Draining)
 	if !core.fleet.Put(server, revision) {
 		return
@@ -150,13 +150,13 @@
 		if !draining {
 			core.handleRestart(former)
 		}
-		core.log.Info("server restarted", "Server", server.ID, "Born", server.Born, "Revision", revision)
+		core.log.Info("server restarted", "Server", server.ID, "Born", server.StartedAt, "Revision", revision)
 		if worker, ok := core.orderWorkers[server.ID]; ok {
 			worker.planner.Forget()
 			worker.wakeUp()
 		}
 	case newlyDraining:
-		core.log.Info("server draining", "Server", server.ID, "LeavesMillis", server.Leaves, "Revision", revision)
+		core.log.Info("server draining", "Server", server.ID, "LeavesMillis", server.LeavesIn, "Revision", revision)
 	}
 	core.wakeWaitingRequests()
 }
--- a/internal/direct/gateway/unplaced.go
+++ b/internal/direct/gateway/unplaced.go
@@ -35,7 +35,7 @@
 	loading, queued := core.incomingAdapters()
 	loadingHere, queuedHere := server.Coming()
 	owner, _ := core.ownerOf(now, server.ID)
-	core.log.Info(ending.MessageNotReady, "Request", job.headers.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
+	core.log.Info(ending.MessageAdapterNotReady, "Request", job.headers.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
 		"AtOnce", tooLate, "PatienceMillis", maxWait, "LoadMillis", core.expectedLoadTime(server), "Loading", loading, "Queued", queued,
 		"LoadingHere", loadingHere, "QueuedHere", queuedHere)
 }
@@ -48,5 +48,5 @@
 	if ctx.Err() != nil {
 		return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Deadline}
 	}
-	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.LoadWait}
+	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.AdapterNotReady}
 }
--- a/internal/direct/loading/planner_test.go
+++ b/internal/direct/loading/planner_test.go
@@ -9,7 +9,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 const places = 4
@@ -22,13 +22,13 @@
 // quiet is a weight store with nothing to do.
 var quiet = loading.Traffic{Servers: 8}
 
-func never(port.Adapter) bool { return false }
+func never(platformapi.Adapter) bool { return false }
 
-func noVersion(port.Adapter) int { return 0 }
+func noVersion(platformapi.Adapter) int { return 0 }
 
-func nobody(port.Adapter) int { return 0 }
+func nobody(platformapi.Adapter) int { return 0 }
 
-func adapter(name string) port.Adapter { return port.Adapter{Model: "m", Name: name} }
+func adapter(name string) platformapi.Adapter { return platformapi.Adapter{Model: "m", Name: name} }
 
 func newPlanner(now clock.Millis, adapters ...string) *loading.Planner {
 	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
@@ -37,14 +37,14 @@
 	for _, name := range adapters {
 		held[name] = 1
 	}
-	planner.SetReport(now, port.Report{Models: []port.Holding{{Model: "m", Adapters: held}}})
+	planner.SetReport(now, platformapi.Report{Models: []platformapi.Holding{{Model: "m", Adapters: held}}})
 	return planner
 }
 
 // show has the server see the planner's fencing number.
 func show(planner *loading.Planner, now clock.Millis) {
 	order, _, _ := planner.Next(now, nobody, noVersion, quiet, true)
-	planner.Done(now, order, port.Holds, quiet)
+	planner.Done(now, order, platformapi.NothingToDo, quiet)
 }
 
 // TestReportIsReadAfterTheNumberIsSeen: until the server has seen the number, the
@@ -55,12 +55,12 @@
 	require.False(t, needed)
 	order, ok, _ := planner.Next(1000, nobody, noVersion, quiet, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: port.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, port.Unknown, quiet)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
+	planner.Done(1000, order, platformapi.Unknown, quiet)
 	needed, _ = planner.NeedsReport()
 	require.False(t, needed)
 	order, _, _ = planner.Next(1200, nobody, noVersion, quiet, true)
-	planner.Done(1200, order, port.Holds, quiet)
+	planner.Done(1200, order, platformapi.NothingToDo, quiet)
 	needed, from := planner.NeedsReport()
 	require.True(t, needed)
 	require.Equal(t, 1200+loading.DefaultOptions().ReportLag, from)
@@ -69,11 +69,11 @@
 func TestServerThatHoldsNothingGetsItsModel(t *testing.T) {
 	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
 	show(planner, 500)
-	planner.SetReport(1000, port.Report{})
+	planner.SetReport(1000, platformapi.Report{})
 	order, ok, _ := planner.Next(1000, nobody, noVersion, quiet, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: port.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, port.Accepted, quiet)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
+	planner.Done(1000, order, platformapi.Accepted, quiet)
 	_, ok, at := planner.Next(1010, nobody, noVersion, quiet, true)
 	require.False(t, ok, "it is being loaded")
 	require.Positive(t, at)
@@ -83,21 +83,21 @@
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c", "d")
 	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
-	inUse := func(used port.Adapter) int {
+	inUse := func(used platformapi.Adapter) int {
 		if used.Name == "c" {
 			return 0
 		}
 		return 1
 	}
-	_, ok, at := planner.Next(10_000, func(port.Adapter) int { return 1 }, noVersion, quiet, true)
+	_, ok, at := planner.Next(10_000, func(platformapi.Adapter) int { return 1 }, noVersion, quiet, true)
 	require.False(t, ok)
 	require.Greater(t, at, clock.Millis(10_000), "it looks again")
 	order, ok, _ := planner.Next(10_100, inUse, noVersion, quiet, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Adapter: adapter("c")}, order)
-	planner.Done(10_100, order, port.Holds, quiet)
+	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
+	planner.Done(10_100, order, platformapi.NothingToDo, quiet)
 	order, _, _ = planner.Next(10_110, inUse, noVersion, quiet, true)
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("e")}, order)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("e")}, order)
 }
 
 func TestAdapterAskedForLeastGoes(t *testing.T) {
@@ -107,7 +107,7 @@
 	}
 	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
 	order, _, _ := planner.Next(10_000, nobody, noVersion, quiet, true)
-	require.Equal(t, port.Order{Adapter: adapter("c")}, order)
+	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
 }
 
 func TestMostUrgentWantGoesFirst(t *testing.T) {
@@ -133,7 +133,7 @@
 				break
 			}
 			loads++
-			planner.Done(1000, order, port.Accepted, crowded)
+			planner.Done(1000, order, platformapi.Accepted, crowded)
 		}
 		require.Equal(t, most, loads, "on their way: %d", onWay)
 	}
@@ -145,12 +145,12 @@
 	planner := newPlanner(1000, "a", "b", "c")
 	planner.Want(1000, adapter("d"), 0, 0, 9000)
 	order, _, _ := planner.Next(1000, nobody, noVersion, quiet, true)
-	planner.Done(1000, order, port.Unknown, quiet)
+	planner.Done(1000, order, platformapi.Unknown, quiet)
 	planner.Want(1100, adapter("e"), 0, 0, 9000)
 	order, ok, _ := planner.Next(1200, nobody, noVersion, quiet, true)
 	require.True(t, ok)
 	require.Equal(t, adapter("d"), order.Adapter, "the order is given again")
-	planner.Done(1200, order, port.Holds, quiet)
+	planner.Done(1200, order, platformapi.NothingToDo, quiet)
 	order, ok, _ = planner.Next(2000, nobody, noVersion, quiet, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "there is no room for e: %v", order)
@@ -162,7 +162,7 @@
 	planner.Want(10_000, adapter("e"), 0, 0, 20_000)
 	order, _, _ := planner.Next(10_000, nobody, noVersion, quiet, true)
 	require.False(t, order.Load)
-	planner.Done(10_000, order, port.Accepted, quiet)
+	planner.Done(10_000, order, platformapi.Accepted, quiet)
 	next, ok, at := planner.Next(10_001, nobody, noVersion, quiet, true)
 	for range 5 { // it wakes for the want as well
 		if ok {
@@ -175,17 +175,17 @@
 
 func TestNewVersionIsLoadedWhereItIsUsed(t *testing.T) {
 	planner := newPlanner(1000, "a", "b")
-	newest := func(named port.Adapter) int { return map[string]int{"a": 2, "b": 3}[named.Name] }
-	inUse := func(used port.Adapter) int { return map[string]int{"a": 1}[used.Name] }
-	orders := make(map[string]port.Order)
+	newest := func(named platformapi.Adapter) int { return map[string]int{"a": 2, "b": 3}[named.Name] }
+	inUse := func(used platformapi.Adapter) int { return map[string]int{"a": 1}[used.Name] }
+	orders := make(map[string]platformapi.Order)
 	for range 2 {
 		order, ok, _ := planner.Next(2000, inUse, newest, quiet, true)
 		require.True(t, ok)
 		orders[order.Adapter.Name] = order
-		planner.Done(2000, order, port.Holds, quiet)
+		planner.Done(2000, order, platformapi.NothingToDo, quiet)
 	}
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("a"), Version: 2}, orders["a"])
-	require.Equal(t, port.Order{Adapter: adapter("b")}, orders["b"], "one that nobody uses makes room")
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 2}, orders["a"])
+	require.Equal(t, platformapi.Order{Adapter: adapter("b")}, orders["b"], "one that nobody uses makes room")
 }
 
 // server is a model engine of a drawn history.
@@ -194,22 +194,22 @@
 	runs map[string]int
 }
 
-func (server *server) take(t *rapid.T, now clock.Millis, order port.Order) port.Result {
+func (server *server) take(t *rapid.T, now clock.Millis, order platformapi.Order) platformapi.Result {
 	name := order.Adapter.Name
 	until, known := server.held[name]
 	switch {
 	case !order.Load && server.runs[name] > 0:
-		return port.Accepted
+		return platformapi.Accepted
 	case !order.Load:
 		delete(server.held, name)
-		return port.Holds
+		return platformapi.NothingToDo
 	case known && now >= until:
-		return port.Holds
+		return platformapi.NothingToDo
 	case known:
-		return port.Accepted
+		return platformapi.Accepted
 	}
 	server.held[name] = now + clock.Millis(rapid.IntRange(20, 900).Draw(t, "load"))
-	return port.Accepted
+	return platformapi.Accepted
 }
 
 // TestPlacesAreNeverExceeded draws wants, runs and lost answers.
@@ -218,7 +218,7 @@
 		now := clock.Millis(1000)
 		planner := newPlanner(now)
 		engine := &server{held: make(map[string]clock.Millis), runs: make(map[string]int)}
-		uses := func(used port.Adapter) int { return engine.runs[used.Name] }
+		uses := func(used platformapi.Adapter) int { return engine.runs[used.Name] }
 		for range rapid.IntRange(20, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(1, 200).Draw(t, "gap"))
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "adapter"))
@@ -237,13 +237,13 @@
 			if !ok {
 				continue
 			}
-			result := port.Unknown
+			result := platformapi.Unknown
 			reached := rapid.IntRange(0, 9).Draw(t, "reached") > 1
 			if reached {
 				result = engine.take(t, now, order)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "answered") < 2 {
-				result = port.Unknown
+				result = platformapi.Unknown
 			}
 			planner.Done(now, order, result, quiet)
 			require.LessOrEqual(t, len(engine.held), places)
@@ -262,8 +262,8 @@
 	planner.Want(10_000, adapter("d"), 0, 0, 20_000)
 	order, ok, _ := planner.Next(10_000, nobody, noVersion, quiet, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("a"), Version: 1}, order, "what the server holds is asked first")
-	planner.Done(10_000, order, port.Holds, quiet)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 1}, order, "what the server holds is asked first")
+	planner.Done(10_000, order, platformapi.NothingToDo, quiet)
 	order, ok, _ = planner.Next(20_000-1, nobody, noVersion, quiet, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "one of the four has to go")
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
@@ -56,7 +56,7 @@
 type Reported struct {
 	Server   string
 	Born     int64
-	Holdings []port.Holding
+	Holdings []platformapi.Holding
 }
 
 // Work is what a daemon has in progress at a server, and what it has sent there since it
@@ -76,7 +76,7 @@
 // ServerUses is how many requests use each adapter of a server.
 type ServerUses struct {
 	Server string
-	Uses   map[port.Adapter]int
+	Uses   map[platformapi.Adapter]int
 }
 
 // DaemonShare is what a daemon has in progress. Of two, the one of the later
@@ -109,7 +109,7 @@
 // Want asks the daemon that gives orders to a server for an adapter.
 type Want struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 	Version int
 	Rank    int
 	Left    clock.Millis // until the request gives up
--- a/internal/direct/port/port.go
+++ b/internal/direct/platformapi/port.go
@@ -1,7 +1,7 @@
-// Package port defines the boundary between the gateway and the platform that it runs on: types
+// Package platformapi defines the boundary between the gateway and the platform that it runs on: types
 // for what the platform sends and expects, independent of its formats, and the interfaces that
 // the code for a platform implements. It makes no decisions.
-package port
+package platformapi
 
 import (
 	"context"
@@ -11,22 +11,22 @@
 	"teaselmoor/internal/direct/catalog"
 )
 
-// Call holds the values from the headers of a caller's request.
-type Call struct {
-	Attempt   string       // the caller's id of this attempt
-	Left      clock.Millis // time until the caller gives up; 0: unknown
-	Model     string
-	Adapter   string // empty: the base model
-	Prompt    int    // number of prompt tokens; 0 for a plain service
-	Output    int    // maximum number of output tokens
-	Parts     []Part
-	LastEvent string // id of the event after which a stream is to be resumed
-	Key       string // identifies the caller's account; empty: none
+// RequestHeaders holds the values from the headers of a caller's request.
+type RequestHeaders struct {
+	Attempt         string       // the caller's id of this attempt
+	TimeLeft        clock.Millis // time until the caller gives up; 0: unknown
+	Model           string
+	Adapter         string // empty: the base model
+	PromptTokens    int    // number of prompt tokens; 0 for a plain service
+	MaxOutputTokens int    // maximum number of output tokens
+	Parts           []Part
+	LastEventID     string // id of the event after which a stream is to be resumed
+	AccountKey      string // identifies the caller's account; empty: none
 }
 
 // Tokens returns the prompt and output tokens together, 0 if the request states none.
-func (call Call) Tokens() int {
-	return call.Prompt + call.Output
+func (requestHeaders RequestHeaders) Tokens() int {
+	return requestHeaders.PromptTokens + requestHeaders.MaxOutputTokens
 }
 
 // Part is a part of a prompt. Requests with the same first parts can share the engine's cache
@@ -36,46 +36,46 @@
 	Tokens int
 }
 
-// Sending holds the values that a daemon adds to a request that it forwards.
-type Sending struct {
-	Server    string // the only server that may run the request
-	Left      clock.Millis
-	Version   int // required version of the adapter; 0: any
-	Urgency   int // 0 to 9, 0 is the most urgent; negative: the engine's default
-	LastEvent string
-	// Accounts reports that the configuration lists accounts. The caller's key is then not
+// ForwardHeaders holds the values that a daemon adds to a request that it forwards.
+type ForwardHeaders struct {
+	Server      string // the only server that may run the request
+	TimeLeft    clock.Millis
+	Version     int // required version of the adapter; 0: any
+	Urgency     int // 0 to 9, 0 is the most urgent; negative: the engine's default
+	LastEventID string
+	// AccountsListed reports that the configuration lists accounts. The caller's key is then not
 	// forwarded, and the server receives Account instead, which is empty for a caller without
 	// one.
-	Accounts bool
-	Account  string
+	AccountsListed bool
+	Account        string
 }
 
-// Reply holds the values from the head of a backend server's answer.
-type Reply struct {
+// AnswerHeaders holds the values from the head of a backend server's answer.
+type AnswerHeaders struct {
 	Attempt string // the attempt that the answer belongs to; empty: not stated
 	NotRun  bool   // the server states that it did not run the request
 	Absent  bool   // the server is a different one, or does not hold the model, adapter or version
 	Signed  bool   // the answer carries the server's signature
 	Leaving bool   // the server announces that it will end soon
-	// Rest is how long the server wants no requests from this daemon; 0 if it does not say.
-	Rest clock.Millis
-	// Limited reports that the server takes no more than Limit requests a second from all
+	// Pause is how long the server wants no requests from this daemon; 0 if it does not say.
+	Pause clock.Millis
+	// HasLimit reports that the server takes no more than Limit requests a second from all
 	// daemons together.
-	Limited bool
-	Limit   float64
+	HasLimit bool
+	Limit    float64
 }
 
 // Protocol converts between HTTP headers and the types of this package.
 type Protocol interface {
-	// Call reads the headers of a caller's request.
-	Call(request *http.Request) (Call, error)
-	// Outgoing returns the headers of a request for forwarding.
-	Outgoing(incoming http.Header, added Sending) http.Header
-	// Reply reads the head of a backend server's answer.
-	Reply(response *http.Response) Reply
-	// Refusal sets the headers of a refusal; after is the time until the caller may retry, or 0
+	// ParseRequest reads the headers of a caller's request.
+	ParseRequest(request *http.Request) (RequestHeaders, error)
+	// ForwardedHeader returns the headers of a request for forwarding.
+	ForwardedHeader(incoming http.Header, added ForwardHeaders) http.Header
+	// ParseAnswer reads the head of a backend server's answer.
+	ParseAnswer(response *http.Response) AnswerHeaders
+	// SetRefusalHeaders sets the headers of a refusal; after is the time until the caller may retry, or 0
 	// if unknown.
-	Refusal(header http.Header, after clock.Millis)
+	SetRefusalHeaders(header http.Header, after clock.Millis)
 }
 
 // Item is an entry of the store.
@@ -101,10 +101,10 @@
 
 // Failures of calls of the store.
 const (
-	Unreachable   Failure = iota // no answer, or one that is not from the store
-	Unavailable                  // the store did nothing
-	Limited                      // the store refused the call for its rate limit
-	HistoryIsGone                // the requested changes are no longer available
+	Unreachable  Failure = iota // no answer, or one that is not from the store
+	Unavailable                 // the store did nothing
+	TooManyCalls                // the store refused the call for its rate limit
+	HistoryGone                 // the requested changes are no longer available
 )
 
 // StoreError is a failed call of the store.
@@ -128,11 +128,11 @@
 	Watch(ctx context.Context, prefix string, after int64, wait clock.Millis) (Page, error)
 }
 
-// Belief is the decoded content of an item. Exactly one of its pointers is set.
-type Belief struct {
-	Catalog *catalog.Catalog
-	Server  *Server
-	Version *AdapterVersion
+// DecodedItem is the decoded content of an item. Exactly one of its pointers is set.
+type DecodedItem struct {
+	Catalog        *catalog.Catalog
+	Server         *Server
+	AdapterVersion *AdapterVersion
 }
 
 // Decoder decodes items of the store.
@@ -140,9 +140,9 @@
 	// Prefix returns the common prefix of all keys that are read.
 	Prefix() string
 	// Decode returns the content of an item, or an error if it is unusable.
-	Decode(item Item) (Belief, error)
-	// ServerOf returns the id of the server that a key belongs to, if any.
-	ServerOf(key string) (string, bool)
+	Decode(item Item) (DecodedItem, error)
+	// ServerID returns the id of the server that a key belongs to, if any.
+	ServerID(key string) (string, bool)
 }
 
 // Server is a backend server as it is registered in the store.
@@ -153,8 +153,8 @@
 	DataCentre string
 	Slots      int
 	Draining   bool
-	Leaves     clock.Millis // time until the server ends; 0: not announced
-	Born       int64        // start of its process in Unix milliseconds; 0: unknown
+	LeavesIn   clock.Millis // time until the server ends; 0: not announced
+	StartedAt  int64        // start of its process in Unix milliseconds; 0: unknown
 	Models     []Holding
 }
 
@@ -182,7 +182,7 @@
 	Load    bool
 	Adapter Adapter
 	Version int // to load; 0: the newest
-	Holder  string
+	Owner   string
 	Fence   int64
 }
 
@@ -191,13 +191,13 @@
 
 // Results of orders.
 const (
-	Unknown  Result = iota // no answer; the order may have been accepted
-	Accepted               // the order is being carried out
-	Holds                  // the server is already in the ordered state
-	Conflict               // another order is in progress
-	Fenced                 // the server has seen a higher fencing number
-	Invalid                // the server does not know such an order
-	Other                  // the address belongs to another server
+	Unknown      Result = iota // no answer; the order may have been accepted
+	Accepted                   // the order is being carried out
+	NothingToDo                // the server is already in the ordered state
+	Conflict                   // another order is in progress
+	Fenced                     // the server has seen a higher fencing number
+	InvalidOrder               // the server does not know such an order
+	WrongServer                // the address belongs to another server
 )
 
 // String implements fmt.Stringer.
@@ -205,23 +205,23 @@
 	return [...]string{"Unknown", "Accepted", "Holds", "Conflict", "Fenced", "Invalid", "Other"}[result]
 }
 
-// Answer is a server's answer to an order.
-type Answer struct {
+// OrderAnswer is a server's answer to an order.
+type OrderAnswer struct {
 	Result  Result
 	Leaving bool // the server announces that it will end soon
 }
 
 // Report is a server's state, some hundred milliseconds old.
 type Report struct {
-	Leaving  bool // the server announces that it will end soon
-	Born     int64
-	Busy     bool // a model is being loaded or unloaded
-	Models   []Holding
-	Incoming []Adapter
+	Leaving   bool // the server announces that it will end soon
+	StartedAt int64
+	Busy      bool // a model is being loaded or unloaded
+	Models    []Holding
+	Incoming  []Adapter
 }
 
-// Servers sends orders to model engines and reads their reports.
-type Servers interface {
-	Order(ctx context.Context, server Server, order Order) (Answer, error)
-	Report(ctx context.Context, server Server) (Report, error)
+// ServerClient sends orders to model engines and reads their reports.
+type ServerClient interface {
+	SendOrder(ctx context.Context, server Server, order Order) (OrderAnswer, error)
+	ReadReport(ctx context.Context, server Server) (Report, error)
 }
--- a/internal/direct/tally/tally.go
+++ b/internal/direct/tally/tally.go
@@ -6,7 +6,7 @@
 import (
 	"maps"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Load is the work in progress at a server.
@@ -18,7 +18,7 @@
 // Use is an adapter at a server.
 type Use struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 }
 
 // Sum is the work of several daemons at a server.
@@ -55,7 +55,7 @@
 // serverUses counts the requests that use adapters, by server, those that wait for
 // one included: each adapter takes a place there. Requests without an adapter are
 // not counted.
-type serverUses map[string]map[port.Adapter]int
+type serverUses map[string]map[platformapi.Adapter]int
 
 func (uses serverUses) add(use Use, count int) {
 	if use.Adapter.Name == "" {
@@ -63,7 +63,7 @@
 	}
 	of, ok := uses[use.Server]
 	if !ok {
-		of = make(map[port.Adapter]int)
+		of = make(map[platformapi.Adapter]int)
 		uses[use.Server] = of
 	}
 	of[use.Adapter] += count
@@ -206,10 +206,10 @@
 
 // UsesAt returns how many requests of all daemons use each adapter of a server or wait
 // for it there.
-func (tally *Tally) UsesAt(server string) map[port.Adapter]int {
+func (tally *Tally) UsesAt(server string) map[platformapi.Adapter]int {
 	uses := maps.Clone(tally.uses[server])
 	if uses == nil {
-		uses = make(map[port.Adapter]int)
+		uses = make(map[platformapi.Adapter]int)
 	}
 	for adapter, count := range tally.used[server] {
 		uses[adapter] += count
@@ -233,9 +233,9 @@
 
 // UsesBut returns how many requests of all daemons but one use each adapter of a
 // server.
-func (tally *Tally) UsesBut(but, server string) map[port.Adapter]int {
+func (tally *Tally) UsesBut(but, server string) map[platformapi.Adapter]int {
 	left := tally.peers[but].Uses
-	uses := make(map[port.Adapter]int)
+	uses := make(map[platformapi.Adapter]int)
 	for adapter, count := range tally.uses[server] {
 		if more := count - left[Use{Server: server, Adapter: adapter}]; more > 0 {
 			uses[adapter] = more
@@ -261,7 +261,7 @@
 
 // SetUses replaces the uses of adapters by other daemons at a server that this one
 // orders. It returns the changes as Peer does.
-func (tally *Tally) SetUses(server string, uses map[port.Adapter]int) map[Use]int {
+func (tally *Tally) SetUses(server string, uses map[platformapi.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
 	before := tally.used[server]
 	for adapter, count := range uses {
