--- a/internal/direct/choose/choose_test.go
+++ b/internal/direct/choose/choose_test.go
@@ -18,7 +18,7 @@
 
 var adapter = port.Adapter{Model: "m", Name: "a1"}
 
-// site is a fleet of servers that hold the base model and no adapter.
+// site returns a fleet of servers that hold the base model and no adapter.
 func site(count int) (*fleet.Fleet, *tally.Tally) {
 	servers := fleet.New(fleet.DefaultOptions())
 	for i := range count {
@@ -44,9 +44,9 @@
 	return choice
 }
 
-// TestDaemonsAgreeOnTheHomeOfAColdAdapter: requests that come to several daemons
-// at once have the adapter loaded at one server.
-func TestDaemonsAgreeOnTheHomeOfAColdAdapter(t *testing.T) {
+// TestDaemonsAgreeOnServerForUnloadedAdapter guards against requests that arrive at
+// several daemons at once having the adapter loaded at more than one server.
+func TestDaemonsAgreeOnServerForUnloadedAdapter(t *testing.T) {
 	servers, work := site(9)
 	home := pick(t, servers, work, query("r0")).Member.ID
 	for i := range 50 {
@@ -66,11 +66,12 @@
 	require.Equal(t, holder, choice.Member.ID)
 	require.True(t, choice.Held)
 	work.Begin(tally.Use{Server: holder, Adapter: adapter}, 40_000) // two seconds of prompts to read
-	require.NotEqual(t, holder, pick(t, servers, work, query("r")).Member.ID, "a second copy is cheaper than the wait")
+	require.NotEqual(t, holder, pick(t, servers, work, query("r")).Member.ID, "loading a second copy is cheaper than waiting")
 }
 
-// TestServerThatHeldItOfLate loads it ten times as fast and not from the store.
-func TestServerThatHeldItOfLate(t *testing.T) {
+// TestServerThatHeldAdapterRecentlyIsPreferred: such a server loads the adapter ten times
+// as fast and not from the weight store.
+func TestServerThatHeldAdapterRecentlyIsPreferred(t *testing.T) {
 	servers, work := site(9)
 	home := pick(t, servers, work, query("r")).Member.ID
 	former := "s0"
@@ -82,9 +83,9 @@
 	require.Equal(t, former, pick(t, servers, work, query("r")).Member.ID)
 }
 
-// TestWaitingRequestStays where its adapter is loaded, unless another server can
-// run it at once.
-func TestWaitingRequestStays(t *testing.T) {
+// TestWaitingRequestStaysAtItsServer: a request stays where its adapter is being loaded
+// unless another server can run it at once.
+func TestWaitingRequestStaysAtItsServer(t *testing.T) {
 	servers, work := site(9)
 	asked := query("r")
 	asked.Waiting = pick(t, servers, work, asked).Member.ID
@@ -106,8 +107,8 @@
 	require.False(t, pick(t, servers, work, asked).Held)
 }
 
-// TestServerWithoutOrders: a load there waits until some daemon has taken over.
-func TestServerWithoutOrders(t *testing.T) {
+// TestServerWithoutOwnerIsAvoided: a load there waits until a daemon owns the server.
+func TestServerWithoutOwnerIsAvoided(t *testing.T) {
 	servers, work := site(9)
 	asked := query("r")
 	home := pick(t, servers, work, asked).Member.ID
@@ -115,8 +116,9 @@
 	require.NotEqual(t, home, pick(t, servers, work, asked).Member.ID)
 }
 
-// TestCrowdedPlaces: a server whose places are all in use is no place to load at.
-func TestCrowdedPlaces(t *testing.T) {
+// TestServerWithAllAdapterSlotsInUseIsAvoided: another adapter can be loaded there only
+// after the requests of one have ended.
+func TestServerWithAllAdapterSlotsInUseIsAvoided(t *testing.T) {
 	servers, work := site(2)
 	home := pick(t, servers, work, query("r")).Member.ID
 	for i := range 18 {
@@ -125,7 +127,7 @@
 	require.NotEqual(t, home, pick(t, servers, work, query("r")).Member.ID)
 }
 
-func TestFailingServerIsPassedOver(t *testing.T) {
+func TestFailingServerIsAvoided(t *testing.T) {
 	servers, work := site(2)
 	hold(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
 	hold(servers, "s1", 1, fleet.Slot{Adapter: adapter, Version: 1})
@@ -137,9 +139,9 @@
 	}
 }
 
-// TestHotAdapterIsCopied replays the load of one adapter that takes the work of
-// many servers: every request runs on, none ends. Copies must follow beyond the
-// adapter's first homes; without it one server of 90 had 2.8 times the mean.
+// TestHotAdapterIsCopied sends requests for one adapter that needs many servers: none of
+// the requests ends. Copies must also be loaded beyond the first servers of the adapter's
+// rendezvous order; otherwise one server of 90 had 2.8 times the mean load.
 func TestHotAdapterIsCopied(t *testing.T) {
 	servers, work := site(30)
 	loads := 0
@@ -161,10 +163,9 @@
 	require.LessOrEqual(t, most, 150)
 }
 
-// TestCopyAheadOfTheQueue: while the only holder is a little busier than others no
-// copy is made; once it is much busier one is, at one server, and the request itself
-// does not wait for it.
-func TestCopyAheadOfTheQueue(t *testing.T) {
+// TestCopyForMuchBusierHolder: a copy is requested once the only holder is much busier than
+// other servers, at one server only, and the request itself does not wait for it.
+func TestCopyForMuchBusierHolder(t *testing.T) {
 	servers, work := site(9)
 	often := query("r")
 	often.Frequent = true
@@ -177,15 +178,15 @@
 	require.Equal(t, "s0", choice.Member.ID)
 	require.NotNil(t, choice.Copy)
 	require.NotEqual(t, "s0", choice.Copy.ID)
-	require.Nil(t, pick(t, servers, work, query("r")).Copy, "one that is seldom asked for")
+	require.Nil(t, pick(t, servers, work, query("r")).Copy, "the adapter is seldom requested")
 	asked := often
 	asked.Ordered = func(string) bool { return false }
-	require.Nil(t, pick(t, servers, work, asked).Copy, "nobody could load it")
+	require.Nil(t, pick(t, servers, work, asked).Copy, "the server has no owner that could order the load")
 	hold(servers, choice.Copy.ID, 1, fleet.Slot{Adapter: adapter, Coming: true})
-	require.Nil(t, pick(t, servers, work, often).Copy, "one is on its way")
+	require.Nil(t, pick(t, servers, work, often).Copy, "a copy is being loaded already")
 }
 
-// BenchmarkChoose is one placement decision.
+// BenchmarkChoose measures one placement decision.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{9, 140, 1500} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -211,9 +212,9 @@
 	}
 }
 
-// TestHoldersAreEnough: looking at holders first never changes the choice. With a
-// weight that rules it out, all servers are looked at.
-func TestHoldersAreEnough(t *testing.T) {
+// TestShortcutDoesNotChangeChoice: considering only the holders of the adapter, where the
+// shortcut allows it, gives the same choice as considering all servers.
+func TestShortcutDoesNotChangeChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "servers")
 		servers, work := site(count)
@@ -248,9 +249,9 @@
 	})
 }
 
-// TestNoHerdOnANewCopy replays 300 requests that as many daemons place by the same
-// sums: a copy that has just been loaded at an idle server must not get all of them.
-func TestNoHerdOnANewCopy(t *testing.T) {
+// TestNewCopyIsNotOverloaded has 300 daemons place a request each by the same load counts:
+// a copy that was just loaded at an idle server must not get all of them.
+func TestNewCopyIsNotOverloaded(t *testing.T) {
 	servers, work := site(9)
 	for i := range 6 {
 		server := fmt.Sprint("s", i)
@@ -276,8 +277,9 @@
 	require.LessOrEqual(t, most(true), 125)
 }
 
-// TestDrawnServersThatFail are not kept to.
-func TestDrawnServersThatFail(t *testing.T) {
+// TestRandomChoicesThatFailAreNotUsed: if both randomly chosen servers fail their requests,
+// the best of all servers is used.
+func TestRandomChoicesThatFailAreNotUsed(t *testing.T) {
 	servers, work := site(9)
 	for i := range 9 {
 		server := fmt.Sprint("s", i)
@@ -293,9 +295,9 @@
 	}
 }
 
-// TestCopyForADrawnHolder: where the drawn holder is busy, a copy is asked for though
-// another holder is idle, as without the look at holders alone.
-func TestCopyForADrawnHolder(t *testing.T) {
+// TestCopyForBusyRandomChoice: if the randomly chosen holder is busy, a copy is requested
+// even though another holder is idle. The shortcut must not prevent it.
+func TestCopyForBusyRandomChoice(t *testing.T) {
 	servers, work := site(9)
 	for _, server := range []string{"s0", "s1", "s2"} {
 		hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
--- a/internal/direct/choose/hold.go
+++ b/internal/direct/choose/hold.go
@@ -2,40 +2,41 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Hold decides whether a prompt is sent to its server now. An engine reads prompts
-// between the steps of the streams that it runs: prompts that come to it at once make
-// all of those pause. A prompt that is sent some ten milliseconds later has its own first
-// event in time all the same (TestHeldPromptsKeepStreamsGoing).
+// Hold decides whether a prompt is sent to its server now or delayed. An engine reads
+// prompts between the decoding steps of its streams, so prompts that arrive together
+// make all streams pause. A prompt that is delayed by some ten milliseconds still gets
+// its first event within its goal (TestDelayedPromptsShortenStreamPauses).
 type Hold struct {
-	// GapShare is the part of the goal for gaps that the prompts being read at a server
-	// may take. Half leaves room for what other daemons send unheard.
+	// GapShare is the share of the gap goal that reading the prompts at a server may
+	// take. Half leaves room for prompts of other daemons that this one does not know of.
 	GapShare float64
-	// GoalShare is the part of its goal for the first event that a prompt is held at
-	// most, what it has waited for its adapter included.
+	// GoalShare is the share of its first-event goal after which a prompt is no longer
+	// delayed. The time that it waited for its adapter counts as well.
 	GoalShare float64
-	// Look is the time between two looks whether it may be sent.
+	// Look is the interval at which a delayed prompt is checked again.
 	Look clock.Millis
 }
 
-// DefaultHold returns limits for engines of which not all prompts are heard.
+// DefaultHold returns the limits for engines that also get prompts which this daemon does
+// not know of.
 func DefaultHold() Hold {
 	return Hold{GapShare: 0.5, GoalShare: 0.33, Look: 15}
 }
 
-// Prompt is a prompt that could be sent.
+// Prompt is a prompt that is ready to be sent.
 type Prompt struct {
 	Tokens  int
 	Goal    clock.Millis // for its first event
-	GapGoal clock.Millis // of the streams of its route
-	Waited  clock.Millis // since it came
+	GapGoal clock.Millis // longest pause between events of the route's streams
+	Waited  clock.Millis // since the request arrived
 }
 
-// Holds reports whether a prompt should wait. Intake is the level of its server;
-// tokensPerMS is what the engine reads.
-func (hold Hold) Holds(prompt Prompt, intake, tokensPerMS float64) bool {
-	if prompt.Waited >= clock.Millis(hold.GoalShare*float64(prompt.Goal)) || intake <= 0 {
+// Holds reports whether a prompt should be delayed. Level is the level of its server's
+// prompt bucket; tokensPerMS is the engine's read rate.
+func (hold Hold) Holds(prompt Prompt, level, tokensPerMS float64) bool {
+	if prompt.Waited >= clock.Millis(hold.GoalShare*float64(prompt.Goal)) || level <= 0 {
 		return false
 	}
-	most := hold.GapShare * float64(prompt.GapGoal) * tokensPerMS
-	return intake+float64(prompt.Tokens) > most
+	limit := hold.GapShare * float64(prompt.GapGoal) * tokensPerMS
+	return level+float64(prompt.Tokens) > limit
 }
--- a/internal/direct/choose/hold_test.go
+++ b/internal/direct/choose/hold_test.go
@@ -11,19 +11,19 @@
 	"teaselmoor/internal/direct/choose"
 )
 
-// An engine of the replay: it reads prompts in pieces between the steps of its streams,
+// The simulated engine reads prompts in chunks between the decoding steps of its streams,
 // which get an event every few steps.
 const (
-	engineRate    = 38.0 // prompt tokens a millisecond
-	enginePiece   = 2048 // most prompt tokens of one step
-	engineStep    = 5.5  // milliseconds of a step without a prompt
+	engineRate    = 38.0 // prompt tokens per millisecond
+	enginePiece   = 2048 // maximum prompt tokens per step
+	engineStep    = 5.5  // duration of a step without a prompt, in milliseconds
 	stepsPerEvent = 6
 	gapGoal       = 300
 	firstGoal     = 600
 )
 
-// arrivals draws prompts of a busy engine: 0.4 of its time goes to reading them, one
-// prompt in a hundred has some 6,000 tokens.
+// arrivals generates prompts for a busy engine, which spends 0.4 of its time reading them.
+// One prompt in a hundred has about 6,000 tokens.
 func arrivals(span float64) (at []float64, tokens []int) {
 	random := rand.New(rand.NewPCG(5, 6))
 	const mean, spread = 1134, 0.7
@@ -38,9 +38,9 @@
 	}
 }
 
-// replayEngine sends the prompts when may lets them, and returns the part of events that
-// come after a gap over the goal, and how long prompts waited.
-func replayEngine(may func(now, waited clock.Millis, tokens int) bool) (late, meanWait float64) {
+// replayEngine sends each prompt once allows reports true. It returns the share of events that
+// follow a gap over the goal, and the mean time that prompts were delayed.
+func replayEngine(allows func(now, waited clock.Millis, tokens int) bool) (late, meanWait float64) {
 	at, tokens := arrivals(200_000)
 	backlog, now, waited := 0.0, 0.0, 0.0
 	var held []int
@@ -53,7 +53,7 @@
 			}
 			var left []int
 			for _, i := range held {
-				if may(clock.Millis(now), clock.Millis(now-at[i]), tokens[i]) {
+				if allows(clock.Millis(now), clock.Millis(now-at[i]), tokens[i]) {
 					backlog += float64(tokens[i])
 					waited += now - at[i]
 					continue
@@ -74,10 +74,10 @@
 	return float64(over) / float64(events), waited / float64(len(at))
 }
 
-// TestHeldPromptsKeepStreamsGoing replays a busy engine: fewer events come after a gap
-// over the goal when prompts that follow each other closely are held, and what is held
-// still has its first event in time.
-func TestHeldPromptsKeepStreamsGoing(t *testing.T) {
+// TestDelayedPromptsShortenStreamPauses simulates a busy engine: delaying prompts that
+// follow each other closely reduces the events after a gap over the goal, and the mean
+// delay is small against the first-event goal.
+func TestDelayedPromptsShortenStreamPauses(t *testing.T) {
 	always := func(clock.Millis, clock.Millis, int) bool { return true }
 	before, _ := replayEngine(always)
 	intake, hold := choose.NewIntake(), choose.DefaultHold()
@@ -89,8 +89,8 @@
 		intake.Add(now, "s", tokens, engineRate)
 		return true
 	})
-	t.Logf("events after a gap over the goal: %.4f, held %.4f; mean wait %.0f ms", before, after, wait)
-	require.Greater(t, before, 0.003, "the load is not the one meant")
+	t.Logf("share of events after a gap over the goal: %.4f without delays, %.4f with; mean delay %.0f ms", before, after, wait)
+	require.Greater(t, before, 0.003, "the load is too low for this test")
 	require.Less(t, after, 0.6*before)
 	require.Less(t, wait, 0.1*firstGoal)
 }
@@ -98,12 +98,12 @@
 func TestHold(t *testing.T) {
 	hold := choose.DefaultHold()
 	prompt := choose.Prompt{Tokens: 1000, Goal: firstGoal, GapGoal: gapGoal}
-	require.False(t, hold.Holds(prompt, 4000, engineRate), "there is room")
+	require.False(t, hold.Holds(prompt, 4000, engineRate), "the prompts fit in the share of the gap goal")
 	require.True(t, hold.Holds(prompt, 5000, engineRate))
 	prompt.Waited = firstGoal / 2
-	require.False(t, hold.Holds(prompt, 5000, engineRate), "its own goal is at stake")
+	require.False(t, hold.Holds(prompt, 5000, engineRate), "it would miss its own first-event goal")
 	prompt.Waited, prompt.Tokens = 0, 100_000
-	require.False(t, hold.Holds(prompt, 0, engineRate), "a large prompt goes to an idle engine")
+	require.False(t, hold.Holds(prompt, 0, engineRate), "an idle engine gets a prompt of any size")
 }
 
 func TestIntakeLeaks(t *testing.T) {
@@ -118,9 +118,9 @@
 	require.Zero(t, intake.Tokens(1000, "s", engineRate))
 }
 
-// TestReadRateIsLearned: answers take some milliseconds more than the reading, and some
-// prompts are kept in part by the engine.
-func TestReadRateIsLearned(t *testing.T) {
+// TestReadRateConverges: answers take some milliseconds longer than the reading, and the
+// engine has some prompts cached in part.
+func TestReadRateConverges(t *testing.T) {
 	for _, truth := range []float64{12, 19, 39, 80} {
 		random := rand.New(rand.NewPCG(7, 8))
 		rate := choose.NewReadRate()
--- a/internal/direct/choose/intake.go
+++ b/internal/direct/choose/intake.go
@@ -2,11 +2,10 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Intake follows the prompts that go to each engine as a bucket that leaks: it rises by
-// the tokens of a prompt when that is sent, and falls at a part of the rate at which
-// engines read. What is in it counts prompts that have been read of late as well as
-// those being read: streams pause for longer than their goal also where short prompts
-// follow each other without a break.
+// Intake is a leaky bucket for each engine that measures the prompts sent to it. The level
+// rises by the tokens of each prompt sent, and falls at a share of the engine's read rate.
+// So it counts recently read prompts as well as those being read: a series of short
+// prompts without a break also makes streams pause for longer than their goal.
 type Intake struct {
 	levels map[string]level
 }
@@ -16,31 +15,31 @@
 	at     clock.Millis
 }
 
-// leak is the part of an engine's reading rate at which the bucket falls. An engine that
-// reads all the time gives its streams an event every few full steps; at this part of
-// the time they keep their goal.
-const leak = 0.6
+// leakShare is the share of an engine's read rate at which the level falls. An engine that reads
+// prompts all the time sends its streams an event only every few full steps; if it reads
+// for this share of the time they meet their gap goal.
+const leakShare = 0.6
 
-// NewIntake returns an intake without a prompt.
+// NewIntake returns an empty bucket for every engine.
 func NewIntake() *Intake {
 	return &Intake{levels: make(map[string]level)}
 }
 
-// Add counts prompt tokens that were sent to a server.
+// Add adds prompt tokens that were sent to a server.
 func (intake *Intake) Add(now clock.Millis, server string, tokens int, tokensPerMS float64) {
 	intake.levels[server] = level{tokens: intake.Tokens(now, server, tokensPerMS) + float64(tokens), at: now}
 }
 
-// Tokens returns the level at a server.
+// Tokens returns the current level of a server's bucket.
 func (intake *Intake) Tokens(now clock.Millis, server string, tokensPerMS float64) float64 {
 	known, ok := intake.levels[server]
 	if !ok {
 		return 0
 	}
-	return max(0, known.tokens-leak*tokensPerMS*float64(now-known.at))
+	return max(0, known.tokens-leakShare*tokensPerMS*float64(now-known.at))
 }
 
-// Retain forgets the servers that are gone.
+// Retain drops the buckets of servers that are no longer known.
 func (intake *Intake) Retain(known func(server string) bool) {
 	for server := range intake.levels {
 		if !known(server) {
--- a/internal/direct/choose/slottime_test.go
+++ b/internal/direct/choose/slottime_test.go
@@ -12,10 +12,10 @@
 	"teaselmoor/internal/direct/tally"
 )
 
-// TestFullEnginesOfFewSlots replays a popular adapter whose only holder has all of its
-// slots taken by streams of two seconds and requests waiting. With 12 slots a request
-// waits longer there than a load takes elsewhere; with 64 it does not.
-func TestFullEnginesOfFewSlots(t *testing.T) {
+// TestFullEngineWithFewSlots: the only holder of a popular adapter has all of its slots
+// taken by streams of two seconds, and requests waiting. With 12 slots a request waits
+// longer there than a load takes elsewhere; with 64 it does not.
+func TestFullEngineWithFewSlots(t *testing.T) {
 	for slots, stays := range map[int]bool{12: false, 64: true} {
 		t.Run(fmt.Sprint(slots), func(t *testing.T) {
 			servers, work := fleet.New(fleet.DefaultOptions()), tally.New()
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestSlotTimeFollowsWhatIsObserved(t *testing.T) {
+func TestSlotTimeConverges(t *testing.T) {
 	slotTime := choose.SlotTime{}
 	require.Zero(t, slotTime.Millis())
 	slotTime.Observe(1500)
@@ -48,10 +48,10 @@
 	require.InDelta(t, 3000, slotTime.Millis(), 30)
 }
 
-// TestRunsWeighByTheSlotsThatTheyTake replays an adapter with two holders: one runs ten
-// streams, the other two while it reads a prompt. Ten of 12 slots mean prompts without a
-// break between them, and streams that pause; ten of 64 do not.
-func TestRunsWeighByTheSlotsThatTheyTake(t *testing.T) {
+// TestRunsCountByShareOfSlots: one of two holders runs ten streams, the other one runs two
+// requests and reads a prompt. With ten of 12 slots taken, prompts follow each other without
+// a break and streams pause; with ten of 64 they do not.
+func TestRunsCountByShareOfSlots(t *testing.T) {
 	for slots, want := range map[int]string{12: "s1", 64: "s0"} {
 		t.Run(fmt.Sprint(slots), func(t *testing.T) {
 			servers, work := fleet.New(fleet.DefaultOptions()), tally.New()
--- a/internal/direct/choose/spare.go
+++ b/internal/direct/choose/spare.go
@@ -8,19 +8,19 @@
 	"teaselmoor/internal/direct/tally"
 )
 
-// Spares returns the servers that should load further copies of an adapter, the best
-// first: those that do not have it and where a request would begin soonest. Where it has
-// homes left, they come first.
-func (weights Weights) Spares(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally, most int) []*fleet.Member {
+// Spares returns up to limit servers that should load another copy of an adapter, the
+// cheapest first: servers that do not have it and where a request would start soonest.
+// The first servers of the adapter's rendezvous order are preferred.
+func (weights Weights) Spares(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally, limit int) []*fleet.Member {
 	usable := servers.Usable(query.Service)
-	_, first := survey(usable, query, adapterHash)
+	_, preferred := survey(usable, query, adapterHash)
 	var spares []Choice
 	for _, member := range usable {
-		if _, has := member.Slot(query.Adapter); has || !weights.takesCopy(query, member) {
+		if _, has := member.Slot(query.Adapter); has || !weights.canLoad(query, member) {
 			continue
 		}
-		steps := first.steps(rank(adapterHash, member), weights.Homes)
-		cost := weights.base(query, servers, work, member) + weights.Step*float64(steps) + weights.crowding(query, member, work)
+		position := preferred.position(rank(adapterHash, member), weights.Homes)
+		cost := weights.baseCost(query, servers, work, member) + weights.Step*float64(position) + weights.crowdingCost(query, member, work)
 		if member.AtHand(query.Adapter) {
 			cost += weights.AtHand - weights.Load
 		}
@@ -28,14 +28,14 @@
 	}
 	slices.SortStableFunc(spares, func(a, b Choice) int { return cmp.Compare(a.Cost, b.Cost) })
 	var chosen []*fleet.Member
-	for _, spare := range spares[:min(most, len(spares))] {
+	for _, spare := range spares[:min(limit, len(spares))] {
 		chosen = append(chosen, spare.Member)
 	}
 	return chosen
 }
 
-// takesCopy reports whether a server can be asked to load an adapter now.
-func (weights Weights) takesCopy(query Query, member *fleet.Member) bool {
+// canLoad reports whether a server can be told to load an adapter now.
+func (weights Weights) canLoad(query Query, member *fleet.Member) bool {
 	ordered := query.Ordered == nil || query.Ordered(member.ID)
 	return ordered && member.HoldsModel(query.Adapter.Model) && !member.Suspect(query.Now)
 }
