--- a/internal/direct/tally/group.go
+++ b/internal/direct/tally/group.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// Group adds up what this daemon and some others have in progress.
+// Group returns the requests that this daemon and the named peers have in progress.
 func (tally *Tally) Group(names []string) Share {
 	group := tally.own.Clone()
 	for _, name := range names {
@@ -17,8 +17,8 @@
 	return group
 }
 
-// Changes returns what differs from an earlier share: the present values, 0 for what
-// has ended. A server at which only uses differ is named with its load as well.
+// Changes returns the delta from an earlier share: the present values of what differs, and
+// 0 for what has ended. A server at which only uses differ is included with its load.
 func (share Share) Changes(before Share) Share {
 	changes := newShare()
 	for server, load := range share.Loads {
@@ -46,12 +46,12 @@
 	return changes
 }
 
-// Empty reports whether a share names nothing.
+// Empty reports whether a share contains no loads and no uses.
 func (share Share) Empty() bool {
 	return len(share.Loads) == 0 && len(share.Uses) == 0
 }
 
-// With returns the share with changes as Changes returned them.
+// With returns the share with a delta from Changes applied.
 func (share Share) With(changes Share) Share {
 	after := share.Clone()
 	if after.Loads == nil {
--- a/internal/direct/tally/group_test.go
+++ b/internal/direct/tally/group_test.go
@@ -10,7 +10,7 @@
 	"teaselmoor/internal/direct/tally"
 )
 
-// share draws what a daemon has in progress.
+// share draws the requests that a daemon has in progress.
 func share(t *rapid.T, name string) tally.Share {
 	drawn := tally.Share{Loads: make(map[string]tally.Load), Uses: make(map[tally.Use]int)}
 	for range rapid.IntRange(0, 6).Draw(t, name) {
@@ -25,21 +25,22 @@
 	return drawn
 }
 
-// TestChanges: a share with the changes to another one is that other one.
-func TestChanges(t *testing.T) {
+// TestDeltaApplied: applying the delta between two shares to the first one gives the second.
+func TestDeltaApplied(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := share(t, "before"), share(t, "after")
 		changes := after.Changes(before)
 		require.Equal(t, after, before.With(changes))
 		require.True(t, after.Changes(after).Empty())
 		for use := range changes.Uses {
-			require.Contains(t, changes.Loads, use.Server, "uses travel with the load of their server")
+			require.Contains(t, changes.Loads, use.Server, "a delta with uses includes the load of their server")
 		}
 	})
 }
 
-// TestGroup: a hub tells the work of its group, not that of other hubs' groups.
-func TestGroup(t *testing.T) {
+// TestGroupExcludesOtherHubs: the counts that a hub sends are those of its own group and not
+// those of other hubs.
+func TestGroupExcludesOtherHubs(t *testing.T) {
 	counted := tally.New()
 	adapter := port.Adapter{Model: "m", Name: "a"}
 	counted.Begin(tally.Use{Server: "s1", Adapter: adapter}, 20)
--- a/internal/direct/tally/tally.go
+++ b/internal/direct/tally/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts the requests in progress at backend servers: a daemon's
-// own at once, those of other daemons as they tell, either each by itself or added
-// up by a hub. It does no I/O.
+// Package tally counts the requests in progress at backend servers: this daemon's own
+// requests immediately, and those of other daemons as these report them, either directly
+// or as aggregated counts from a hub. It does no I/O.
 package tally
 
 import (
@@ -12,10 +12,10 @@
 // Load is the work in progress at a server.
 type Load struct {
 	Runs    int // requests sent or about to be sent
-	Reading int // prompt tokens of requests that have not had a first event
+	Reading int // prompt tokens of requests that have had no event of their answer yet
 }
 
-// Use is an adapter at a server.
+// Use identifies an adapter at a server.
 type Use struct {
 	Server  string
 	Adapter port.Adapter
@@ -24,13 +24,13 @@
 // Sum is the work of several daemons at a server.
 type Sum struct {
 	Load
-	Adapters int // in use or waited for
+	Adapters int // adapters that requests use or wait for
 }
 
-// Share is what one daemon has in progress.
+// Share holds the requests that one daemon, or a group of them, has in progress.
 type Share struct {
-	Loads map[string]Load
-	Uses  map[Use]int
+	Loads map[string]Load // by server
+	Uses  map[Use]int     // requests that use an adapter or wait for it
 }
 
 // Clone returns a copy.
@@ -42,63 +42,64 @@
 	return Share{Loads: make(map[string]Load), Uses: make(map[Use]int)}
 }
 
-// Tally adds the shares of all daemons.
+// Tally adds up the shares of all daemons. Other daemons are counted either by their own
+// shares or by the aggregated counts from a hub, never by both.
 type Tally struct {
-	own    Share
-	peers  map[string]Share
-	loads  map[string]Load // own and peers' work, by server
-	uses   serverUses      // the same for adapters
-	others map[string]Sum  // by server, added up by a hub
-	used   serverUses      // the same for uses, at servers that this daemon orders
+	own     Share
+	peers   map[string]Share
+	loads   map[string]Load // of this daemon and its peers, by server
+	uses    serverUses      // of this daemon and its peers
+	hubSums map[string]Sum  // of other daemons by server, from a hub
+	hubUses serverUses      // of other daemons at servers that this daemon owns, from a hub
 }
 
-// serverUses counts the requests that use adapters, by server, those that wait for
-// one included: each adapter takes a place there. Requests without an adapter are
-// not counted.
+// serverUses counts the requests that use or wait for an adapter, by server and adapter.
+// Each adapter takes an adapter slot of the server. Requests without an adapter are not
+// counted.
 type serverUses map[string]map[port.Adapter]int
 
 func (uses serverUses) add(use Use, count int) {
 	if use.Adapter.Name == "" {
 		return
 	}
-	of, ok := uses[use.Server]
+	counts, ok := uses[use.Server]
 	if !ok {
-		of = make(map[port.Adapter]int)
-		uses[use.Server] = of
+		counts = make(map[port.Adapter]int)
+		uses[use.Server] = counts
 	}
-	of[use.Adapter] += count
-	if of[use.Adapter] == 0 {
-		delete(of, use.Adapter)
+	counts[use.Adapter] += count
+	if counts[use.Adapter] == 0 {
+		delete(counts, use.Adapter)
 	}
-	if len(of) == 0 {
+	if len(counts) == 0 {
 		delete(uses, use.Server)
 	}
 }
 
-// New returns a tally of nothing.
+// New returns a tally without requests.
 func New() *Tally {
 	return &Tally{
 		own: newShare(), peers: make(map[string]Share), loads: make(map[string]Load), uses: make(serverUses),
-		others: make(map[string]Sum), used: make(serverUses),
+		hubSums: make(map[string]Sum), hubUses: make(serverUses),
 	}
 }
 
-// Begin counts a request of this daemon, and prompt tokens that are to be read for it.
+// Begin counts a request of this daemon and the tokens of its prompt.
 func (tally *Tally) Begin(use Use, prompt int) {
 	tally.change(use, Load{Runs: 1, Reading: prompt}, 1)
 }
 
-// Read counts the prompt of a request that begins to be read.
+// Read counts the prompt of a request that was begun without one, when reading starts.
 func (tally *Tally) Read(use Use, prompt int) {
 	tally.change(use, Load{Reading: prompt}, 0)
 }
 
-// First notes the first event of a request's answer.
+// First discounts the prompt of a request at the first event of its answer.
 func (tally *Tally) First(use Use, prompt int) {
 	tally.change(use, Load{Reading: -prompt}, 0)
 }
 
-// End takes a request off. Prompt is what First has not taken off yet.
+// End discounts a request that has ended. Prompt is the tokens that First has not discounted.
 func (tally *Tally) End(use Use, prompt int) {
 	tally.change(use, Load{Runs: -1, Reading: -prompt}, -1)
 }
@@ -112,10 +113,10 @@
 	}
 }
 
-// Distinct returns how many adapters are in use or waited for at a server. Of the
-// own ones and those of a hub's sum most are the same: the larger number counts.
+// Distinct returns how many adapters requests use or wait for at a server. It is the larger
+// of the directly known number and the hub's, as most adapters are counted in both.
 func (tally *Tally) Distinct(server string) int {
-	return max(len(tally.uses[server]), tally.others[server].Adapters)
+	return max(len(tally.uses[server]), tally.hubSums[server].Adapters)
 }
 
 func addLoad(loads map[string]Load, server string, load Load) {
@@ -136,13 +137,13 @@
 	}
 }
 
-// Own returns what this daemon has in progress. It must not be changed.
+// Own returns the requests that this daemon has in progress. They must not be modified.
 func (tally *Tally) Own() Share {
 	return tally.own
 }
 
-// Peer replaces the share of another daemon. It returns the uses that are more
-// than before, with the difference, and those that have ended, with 0.
+// Peer replaces the share of another daemon. It returns the uses that have increased, with
+// the difference, and those that have ended, with 0.
 func (tally *Tally) Peer(name string, share Share) map[Use]int {
 	changed := make(map[Use]int)
 	before := tally.peers[name].Uses
@@ -158,18 +159,18 @@
 	}
 	tally.Forget(name)
 	tally.peers[name] = share
-	tally.apply(share, 1)
+	tally.addShare(share, 1)
 	return changed
 }
 
-// PeerLoads replaces what another daemon has in progress at some servers; what uses
-// which adapter there is as Peer said.
+// PeerLoads replaces the loads of another daemon at some servers. The uses of its share
+// stay as they are.
 func (tally *Tally) PeerLoads(name string, loads map[string]Load) {
 	share, ok := tally.peers[name]
 	if !ok {
-		return // its whole share comes soon
+		return // its full share follows soon
 	}
-	share.Loads = maps.Clone(share.Loads) // the map is the caller's of Peer
+	share.Loads = maps.Clone(share.Loads) // the map belongs to the caller of Peer
 	for server, load := range loads {
 		before := share.Loads[server]
 		addLoad(tally.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
@@ -178,13 +179,13 @@
 	tally.peers[name] = share
 }
 
-// Forget drops the share of a daemon that is gone.
+// Forget removes the share of a daemon that has gone.
 func (tally *Tally) Forget(name string) {
-	tally.apply(tally.peers[name], -1)
+	tally.addShare(tally.peers[name], -1)
 	delete(tally.peers, name)
 }
 
-func (tally *Tally) apply(share Share, sign int) {
+func (tally *Tally) addShare(share Share, sign int) {
 	for server, load := range share.Loads {
 		addLoad(tally.loads, server, Load{Runs: sign * load.Runs, Reading: sign * load.Reading})
 	}
@@ -193,77 +194,77 @@
 	}
 }
 
-// Load returns the work in progress at a server, of all daemons.
+// Load returns the work of all daemons in progress at a server.
 func (tally *Tally) Load(server string) Load {
-	own, others := tally.loads[server], tally.others[server]
+	own, others := tally.loads[server], tally.hubSums[server]
 	return Load{Runs: own.Runs + others.Runs, Reading: own.Reading + others.Reading}
 }
 
-// Uses returns how many requests of all daemons use an adapter at a server.
+// Uses returns how many requests of all daemons use or wait for an adapter at a server.
 func (tally *Tally) Uses(use Use) int {
-	return tally.uses[use.Server][use.Adapter] + tally.used[use.Server][use.Adapter]
+	return tally.uses[use.Server][use.Adapter] + tally.hubUses[use.Server][use.Adapter]
 }
 
-// UsesAt returns how many requests of all daemons use each adapter of a server or wait
-// for it there.
+// UsesAt returns how many requests of all daemons use or wait for each adapter at a server.
 func (tally *Tally) UsesAt(server string) map[port.Adapter]int {
 	uses := maps.Clone(tally.uses[server])
 	if uses == nil {
 		uses = make(map[port.Adapter]int)
 	}
-	for adapter, count := range tally.used[server] {
+	for adapter, count := range tally.hubUses[server] {
 		uses[adapter] += count
 	}
 	return uses
 }
 
-// Others adds up the work of all daemons but one, by server.
-func (tally *Tally) Others(but string) map[string]Sum {
-	left := tally.peers[but]
+// Others returns the aggregated counts of all daemons but one, by server.
+func (tally *Tally) Others(except string) map[string]Sum {
+	excluded := tally.peers[except]
 	sums := make(map[string]Sum, len(tally.loads))
 	for server, load := range tally.loads {
-		taken := left.Loads[server]
+		without := excluded.Loads[server]
 		sums[server] = Sum{
-			Load:     Load{Runs: load.Runs - taken.Runs, Reading: load.Reading - taken.Reading},
+			Load:     Load{Runs: load.Runs - without.Runs, Reading: load.Reading - without.Reading},
 			Adapters: len(tally.uses[server]),
 		}
 	}
 	return sums
 }
 
-// UsesBut returns how many requests of all daemons but one use each adapter of a
-// server.
-func (tally *Tally) UsesBut(but, server string) map[port.Adapter]int {
-	left := tally.peers[but].Uses
+// UsesBut returns how many requests of all daemons but one use or wait for each adapter at
+// a server.
+func (tally *Tally) UsesBut(except, server string) map[port.Adapter]int {
+	excluded := tally.peers[except].Uses
 	uses := make(map[port.Adapter]int)
 	for adapter, count := range tally.uses[server] {
-		if more := count - left[Use{Server: server, Adapter: adapter}]; more > 0 {
+		if more := count - excluded[Use{Server: server, Adapter: adapter}]; more > 0 {
 			uses[adapter] = more
 		}
 	}
 	return uses
 }
 
-// SetOthers replaces what a hub has added up; what daemons told themselves counts
-// no more.
+// SetOthers replaces the aggregated counts from a hub, and removes the shares of peers,
+// which those include.
 func (tally *Tally) SetOthers(sums map[string]Sum) {
 	for name := range tally.peers {
 		tally.Forget(name)
 	}
-	tally.others = sums
+	tally.hubSums = sums
 }
 
-// ClearOthers drops what a hub has added up: each daemon tells itself now.
+// ClearOthers removes the aggregated counts from a hub, as each daemon reports its own share
+// from now on.
 func (tally *Tally) ClearOthers() {
-	tally.others = make(map[string]Sum)
-	clear(tally.used)
+	tally.hubSums = make(map[string]Sum)
+	clear(tally.hubUses)
 }
 
-// SetUses replaces the uses of adapters by other daemons at a server that this one
-// orders. It returns the changes as Peer does.
+// SetUses replaces the uses, from a hub, of adapters by other daemons at a server that this
+// daemon owns. It returns the changes as Peer does.
 func (tally *Tally) SetUses(server string, uses map[port.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
-	before := tally.used[server]
+	before := tally.hubUses[server]
 	for adapter, count := range uses {
 		if more := count - before[adapter]; more > 0 {
 			changed[Use{Server: server, Adapter: adapter}] = more
@@ -274,6 +275,6 @@
 			changed[Use{Server: server, Adapter: adapter}] = 0
 		}
 	}
-	tally.used[server] = uses
+	tally.hubUses[server] = uses
 	return changed
 }
--- a/internal/direct/tally/tally_test.go
+++ b/internal/direct/tally/tally_test.go
@@ -14,7 +14,7 @@
 	return tally.Use{Server: server, Adapter: port.Adapter{Model: "m", Name: adapter}}
 }
 
-func TestOwnAndPeersAddUp(t *testing.T) {
+func TestOwnAndPeerRequestsAreAdded(t *testing.T) {
 	work := tally.New()
 	work.Begin(use("s", "a"), 100)
 	changed := work.Peer("p", tally.Share{
@@ -33,9 +33,9 @@
 	require.Zero(t, work.Distinct("s"))
 }
 
-// TestSumsOfAHub: a daemon that a hub tells sums counts what one that hears all
-// others counts.
-func TestSumsOfAHub(t *testing.T) {
+// TestHubCountsEqualPeerCounts: a daemon that gets aggregated counts from a hub has the same
+// counts as one that gets the shares of all others.
+func TestHubCountsEqualPeerCounts(t *testing.T) {
 	hub, member, full := tally.New(), tally.New(), tally.New()
 	own := tally.Share{
 		Loads: map[string]tally.Load{"s": {Runs: 1, Reading: 10}}, Uses: map[tally.Use]int{use("s", "a"): 1},
@@ -66,8 +66,8 @@
 	require.Equal(t, 1, member.Uses(use("s", "a")))
 }
 
-// TestNothingIsLeft draws requests and shares; when all have ended nothing counts.
-func TestNothingIsLeft(t *testing.T) {
+// TestCountsReturnToZero draws requests and shares; once all have ended, all counts are zero.
+func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := tally.New()
 		type running struct {
@@ -105,19 +105,19 @@
 	})
 }
 
-// TestPeerLoads: news of some servers replaces what a peer has in progress there, and
-// the whole share that comes later counts once.
-func TestPeerLoads(t *testing.T) {
+// TestPeerLoadsAreReplaced: an update for some servers replaces a peer's loads there, and
+// the full share that follows is not counted twice.
+func TestPeerLoadsAreReplaced(t *testing.T) {
 	counted := tally.New()
 	counted.PeerLoads("peer", map[string]tally.Load{"a": {Runs: 1, Reading: 10}})
-	require.Zero(t, counted.Load("a"), "its whole share was not heard yet")
+	require.Zero(t, counted.Load("a"), "the peer's full share has not been received yet")
 	share := tally.Share{Loads: map[string]tally.Load{"a": {Runs: 1, Reading: 10}, "b": {Runs: 2}}}
 	counted.Peer("peer", share)
 	counted.PeerLoads("peer", map[string]tally.Load{"a": {Runs: 3, Reading: 40}, "c": {Runs: 1, Reading: 5}, "b": {}})
 	require.Equal(t, tally.Load{Runs: 3, Reading: 40}, counted.Load("a"))
 	require.Zero(t, counted.Load("b"))
 	require.Equal(t, tally.Load{Runs: 1, Reading: 5}, counted.Load("c"))
-	require.Equal(t, tally.Load{Runs: 1, Reading: 10}, share.Loads["a"], "the share is the caller's")
+	require.Equal(t, tally.Load{Runs: 1, Reading: 10}, share.Loads["a"], "the share belongs to the caller")
 	counted.Peer("peer", tally.Share{Loads: map[string]tally.Load{"a": {Runs: 1}}})
 	require.Equal(t, tally.Load{Runs: 1}, counted.Load("a"))
 	require.Zero(t, counted.Load("c"))
