--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -5,37 +5,37 @@
 	"teaselmoor/internal/direct/port"
 )
 
-// Done takes the result of an order.
+// Done applies the result of an order.
 func (planner *Planner) Done(now clock.Millis, order port.Order, result port.Result, traffic Traffic) {
 	if result != port.Conflict && result != port.Fenced && result != port.Other {
-		planner.ordered = now
+		planner.lastOrderAt = now
 	}
 	switch result {
 	case port.Accepted, port.Holds:
-		planner.shown = true
+		planner.fenceKnown = true
 		planner.accepted(now, order, result == port.Holds, traffic)
 	case port.Conflict:
-		planner.waitTo = now + planner.options.Backoff
+		planner.waitUntil = now + planner.options.Backoff
 	case port.Unknown:
 		planner.unanswered(now, order)
 	case port.Other, port.Fenced:
-		planner.known = false
-		planner.shown = false
+		planner.reportValid = false
+		planner.fenceKnown = false
 	case port.Invalid:
 		planner.refused(now, order)
 	}
 }
 
-// unanswered counts a load that may have been accepted: its place is taken until
-// the order, given again, is answered.
+// unanswered handles an order without an answer. A load may have been accepted, so it takes
+// an adapter slot until the order has been repeated and answered.
 func (planner *Planner) unanswered(now clock.Millis, order port.Order) {
-	planner.waitTo = now + planner.options.Backoff
+	planner.waitUntil = now + planner.options.Backoff
 	planner.number++
 	if !order.Load {
-		return // the adapter keeps its place
+		return // the adapter keeps its adapter slot
 	}
 	if order.Adapter.Name == "" {
-		planner.modelOnItsWay(now, order.Adapter.Model, planner.waitTo)
+		planner.modelStarted(now, order.Adapter.Model, planner.waitUntil)
 		return
 	}
 	held, ok := planner.slots[order.Adapter]
@@ -45,9 +45,10 @@
 	}
 	held.loading = true
 	held.began = 0
-	held.checkAt = planner.waitTo
+	held.checkAt = planner.waitUntil
 }
 
+// accepted handles an order that the server has accepted, or whose result it already holds.
 func (planner *Planner) accepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
 	planner.number++
 	switch {
@@ -60,7 +61,7 @@
 	}
 }
 
-// unloadAccepted frees the place once nothing runs on the adapter any more: until
+// unloadAccepted frees the adapter slot once no request uses the adapter any more. Until
 // then the server still counts it.
 func (planner *Planner) unloadAccepted(now clock.Millis, adapter port.Adapter, holds bool) {
 	held, ok := planner.slots[adapter]
@@ -68,28 +69,29 @@
 		delete(planner.slots, adapter)
 		return
 	}
-	held.leaving = true
+	held.unloading = true
 	held.checkAt = now + planner.options.CheckInterval
 }
 
 func (planner *Planner) modelAccepted(now clock.Millis, model string, holds bool) {
 	if holds {
 		planner.models[model] = true
-		delete(planner.coming, model)
+		delete(planner.modelLoads, model)
 		return
 	}
-	planner.modelOnItsWay(now, model, now+planner.options.ModelCheckInterval)
+	planner.modelStarted(now, model, now+planner.options.ModelCheckInterval)
 }
 
-func (planner *Planner) modelOnItsWay(now clock.Millis, model string, checkAt clock.Millis) {
-	load, known := planner.coming[model]
+func (planner *Planner) modelStarted(now clock.Millis, model string, checkAt clock.Millis) {
+	load, known := planner.modelLoads[model]
 	if !known {
 		load.since = now
 	}
 	load.checkAt = checkAt
-	planner.coming[model] = load
+	planner.modelLoads[model] = load
 }
 
+// loadAccepted records that a load was started, is still in progress, or has ended.
 func (planner *Planner) loadAccepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
 	held, ok := planner.slots[order.Adapter]
 	if !ok {
@@ -98,7 +100,7 @@
 	}
 	if holds {
 		if held.began > 0 {
-			planner.rate.Observe(Observation{OnWay: held.onWay, Servers: traffic.Servers, Least: held.seenFor, Most: now - held.began})
+			planner.rate.Observe(Observation{InFlight: held.inFlight, Servers: traffic.Servers, MinTime: held.lastSeenAfter, MaxTime: now - held.began})
 		}
 		held.loading = false
 		held.checks = 0
@@ -112,35 +114,36 @@
 	if !held.loading {
 		held.loading = true
 		held.checks = 0
-		planner.begin(now, order.Adapter, held, traffic)
+		planner.loadStarted(now, order.Adapter, held, traffic)
 		return
 	}
 	held.checks++
 	if held.began > 0 {
-		held.seenFor = now - held.began
+		held.lastSeenAfter = now - held.began
 	}
 	held.checkAt = now + planner.options.CheckInterval
 	if held.checks > planner.options.MostChecks {
-		planner.known = false
+		planner.reportValid = false
 	}
 }
 
-// begin notes the start of a load, and when it is expected to have ended.
-func (planner *Planner) begin(now clock.Millis, adapter port.Adapter, held *slot, traffic Traffic) {
-	if planner.atHand(adapter) {
-		held.began = 0 // it says nothing of the weight store
+// loadStarted records the start of a load and when to check it first.
+func (planner *Planner) loadStarted(now clock.Millis, adapter port.Adapter, held *slot, traffic Traffic) {
+	if planner.recentlyHeld(adapter) {
+		held.began = 0 // its duration says nothing about the weight store
 		held.checkAt = now + planner.rate.RecentTime()
 		return
 	}
 	held.began = now
-	held.seenFor = 0
-	held.onWay = traffic.OnWay + 1
-	held.checkAt = now + planner.rate.FirstLook(held.onWay, traffic.Servers)
+	held.lastSeenAfter = 0
+	held.inFlight = traffic.OnWay + 1
+	held.checkAt = now + planner.rate.FirstCheck(held.inFlight, traffic.Servers)
 }
 
-// refused drops what the server says makes no sense, so that it is not tried for ever.
+// refused drops a want whose order the server rejects as invalid, so that it is not repeated
+// forever.
 func (planner *Planner) refused(now clock.Millis, order port.Order) {
 	delete(planner.wants, order.Adapter)
-	planner.waitTo = now + planner.options.Backoff
-	planner.known = false
+	planner.waitUntil = now + planner.options.Backoff
+	planner.reportValid = false
 }
