--- a/internal/direct/fleet/draining.go
+++ b/internal/direct/fleet/draining.go
@@ -10,7 +10,7 @@
 // a backup says that it is ready. There is also a record, with ignoreUntil, for a process
 // that was removed before the store was restored.
 type drainRecord struct {
-	born         int64        // start of the process
+	startedAt    int64        // start of the process
 	at           clock.Millis // when its entry was removed, or its notice came before the entry; 0: the entry is there
 	noticeNumber int64        // number of the drain notice; 0: the store reported the draining
 	ignoreUntil  clock.Millis // when an entry that says ready is applied again; 0: never
@@ -26,7 +26,7 @@
 // Leaving applies a drain notice, which this daemon or another one has received from the
 // server. It reports whether the notice is new.
 func (fleet *Fleet) Leaving(now clock.Millis, notice Departure) bool {
-	if earlier, ok := fleet.draining[notice.Server]; ok && earlier.ignoreUntil == 0 && notice.Born <= earlier.born {
+	if earlier, ok := fleet.draining[notice.Server]; ok && earlier.ignoreUntil == 0 && notice.Born <= earlier.startedAt {
 		return false
 	}
 	member, known := fleet.members[notice.Server]
@@ -34,7 +34,7 @@
 		return false // another process has started under the id
 	}
 	fleet.noticeCount++
-	fleet.draining[notice.Server] = drainRecord{born: notice.Born, at: now, noticeNumber: fleet.noticeCount}
+	fleet.draining[notice.Server] = drainRecord{startedAt: notice.Born, at: now, noticeNumber: fleet.noticeCount}
 	if known {
 		member.Draining = true
 		fleet.byService = nil
@@ -55,7 +55,7 @@
 	var notices []Departure
 	for id, record := range fleet.draining {
 		if record.noticeNumber > number {
-			notices = append(notices, Departure{Server: id, Born: record.born})
+			notices = append(notices, Departure{Server: id, Born: record.startedAt})
 		}
 	}
 	return notices
@@ -65,7 +65,7 @@
 // to an earlier notice.
 func (fleet *Fleet) isDraining(server port.Server) bool {
 	record, ok := fleet.draining[server.ID]
-	if ok && server.Born <= record.born {
+	if ok && server.Born <= record.startedAt {
 		if server.Draining {
 			record.ignoreUntil = 0
 			fleet.draining[server.ID] = record
@@ -73,7 +73,7 @@
 		return true
 	}
 	if server.Draining {
-		fleet.draining[server.ID] = drainRecord{born: server.Born}
+		fleet.draining[server.ID] = drainRecord{startedAt: server.Born}
 		return true
 	}
 	delete(fleet.draining, server.ID) // another process has started under the id
@@ -106,7 +106,7 @@
 // its entry. It does not if the entry belongs to an earlier process than the removed one, as
 // that has ended.
 func (fleet *Fleet) endDraining(id string, member *Member, record drainRecord) {
-	if member != nil && member.Born < record.born {
+	if member != nil && member.Born < record.startedAt {
 		record.ignoreUntil = 0
 		fleet.draining[id] = record
 		return
--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -68,9 +68,9 @@
 
 // tombstone records the removal of a server's entry.
 type tombstone struct {
-	revision int64
-	born     int64 // start of the process that the entry belonged to
-	at       clock.Millis
+	revision  int64
+	startedAt int64 // start of the process that the entry belonged to
+	at        clock.Millis
 }
 
 // New returns an empty fleet.
@@ -231,7 +231,7 @@
 
 // hasReport reports whether there is a report of the server since the start of its process.
 func (member *Member) hasReport() bool {
-	return member.reportRead && member.reportBorn >= member.Born
+	return member.reportRead && member.reportStartedAt >= member.Born
 }
 
 // HoldingsUnknown reports whether there is neither an owner's table nor a report of the
@@ -240,20 +240,20 @@
 	return !member.hasTable() && !member.hasReport()
 }
 
-// SetReported applies a server's own report of what it holds. Born is the start of the
+// SetReported applies a server's own report of what it holds. StartedAt is the start of the
 // reporting process. The report is used until the server's owner sends a table.
-func (fleet *Fleet) SetReported(id string, born int64, holdings []port.Holding) {
+func (fleet *Fleet) SetReported(id string, startedAt int64, holdings []port.Holding) {
 	if member, ok := fleet.members[id]; ok {
 		fleet.reports++
-		member.reportRead, member.reportBorn, member.reported = true, born, holdings
+		member.reportRead, member.reportStartedAt, member.reported = true, startedAt, holdings
 		fleet.updateHoldings(member)
 	}
 }
 
 // Reported returns a server's own report of what it holds and the start of the reporting
 // process. It returns false once the server's owner has sent a table.
-func (member *Member) Reported() (born int64, holdings []port.Holding, ok bool) {
-	return member.reportBorn, member.reported, member.hasReport() && !member.hasTable()
+func (member *Member) Reported() (startedAt int64, holdings []port.Holding, ok bool) {
+	return member.reportStartedAt, member.reported, member.hasReport() && !member.hasTable()
 }
 
 // Tables returns the tables of the servers' owners, by server. The map must not be modified.
@@ -304,7 +304,7 @@
 
 // removeMember removes a server and leaves a tombstone.
 func (fleet *Fleet) removeMember(now clock.Millis, member *Member, revision int64) {
-	fleet.tombstones[member.ID] = tombstone{revision: revision, born: member.Born, at: now}
+	fleet.tombstones[member.ID] = tombstone{revision: revision, startedAt: member.Born, at: now}
 	fleet.recordRemoval(now, member.ID)
 	delete(fleet.members, member.ID)
 	fleet.sorted = nil
--- a/internal/direct/fleet/member.go
+++ b/internal/direct/fleet/member.go
@@ -44,8 +44,8 @@
 	recent         map[port.Adapter]int // recently held adapters, with recentSequence when last held
 	recentSequence int                  // increases with each adapter of each update
 
-	reportRead bool
-	reportBorn int64 // start of the process that reported
+	reportRead      bool
+	reportStartedAt int64 // start of the process that reported
 
 	modelLoading bool            // a base model is being loaded
 	onDisk       map[string]bool // base models that it has held, including before restarts
--- a/internal/direct/fleet/restored.go
+++ b/internal/direct/fleet/restored.go
@@ -23,7 +23,7 @@
 	}
 	for id, stone := range fleet.tombstones {
 		if _, known := fleet.draining[id]; !known {
-			fleet.draining[id] = drainRecord{born: stone.born, at: stone.at, ignoreUntil: until}
+			fleet.draining[id] = drainRecord{startedAt: stone.startedAt, at: stone.at, ignoreUntil: until}
 		}
 		stone.revision = 0
 		fleet.tombstones[id] = stone
@@ -32,6 +32,6 @@
 
 // isOutdated reports whether an entry, from the backup that the store was restored from,
 // belongs to an earlier process than the one known.
-func (member *Member) isOutdated(born int64) bool {
-	return member.Revision == 0 && born < member.Born
+func (member *Member) isOutdated(startedAt int64) bool {
+	return member.Revision == 0 && startedAt < member.Born
 }
