--- a/internal/direct/choose/choose_test.go
+++ b/internal/direct/choose/choose_test.go
@@ -18,8 +18,8 @@
 
 var adapter = port.Adapter{Model: "m", Name: "a1"}
 
-// site returns a fleet of servers that hold the base model and no adapter.
-func site(count int) (*fleet.Fleet, *tally.Tally) {
+// newFleet returns a fleet of servers that hold the base model and no adapter.
+func newFleet(count int) (*fleet.Fleet, *tally.Tally) {
 	servers := fleet.New(fleet.DefaultOptions())
 	for i := range count {
 		servers.Put(port.Server{ID: fmt.Sprint("s", i), Service: service, Slots: 64, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
@@ -31,7 +31,7 @@
 	return choose.Query{Now: 100_000, Service: service, Attempt: xxhash.Sum64String(attempt), Adapter: adapter, Prompt: 1000, Places: 17}
 }
 
-func hold(servers *fleet.Fleet, server string, number int64, slots ...fleet.Slot) {
+func setTable(servers *fleet.Fleet, server string, number int64, slots ...fleet.Slot) {
 	servers.SetTable(fleet.Table{Server: server, Fence: 1, Number: number, Models: []string{"m"}, Slots: slots})
 }
 
@@ -47,7 +47,7 @@
 // TestDaemonsAgreeOnServerForUnloadedAdapter guards against requests that arrive at
 // several daemons at once having the adapter loaded at more than one server.
 func TestDaemonsAgreeOnServerForUnloadedAdapter(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	home := pick(t, servers, work, query("r0")).Member.ID
 	for i := range 50 {
 		require.Equal(t, home, pick(t, servers, work, query(fmt.Sprint("r", i))).Member.ID)
@@ -55,13 +55,13 @@
 }
 
 func TestHolderIsPreferredToALoad(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	home := pick(t, servers, work, query("r")).Member.ID
 	holder := "s0"
 	if home == holder {
 		holder = "s1"
 	}
-	hold(servers, holder, 1, fleet.Slot{Adapter: adapter, Version: 1})
+	setTable(servers, holder, 1, fleet.Slot{Adapter: adapter, Version: 1})
 	choice := pick(t, servers, work, query("r"))
 	require.Equal(t, holder, choice.Member.ID)
 	require.True(t, choice.Held)
@@ -72,21 +72,21 @@
 // TestServerThatHeldAdapterRecentlyIsPreferred: such a server loads the adapter ten times
 // as fast and not from the weight store.
 func TestServerThatHeldAdapterRecentlyIsPreferred(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	home := pick(t, servers, work, query("r")).Member.ID
 	former := "s0"
 	if home == former {
 		former = "s1"
 	}
-	hold(servers, former, 1, fleet.Slot{Adapter: adapter, Version: 1})
-	hold(servers, former, 2)
+	setTable(servers, former, 1, fleet.Slot{Adapter: adapter, Version: 1})
+	setTable(servers, former, 2)
 	require.Equal(t, former, pick(t, servers, work, query("r")).Member.ID)
 }
 
 // TestWaitingRequestStaysAtItsServer: a request stays where its adapter is being loaded
 // unless another server can run it at once.
 func TestWaitingRequestStaysAtItsServer(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	asked := query("r")
 	asked.Waiting = pick(t, servers, work, asked).Member.ID
 	work.Begin(tally.Use{Server: asked.Waiting}, 400_000)
@@ -95,13 +95,13 @@
 	if asked.Waiting == other {
 		other = "s1"
 	}
-	hold(servers, other, 1, fleet.Slot{Adapter: adapter, Version: 1})
+	setTable(servers, other, 1, fleet.Slot{Adapter: adapter, Version: 1})
 	require.Equal(t, other, pick(t, servers, work, asked).Member.ID)
 }
 
 func TestOldVersionDoesNotServe(t *testing.T) {
-	servers, work := site(2)
-	hold(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
+	servers, work := newFleet(2)
+	setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
 	asked := query("r")
 	asked.Version = 2
 	require.False(t, pick(t, servers, work, asked).Held)
@@ -109,7 +109,7 @@
 
 // TestServerWithoutOwnerIsAvoided: a load there waits until a daemon owns the server.
 func TestServerWithoutOwnerIsAvoided(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	asked := query("r")
 	home := pick(t, servers, work, asked).Member.ID
 	asked.Ordered = func(server string) bool { return server != home }
@@ -119,7 +119,7 @@
 // TestServerWithAllAdapterSlotsInUseIsAvoided: another adapter can be loaded there only
 // after the requests of one have ended.
 func TestServerWithAllAdapterSlotsInUseIsAvoided(t *testing.T) {
-	servers, work := site(2)
+	servers, work := newFleet(2)
 	home := pick(t, servers, work, query("r")).Member.ID
 	for i := range 18 {
 		work.Begin(tally.Use{Server: home, Adapter: port.Adapter{Model: "m", Name: fmt.Sprint("x", i)}}, 0)
@@ -128,9 +128,9 @@
 }
 
 func TestFailingServerIsAvoided(t *testing.T) {
-	servers, work := site(2)
-	hold(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
-	hold(servers, "s1", 1, fleet.Slot{Adapter: adapter, Version: 1})
+	servers, work := newFleet(2)
+	setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
+	setTable(servers, "s1", 1, fleet.Slot{Adapter: adapter, Version: 1})
 	for range 3 {
 		servers.Answered(100_000, "s0", true)
 	}
@@ -143,13 +143,13 @@
 // the requests ends. Copies must also be loaded beyond the first servers of the adapter's
 // rendezvous order; otherwise one server of 90 had 2.8 times the mean load.
 func TestHotAdapterIsCopied(t *testing.T) {
-	servers, work := site(30)
+	servers, work := newFleet(30)
 	loads := 0
 	for i := range 1500 {
 		choice := pick(t, servers, work, query(fmt.Sprint(i)))
 		if !choice.Held {
 			loads++
-			hold(servers, choice.Member.ID, int64(i+1), fleet.Slot{Adapter: adapter, Version: 1})
+			setTable(servers, choice.Member.ID, int64(i+1), fleet.Slot{Adapter: adapter, Version: 1})
 		}
 		chosen := tally.Use{Server: choice.Member.ID, Adapter: adapter}
 		work.Begin(chosen, 1000)
@@ -166,10 +166,10 @@
 // TestCopyForMuchBusierHolder: a copy is requested once the only holder is much busier than
 // other servers, at one server only, and the request itself does not wait for it.
 func TestCopyForMuchBusierHolder(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	often := query("r")
 	often.Frequent = true
-	hold(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
+	setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
 	use := tally.Use{Server: "s0", Adapter: adapter}
 	work.Begin(use, 1000) // 50 ms to read
 	require.Nil(t, pick(t, servers, work, often).Copy)
@@ -182,7 +182,7 @@
 	asked := often
 	asked.Ordered = func(string) bool { return false }
 	require.Nil(t, pick(t, servers, work, asked).Copy, "the server has no owner that could order the load")
-	hold(servers, choice.Copy.ID, 1, fleet.Slot{Adapter: adapter, Coming: true})
+	setTable(servers, choice.Copy.ID, 1, fleet.Slot{Adapter: adapter, Coming: true})
 	require.Nil(t, pick(t, servers, work, often).Copy, "a copy is being loaded already")
 }
 
@@ -190,7 +190,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{9, 140, 1500} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			servers, work := site(count)
+			servers, work := newFleet(count)
 			weights := choose.DefaultWeights()
 			asked := query("r")
 			b.Run("miss", func(b *testing.B) {
@@ -200,7 +200,7 @@
 				}
 			})
 			for i := range min(count, 20) {
-				hold(servers, fmt.Sprint("s", i), 1, fleet.Slot{Adapter: adapter, Version: 1})
+				setTable(servers, fmt.Sprint("s", i), 1, fleet.Slot{Adapter: adapter, Version: 1})
 			}
 			b.Run("hit", func(b *testing.B) {
 				b.ReportAllocs()
@@ -217,11 +217,11 @@
 func TestShortcutDoesNotChangeChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "servers")
-		servers, work := site(count)
+		servers, work := newFleet(count)
 		for i := range count {
 			server := fmt.Sprint("s", i)
 			if rapid.Bool().Draw(t, "held") {
-				hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1, Coming: rapid.Bool().Draw(t, "coming")})
+				setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1, Coming: rapid.Bool().Draw(t, "coming")})
 			}
 			if rapid.Bool().Draw(t, "dropped") {
 				servers.Lacks(server, adapter)
@@ -252,10 +252,10 @@
 // TestNewCopyIsNotOverloaded has 300 daemons place a request each by the same load counts:
 // a copy that was just loaded at an idle server must not get all of them.
 func TestNewCopyIsNotOverloaded(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	for i := range 6 {
 		server := fmt.Sprint("s", i)
-		hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
+		setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
 		if i > 0 {
 			work.Begin(tally.Use{Server: server, Adapter: adapter}, 2000)
 		}
@@ -280,10 +280,10 @@
 // TestRandomChoicesThatFailAreNotUsed: if both randomly chosen servers fail their requests,
 // the best of all servers is used.
 func TestRandomChoicesThatFailAreNotUsed(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	for i := range 9 {
 		server := fmt.Sprint("s", i)
-		hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
+		setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
 		for range 4 {
 			servers.Answered(100_000, server, i > 0)
 		}
@@ -298,9 +298,9 @@
 // TestCopyForBusyRandomChoice: if the randomly chosen holder is busy, a copy is requested
 // even though another holder is idle. The shortcut must not prevent it.
 func TestCopyForBusyRandomChoice(t *testing.T) {
-	servers, work := site(9)
+	servers, work := newFleet(9)
 	for _, server := range []string{"s0", "s1", "s2"} {
-		hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
+		setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1})
 	}
 	for _, server := range []string{"s1", "s2"} {
 		work.Begin(tally.Use{Server: server, Adapter: adapter}, 4000) // 200 ms to read
--- a/internal/direct/choose/hold_test.go
+++ b/internal/direct/choose/delay_test.go
@@ -80,13 +80,13 @@
 func TestDelayedPromptsShortenStreamPauses(t *testing.T) {
 	always := func(clock.Millis, clock.Millis, int) bool { return true }
 	before, _ := replayEngine(always)
-	intake, hold := choose.NewIntake(), choose.DefaultHold()
+	bucket, policy := choose.NewIntake(), choose.DefaultHold()
 	after, wait := replayEngine(func(now, waited clock.Millis, tokens int) bool {
 		prompt := choose.Prompt{Tokens: tokens, Goal: firstGoal, GapGoal: gapGoal, Waited: waited}
-		if hold.Holds(prompt, intake.Tokens(now, "s", engineRate), engineRate) {
+		if policy.Holds(prompt, bucket.Tokens(now, "s", engineRate), engineRate) {
 			return false
 		}
-		intake.Add(now, "s", tokens, engineRate)
+		bucket.Add(now, "s", tokens, engineRate)
 		return true
 	})
 	t.Logf("share of events after a gap over the goal: %.4f without delays, %.4f with; mean delay %.0f ms", before, after, wait)
@@ -95,27 +95,27 @@
 	require.Less(t, wait, 0.1*firstGoal)
 }
 
-func TestHold(t *testing.T) {
-	hold := choose.DefaultHold()
+func TestDelayPolicy(t *testing.T) {
+	policy := choose.DefaultHold()
 	prompt := choose.Prompt{Tokens: 1000, Goal: firstGoal, GapGoal: gapGoal}
-	require.False(t, hold.Holds(prompt, 4000, engineRate), "the prompts fit in the share of the gap goal")
-	require.True(t, hold.Holds(prompt, 5000, engineRate))
+	require.False(t, policy.Holds(prompt, 4000, engineRate), "the prompts fit in the share of the gap goal")
+	require.True(t, policy.Holds(prompt, 5000, engineRate))
 	prompt.Waited = firstGoal / 2
-	require.False(t, hold.Holds(prompt, 5000, engineRate), "it would miss its own first-event goal")
+	require.False(t, policy.Holds(prompt, 5000, engineRate), "it would miss its own first-event goal")
 	prompt.Waited, prompt.Tokens = 0, 100_000
-	require.False(t, hold.Holds(prompt, 0, engineRate), "an idle engine gets a prompt of any size")
+	require.False(t, policy.Holds(prompt, 0, engineRate), "an idle engine gets a prompt of any size")
 }
 
-func TestIntakeLeaks(t *testing.T) {
-	intake := choose.NewIntake()
-	require.Zero(t, intake.Tokens(0, "s", engineRate))
-	intake.Add(1000, "s", 3800, engineRate)
-	intake.Add(1000, "other", 1, engineRate)
-	require.InDelta(t, 3800, intake.Tokens(1000, "s", engineRate), 1)
-	require.InDelta(t, 1520, intake.Tokens(1100, "s", engineRate), 1)
-	require.Zero(t, intake.Tokens(1200, "s", engineRate))
-	intake.Retain(func(string) bool { return false })
-	require.Zero(t, intake.Tokens(1000, "s", engineRate))
+func TestPromptBucketLeaks(t *testing.T) {
+	bucket := choose.NewIntake()
+	require.Zero(t, bucket.Tokens(0, "s", engineRate))
+	bucket.Add(1000, "s", 3800, engineRate)
+	bucket.Add(1000, "other", 1, engineRate)
+	require.InDelta(t, 3800, bucket.Tokens(1000, "s", engineRate), 1)
+	require.InDelta(t, 1520, bucket.Tokens(1100, "s", engineRate), 1)
+	require.Zero(t, bucket.Tokens(1200, "s", engineRate))
+	bucket.Retain(func(string) bool { return false })
+	require.Zero(t, bucket.Tokens(1000, "s", engineRate))
 }
 
 // TestReadRateConverges: answers take some milliseconds longer than the reading, and the
--- a/internal/direct/choose/popular_test.go
+++ b/internal/direct/choose/popular_test.go
@@ -58,13 +58,13 @@
 
 // known returns the servers and the work in progress as the daemons see them now.
 func (simulation *simulation) known() (*fleet.Fleet, *tally.Tally) {
-	servers, work := site(popularServers)
+	servers, work := newFleet(popularServers)
 	for server, since := range simulation.held {
-		hold(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1, Coming: simulation.now < since+popularLag})
+		setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1, Coming: simulation.now < since+popularLag})
 	}
 	for server, until := range simulation.loading {
 		if simulation.now >= until-popularLoad+popularLag {
-			hold(servers, server, 1, fleet.Slot{Adapter: adapter, Coming: true})
+			setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Coming: true})
 		}
 	}
 	if lag := int(popularLag / popularStep); len(simulation.views) > lag {
--- a/internal/direct/choose/slottime_test.go
+++ b/internal/direct/choose/slottime_test.go
@@ -22,7 +22,7 @@
 			for i := range 4 {
 				servers.Put(port.Server{ID: fmt.Sprint("s", i), Service: service, Slots: slots, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
 			}
-			hold(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
+			setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
 			for range slots + 3 {
 				work.Begin(tally.Use{Server: "s0", Adapter: adapter}, 0)
 			}
@@ -58,7 +58,7 @@
 			for i := range 2 {
 				id := fmt.Sprint("s", i)
 				servers.Put(port.Server{ID: id, Service: service, Slots: slots, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
-				hold(servers, id, 1, fleet.Slot{Adapter: adapter, Version: 1})
+				setTable(servers, id, 1, fleet.Slot{Adapter: adapter, Version: 1})
 			}
 			for range 10 {
 				work.Begin(tally.Use{Server: "s0", Adapter: adapter}, 0)
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -96,23 +96,23 @@
 // nextCheck repeats the order of a load or unload that should have ended. The server's
 // answer says whether it has; a report is more expensive and may be stale.
 func (planner *Planner) nextCheck(now clock.Millis) (port.Order, bool) {
-	for adapter, held := range planner.slots {
-		if now < held.checkAt || !held.loading && !held.unloading {
+	for adapter, entry := range planner.slots {
+		if now < entry.checkAt || !entry.loading && !entry.unloading {
 			continue
 		}
-		if held.unloading {
+		if entry.unloading {
 			return port.Order{Adapter: adapter}, true
 		}
-		return port.Order{Load: true, Adapter: adapter, Version: held.version}, true
+		return port.Order{Load: true, Adapter: adapter, Version: entry.version}, true
 	}
 	return port.Order{}, false
 }
 
 // nextVersion replaces an adapter that has a newer version, or unloads it if it is not in use.
 func (planner *Planner) nextVersion(uses Uses, newest func(port.Adapter) int) (port.Order, bool) {
-	for adapter, held := range planner.slots {
+	for adapter, entry := range planner.slots {
 		version := newest(adapter)
-		if held.loading || held.unloading || held.version >= version {
+		if entry.loading || entry.unloading || entry.version >= version {
 			continue
 		}
 		if uses(adapter) > 0 || planner.wants[adapter] != nil {
@@ -151,7 +151,7 @@
 	var first port.Adapter
 	var best *want
 	for adapter, wanted := range planner.wants {
-		if held, ok := planner.slots[adapter]; ok && (held.loading || held.unloading || held.version >= wanted.version) || !planner.models[adapter.Model] {
+		if entry, ok := planner.slots[adapter]; ok && (entry.loading || entry.unloading || entry.version >= wanted.version) || !planner.models[adapter.Model] {
 			continue
 		}
 		if best == nil || wanted.rank < best.rank || wanted.rank == best.rank && wanted.since < best.since {
@@ -163,8 +163,8 @@
 
 func (planner *Planner) loadCount() int {
 	count := 0
-	for _, held := range planner.slots {
-		if held.loading {
+	for _, entry := range planner.slots {
+		if entry.loading {
 			count++
 		}
 	}
@@ -173,8 +173,8 @@
 
 func (planner *Planner) unloadCount() int {
 	count := 0
-	for _, held := range planner.slots {
-		if held.unloading {
+	for _, entry := range planner.slots {
+		if entry.unloading {
 			count++
 		}
 	}
@@ -194,8 +194,8 @@
 	for model := range planner.models {
 		used += planner.limits.ModelMB[model]
 	}
-	for held := range planner.slots {
-		used += planner.limits.AdapterMB[held.Model]
+	for other := range planner.slots {
+		used += planner.limits.AdapterMB[other.Model]
 	}
 	return used <= planner.limits.MemoryMB
 }
@@ -205,11 +205,11 @@
 func (planner *Planner) victim(now clock.Millis, uses Uses) (port.Adapter, bool) {
 	var victim port.Adapter
 	least := -1.0
-	for adapter, held := range planner.slots {
-		if held.loading || held.unloading || now-held.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
+	for adapter, entry := range planner.slots {
+		if entry.loading || entry.unloading || now-entry.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
 			continue
 		}
-		score := planner.score(now, held)
+		score := planner.score(now, entry)
 		if least < 0 || score < least || score == least && byName(adapter, victim) < 0 {
 			victim, least = adapter, score
 		}
@@ -225,7 +225,7 @@
 // the decision may add to the wait for a load.
 const retryInterval clock.Millis = 25
 
-// nextCallAt returns when Next has to be called again; 0: not before something changes.
+// nextCallAt returns when the next order has to be asked for; 0: not before something changes.
 func (planner *Planner) nextCallAt(now clock.Millis) clock.Millis {
 	var at clock.Millis
 	earlier := func(other clock.Millis) {
@@ -236,9 +236,9 @@
 	for _, load := range planner.modelLoads {
 		earlier(load.checkAt)
 	}
-	for _, held := range planner.slots {
-		if held.loading || held.unloading {
-			earlier(held.checkAt)
+	for _, entry := range planner.slots {
+		if entry.loading || entry.unloading {
+			earlier(entry.checkAt)
 		}
 	}
 	if _, _, ok := planner.firstWant(); ok {
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -1,6 +1,6 @@
 // Package loading plans which adapters a model engine holds. There is one planner for each
-// server, at the daemon that owns it. It does no I/O and reads no clock: Next returns the
-// next order, and Done takes its result.
+// server, at the daemon that owns it. A planner returns the orders to send and takes their
+// results. It does no I/O and reads no clock.
 package loading
 
 import (
@@ -180,17 +180,17 @@
 
 // Used adds to the count of an adapter's uses.
 func (planner *Planner) Used(now clock.Millis, adapter port.Adapter, uses int) {
-	held, ok := planner.slots[adapter]
+	entry, ok := planner.slots[adapter]
 	if !ok {
 		return
 	}
-	held.score = planner.score(now, held) + float64(uses)
-	held.usedAt = now
+	entry.score = planner.score(now, entry) + float64(uses)
+	entry.usedAt = now
 }
 
 // score returns the count of an adapter's uses, halved for each HalfLife since the last one.
-func (planner *Planner) score(now clock.Millis, held *slot) float64 {
-	return held.score * math.Exp2(-float64(now-held.usedAt)/float64(planner.options.HalfLife))
+func (planner *Planner) score(now clock.Millis, entry *slot) float64 {
+	return entry.score * math.Exp2(-float64(now-entry.usedAt)/float64(planner.options.HalfLife))
 }
 
 // Absent records that the server refused a request because it does not hold the adapter or
@@ -198,10 +198,10 @@
 // its load has been ordered again and answered. Were the slot reused too early, the server
 // could be ordered to load one adapter too many and crash.
 func (planner *Planner) Absent(now clock.Millis, adapter port.Adapter) {
-	if held, ok := planner.slots[adapter]; ok && !held.loading && !held.unloading {
-		held.loading = true
-		held.checks = 0
-		held.checkAt = now
+	if entry, ok := planner.slots[adapter]; ok && !entry.loading && !entry.unloading {
+		entry.loading = true
+		entry.checks = 0
+		entry.checkAt = now
 		planner.number++
 	}
 }
@@ -211,8 +211,8 @@
 // having them loaded at a second one.
 func (planner *Planner) Table() (number int64, models []string, slots []fleet.Slot) {
 	models = slices.Sorted(maps.Keys(planner.models))
-	for adapter, held := range planner.slots {
-		slots = append(slots, fleet.Slot{Adapter: adapter, Version: held.version, Coming: held.loading || held.unloading})
+	for adapter, entry := range planner.slots {
+		slots = append(slots, fleet.Slot{Adapter: adapter, Version: entry.version, Coming: entry.loading || entry.unloading})
 	}
 	for adapter, wanted := range planner.wants {
 		if _, held := planner.slots[adapter]; !held {
--- a/internal/direct/loading/rate.go
+++ b/internal/direct/loading/rate.go
@@ -59,8 +59,8 @@
 	return int(rate.fullSpeed(servers))
 }
 
-// fullSpeed is AtOnce before it is rounded. Until it has been observed, one adapter for each
-// server is assumed.
+// fullSpeed is the number of full-speed loads before rounding. Until it has been observed,
+// one adapter for each server is assumed.
 func (rate *Rate) fullSpeed(servers int) float64 {
 	if rate.fullSpeedLoads == 0 {
 		return float64(max(1, servers))
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -38,14 +38,14 @@
 		planner.modelStarted(now, order.Adapter.Model, planner.waitUntil)
 		return
 	}
-	held, ok := planner.slots[order.Adapter]
+	entry, ok := planner.slots[order.Adapter]
 	if !ok {
-		held = &slot{version: order.Version}
-		planner.slots[order.Adapter] = held
+		entry = &slot{version: order.Version}
+		planner.slots[order.Adapter] = entry
 	}
-	held.loading = true
-	held.began = 0
-	held.checkAt = planner.waitUntil
+	entry.loading = true
+	entry.began = 0
+	entry.checkAt = planner.waitUntil
 }
 
 // accepted handles an order that the server has accepted, or whose result it already holds.
@@ -64,13 +64,13 @@
 // unloadAccepted frees the adapter slot once no request uses the adapter any more. Until
 // then the server still counts it.
 func (planner *Planner) unloadAccepted(now clock.Millis, adapter port.Adapter, holds bool) {
-	held, ok := planner.slots[adapter]
+	entry, ok := planner.slots[adapter]
 	if holds || !ok {
 		delete(planner.slots, adapter)
 		return
 	}
-	held.unloading = true
-	held.checkAt = now + planner.options.CheckInterval
+	entry.unloading = true
+	entry.checkAt = now + planner.options.CheckInterval
 }
 
 func (planner *Planner) modelAccepted(now clock.Millis, model string, holds bool) {
@@ -93,51 +93,51 @@
 
 // loadAccepted records that a load was started, is still in progress, or has ended.
 func (planner *Planner) loadAccepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
-	held, ok := planner.slots[order.Adapter]
+	entry, ok := planner.slots[order.Adapter]
 	if !ok {
-		held = &slot{}
-		planner.slots[order.Adapter] = held
+		entry = &slot{}
+		planner.slots[order.Adapter] = entry
 	}
 	if holds {
-		if held.began > 0 {
-			planner.rate.Observe(Observation{InFlight: held.inFlight, Servers: traffic.Servers, MinTime: held.lastSeenAfter, MaxTime: now - held.began})
+		if entry.began > 0 {
+			planner.rate.Observe(Observation{InFlight: entry.inFlight, Servers: traffic.Servers, MinTime: entry.lastSeenAfter, MaxTime: now - entry.began})
 		}
-		held.loading = false
-		held.checks = 0
-		held.began = 0
-		held.version = max(held.version, order.Version, 1)
-		held.usedAt = now
+		entry.loading = false
+		entry.checks = 0
+		entry.began = 0
+		entry.version = max(entry.version, order.Version, 1)
+		entry.usedAt = now
 		delete(planner.wants, order.Adapter)
 		return
 	}
-	held.version = max(held.version, order.Version)
-	if !held.loading {
-		held.loading = true
-		held.checks = 0
-		planner.loadStarted(now, order.Adapter, held, traffic)
+	entry.version = max(entry.version, order.Version)
+	if !entry.loading {
+		entry.loading = true
+		entry.checks = 0
+		planner.loadStarted(now, order.Adapter, entry, traffic)
 		return
 	}
-	held.checks++
-	if held.began > 0 {
-		held.lastSeenAfter = now - held.began
+	entry.checks++
+	if entry.began > 0 {
+		entry.lastSeenAfter = now - entry.began
 	}
-	held.checkAt = now + planner.options.CheckInterval
-	if held.checks > planner.options.MostChecks {
+	entry.checkAt = now + planner.options.CheckInterval
+	if entry.checks > planner.options.MostChecks {
 		planner.reportValid = false
 	}
 }
 
 // loadStarted records the start of a load and when to check it first.
-func (planner *Planner) loadStarted(now clock.Millis, adapter port.Adapter, held *slot, traffic Traffic) {
+func (planner *Planner) loadStarted(now clock.Millis, adapter port.Adapter, entry *slot, traffic Traffic) {
 	if planner.recentlyHeld(adapter) {
-		held.began = 0 // its duration says nothing about the weight store
-		held.checkAt = now + planner.rate.RecentTime()
+		entry.began = 0 // its duration says nothing about the weight store
+		entry.checkAt = now + planner.rate.RecentTime()
 		return
 	}
-	held.began = now
-	held.lastSeenAfter = 0
-	held.inFlight = traffic.OnWay + 1
-	held.checkAt = now + planner.rate.FirstCheck(held.inFlight, traffic.Servers)
+	entry.began = now
+	entry.lastSeenAfter = 0
+	entry.inFlight = traffic.OnWay + 1
+	entry.checkAt = now + planner.rate.FirstCheck(entry.inFlight, traffic.Servers)
 }
 
 // refused drops a want whose order the server rejects as invalid, so that it is not repeated
--- a/internal/direct/tally/group.go
+++ b/internal/direct/tally/group.go
@@ -51,7 +51,7 @@
 	return len(share.Loads) == 0 && len(share.Uses) == 0
 }
 
-// With returns the share with a delta from Changes applied.
+// With returns the share with a delta applied.
 func (share Share) With(changes Share) Share {
 	after := share.Clone()
 	if after.Loads == nil {
--- a/internal/direct/tally/tally.go
+++ b/internal/direct/tally/tracker.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// New returns a tally without requests.
+// New returns an instance that counts no requests yet.
 func New() *Tally {
 	return &Tally{
 		own: newShare(), peers: make(map[string]Share), loads: make(map[string]Load), uses: make(serverUses),
@@ -99,7 +99,8 @@
 	tally.change(use, Load{Reading: -prompt}, 0)
 }
 
-// End discounts a request that has ended. Prompt is the tokens that First has not discounted.
+// End discounts a request that has ended. Prompt is the tokens of its prompt that have not
+// been discounted yet.
 func (tally *Tally) End(use Use, prompt int) {
 	tally.change(use, Load{Runs: -1, Reading: -prompt}, -1)
 }
@@ -170,7 +171,7 @@
 	if !ok {
 		return // its full share follows soon
 	}
-	share.Loads = maps.Clone(share.Loads) // the map belongs to the caller of Peer
+	share.Loads = maps.Clone(share.Loads) // the map belongs to the caller that passed the share
 	for server, load := range loads {
 		before := share.Loads[server]
 		addLoad(tally.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
@@ -261,7 +262,8 @@
 }
 
 // SetUses replaces the uses, from a hub, of adapters by other daemons at a server that this
-// daemon owns. It returns the changes as Peer does.
+// daemon owns. It returns the uses that have increased, with the difference, and those that
+// have ended, with 0.
 func (tally *Tally) SetUses(server string, uses map[port.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
 	before := tally.hubUses[server]
