--- a/internal/direct/choose/copytargets.go
+++ b/internal/direct/choose/copytargets.go
@@ -14,7 +14,7 @@
 func (weights Weights) Spares(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally, limit int) []*fleet.Member {
 	usable := servers.Usable(query.Service)
 	_, preferred := survey(usable, query, adapterHash)
-	var spares []Choice
+	var candidates []Choice
 	for _, member := range usable {
 		if _, has := member.Slot(query.Adapter); has || !weights.canLoad(query, member) {
 			continue
@@ -24,18 +24,18 @@
 		if member.AtHand(query.Adapter) {
 			cost += weights.AtHand - weights.Load
 		}
-		spares = append(spares, Choice{Member: member, Cost: cost})
+		candidates = append(candidates, Choice{Member: member, Cost: cost})
 	}
-	slices.SortStableFunc(spares, func(a, b Choice) int { return cmp.Compare(a.Cost, b.Cost) })
+	slices.SortStableFunc(candidates, func(a, b Choice) int { return cmp.Compare(a.Cost, b.Cost) })
 	var chosen []*fleet.Member
-	for _, spare := range spares[:min(limit, len(spares))] {
-		chosen = append(chosen, spare.Member)
+	for _, candidate := range candidates[:min(limit, len(candidates))] {
+		chosen = append(chosen, candidate.Member)
 	}
 	return chosen
 }
 
 // canLoad reports whether a server can be told to load an adapter now.
 func (weights Weights) canLoad(query Query, member *fleet.Member) bool {
-	ordered := query.Ordered == nil || query.Ordered(member.ID)
-	return ordered && member.HoldsModel(query.Adapter.Model) && !member.Suspect(query.Now)
+	hasOwner := query.Ordered == nil || query.Ordered(member.ID)
+	return hasOwner && member.HoldsModel(query.Adapter.Model) && !member.Suspect(query.Now)
 }
--- a/internal/direct/fleet/draining.go
+++ b/internal/direct/fleet/draining.go
@@ -16,7 +16,7 @@
 	ignoreUntil  clock.Millis // when an entry that says ready is applied again; 0: never
 }
 
-// Departure is a drain notice: the process of a server is draining. Servers send it in their
+// Departure announces that the process of a server is draining. Servers send it in their
 // answers, and daemons pass it on to each other.
 type Departure struct {
 	Server string
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -74,17 +74,17 @@
 	if turns.turnSince == 0 {
 		turns.turnSince = now
 	}
-	place := slices.Index(models.Waiting, server)
-	return place >= 0 && now-turns.turnSince >= clock.Millis(place)*turnTimeout
+	position := slices.Index(models.Waiting, server)
+	return position >= 0 && now-turns.turnSince >= clock.Millis(position)*turnTimeout
 }
 
 // Ends returns the expected remaining time of the loads in flight, by server.
 func (turns *Turns) Ends(now clock.Millis) map[string]clock.Millis {
-	left := make(map[string]clock.Millis, len(turns.ends))
+	remaining := make(map[string]clock.Millis, len(turns.ends))
 	for server, endAt := range turns.ends {
-		left[server] = endAt - now
+		remaining[server] = endAt - now
 	}
-	return left
+	return remaining
 }
 
 // Note records loads that have started or ended. It must be called often, as the duration
