--- a/internal/direct/choose/choose.go
+++ b/internal/direct/choose/choose.go
@@ -7,7 +7,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
@@ -70,7 +70,7 @@
 	Service    string
 	DataCentre string                   // data centre of this daemon
 	Attempt    uint64                   // hash of the request's id
-	Adapter    port.Adapter             // empty name: the base model; model empty as well: a plain service
+	Adapter    platformapi.Adapter      // empty name: the base model; model empty as well: a plain service
 	Version    int                      // minimum version of the adapter
 	Prompt     int                      // tokens
 	Places     int                      // adapter slots of each server
--- a/internal/direct/choose/choose_test.go
+++ b/internal/direct/choose/choose_test.go
@@ -10,19 +10,19 @@
 
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
 const service = "engines"
 
-var adapter = port.Adapter{Model: "m", Name: "a1"}
+var adapter = platformapi.Adapter{Model: "m", Name: "a1"}
 
 // newFleet returns a fleet of servers that hold the base model and no adapter.
 func newFleet(count int) (*fleet.Fleet, *tally.Tally) {
 	servers := fleet.New(fleet.DefaultOptions())
 	for i := range count {
-		servers.Put(port.Server{ID: fmt.Sprint("s", i), Service: service, Slots: 64, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
+		servers.Put(platformapi.Server{ID: fmt.Sprint("s", i), Service: service, Slots: 64, Models: []platformapi.Holding{{Model: "m"}}}, int64(i+1))
 	}
 	return servers, tally.New()
 }
@@ -122,7 +122,7 @@
 	servers, work := newFleet(2)
 	home := pick(t, servers, work, query("r")).Member.ID
 	for i := range 18 {
-		work.Begin(tally.Use{Server: home, Adapter: port.Adapter{Model: "m", Name: fmt.Sprint("x", i)}}, 0)
+		work.Begin(tally.Use{Server: home, Adapter: platformapi.Adapter{Model: "m", Name: fmt.Sprint("x", i)}}, 0)
 	}
 	require.NotEqual(t, home, pick(t, servers, work, query("r")).Member.ID)
 }
--- a/internal/direct/choose/slottime_test.go
+++ b/internal/direct/choose/slottime_test.go
@@ -8,7 +8,7 @@
 
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
@@ -20,7 +20,7 @@
 		t.Run(fmt.Sprint(slots), func(t *testing.T) {
 			servers, work := fleet.New(fleet.DefaultOptions()), tally.New()
 			for i := range 4 {
-				servers.Put(port.Server{ID: fmt.Sprint("s", i), Service: service, Slots: slots, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
+				servers.Put(platformapi.Server{ID: fmt.Sprint("s", i), Service: service, Slots: slots, Models: []platformapi.Holding{{Model: "m"}}}, int64(i+1))
 			}
 			setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
 			for range slots + 3 {
@@ -57,7 +57,7 @@
 			servers, work := fleet.New(fleet.DefaultOptions()), tally.New()
 			for i := range 2 {
 				id := fmt.Sprint("s", i)
-				servers.Put(port.Server{ID: id, Service: service, Slots: slots, Models: []port.Holding{{Model: "m"}}}, int64(i+1))
+				servers.Put(platformapi.Server{ID: id, Service: service, Slots: slots, Models: []platformapi.Holding{{Model: "m"}}}, int64(i+1))
 				setTable(servers, id, 1, fleet.Slot{Adapter: adapter, Version: 1})
 			}
 			for range 10 {
--- a/internal/direct/fleet/draining.go
+++ b/internal/direct/fleet/draining.go
@@ -2,7 +2,7 @@
 
 import (
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // drainRecord records the last process of a server that announced that it is draining. The
@@ -30,7 +30,7 @@
 		return false
 	}
 	member, known := fleet.members[notice.Server]
-	if known && notice.Born < member.Born {
+	if known && notice.Born < member.StartedAt {
 		return false // another process has started under the id
 	}
 	fleet.noticeCount++
@@ -63,9 +63,9 @@
 
 // isDraining reports whether the process of an entry is draining, according to the entry or
 // to an earlier notice.
-func (fleet *Fleet) isDraining(server port.Server) bool {
+func (fleet *Fleet) isDraining(server platformapi.Server) bool {
 	record, ok := fleet.draining[server.ID]
-	if ok && server.Born <= record.startedAt {
+	if ok && server.StartedAt <= record.startedAt {
 		if server.Draining {
 			record.ignoreUntil = 0
 			fleet.draining[server.ID] = record
@@ -73,7 +73,7 @@
 		return true
 	}
 	if server.Draining {
-		fleet.draining[server.ID] = drainRecord{startedAt: server.Born}
+		fleet.draining[server.ID] = drainRecord{startedAt: server.StartedAt}
 		return true
 	}
 	delete(fleet.draining, server.ID) // another process has started under the id
@@ -106,7 +106,7 @@
 // its entry. It does not if the entry belongs to an earlier process than the removed one, as
 // that has ended.
 func (fleet *Fleet) endDraining(id string, member *Member, record drainRecord) {
-	if member != nil && member.Born < record.startedAt {
+	if member != nil && member.StartedAt < record.startedAt {
 		record.ignoreUntil = 0
 		fleet.draining[id] = record
 		return
--- a/internal/direct/fleet/draining_test.go
+++ b/internal/direct/fleet/draining_test.go
@@ -14,7 +14,7 @@
 	options := fleet.DefaultOptions()
 	servers := fleet.New(options)
 	entry := server("a")
-	entry.Born = 100
+	entry.StartedAt = 100
 	leaving := entry
 	leaving.Draining = true
 	servers.Put(entry, 1)
@@ -26,7 +26,7 @@
 	servers.Put(entry, 5)
 	require.Empty(t, servers.Usable(service), "its entry expired and was restored")
 	next := entry
-	next.Born = 200
+	next.StartedAt = 200
 	servers.Put(next, 6)
 	require.Equal(t, []string{"a"}, ids(servers.Usable(service)), "another process has started under its id")
 	servers.Put(leaving, 7)
@@ -42,7 +42,7 @@
 func TestDrainNotice(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
 	entry := server("a")
-	entry.Born = 100
+	entry.StartedAt = 100
 	servers.Put(entry, 1)
 	require.False(t, servers.Leaving(10, fleet.Departure{Server: "a", Born: 50}), "the notice of an earlier process")
 	require.Len(t, servers.Usable(service), 1)
@@ -55,7 +55,7 @@
 	servers.Put(entry, 2)
 	require.Empty(t, servers.Usable(service), "its entry still says that it is ready")
 
-	entry.Born = 200
+	entry.StartedAt = 200
 	servers.Put(entry, 3)
 	require.Len(t, servers.Usable(service), 1, "another process has started under its id")
 	require.False(t, servers.Leaving(30, notice))
--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Options are the limits of a fleet.
@@ -54,13 +54,13 @@
 	draining   map[string]drainRecord // by server
 	// noticeCount counts the drain notices that were new.
 	noticeCount int64
-	pauses      map[string]clock.Millis    // by server that asked for a pause: its end
-	tables      map[string]Table           // by server, including servers whose entry was not read yet
-	tableLog    []string                   // servers in the order in which their tables changed
-	logOffset   int64                      // number of table changes before those in the log
-	reports     int64                      // number of reports applied
-	byService   map[string][]*Member       // servers that may take new work, in order of id; nil: must be rebuilt
-	holders     map[port.Adapter][]*Member // servers with a slot for the adapter
+	pauses      map[string]clock.Millis           // by server that asked for a pause: its end
+	tables      map[string]Table                  // by server, including servers whose entry was not read yet
+	tableLog    []string                          // servers in the order in which their tables changed
+	logOffset   int64                             // number of table changes before those in the log
+	reports     int64                             // number of reports applied
+	byService   map[string][]*Member              // servers that may take new work, in order of id; nil: must be rebuilt
+	holders     map[platformapi.Adapter][]*Member // servers with a slot for the adapter
 
 	outageSince clock.Millis // since when the store is unavailable; 0: it is available
 	outageEnd   clock.Millis // end of the store's last outage; 0: there was none
@@ -78,7 +78,7 @@
 	return &Fleet{
 		options: options, members: make(map[string]*Member),
 		tombstones: make(map[string]tombstone), draining: make(map[string]drainRecord), pauses: make(map[string]clock.Millis),
-		tables: make(map[string]Table), holders: make(map[port.Adapter][]*Member),
+		tables: make(map[string]Table), holders: make(map[platformapi.Adapter][]*Member),
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // Holders returns the servers that hold an adapter, are loading it or are to load it, of any
 // service and in any state. The slice must not be modified.
-func (fleet *Fleet) Holders(adapter port.Adapter) []*Member {
+func (fleet *Fleet) Holders(adapter platformapi.Adapter) []*Member {
 	return fleet.holders[adapter]
 }
 
@@ -126,7 +126,7 @@
 
 // removeHolder removes a server from the holders of an adapter. It makes a new slice, as the old one
 // may be in use.
-func (fleet *Fleet) removeHolder(member *Member, adapter port.Adapter) {
+func (fleet *Fleet) removeHolder(member *Member, adapter platformapi.Adapter) {
 	left := make([]*Member, 0, len(fleet.holders[adapter]))
 	for _, holder := range fleet.holders[adapter] {
 		if holder != member {
@@ -142,7 +142,7 @@
 
 // Put applies an entry of the store and reports whether it is new. An entry does not end the
 // draining of a process that has announced it.
-func (fleet *Fleet) Put(server port.Server, revision int64) bool {
+func (fleet *Fleet) Put(server platformapi.Server, revision int64) bool {
 	if revision <= fleet.tombstones[server.ID].revision {
 		return false
 	}
@@ -150,7 +150,7 @@
 	if known && revision < member.Revision {
 		return false
 	}
-	if known && member.isOutdated(server.Born) {
+	if known && member.isOutdated(server.StartedAt) {
 		member.Revision, member.expiresAt = revision, 0
 		return false
 	}
@@ -158,17 +158,17 @@
 	server.Draining = fleet.isDraining(server)
 	if !known {
 		member = &Member{
-			Hash: xxhash.Sum64String(server.ID), table: fleet.tables[server.ID], recent: make(map[port.Adapter]int), onDisk: make(map[string]bool),
+			Hash: xxhash.Sum64String(server.ID), table: fleet.tables[server.ID], recent: make(map[platformapi.Adapter]int), onDisk: make(map[string]bool),
 			pausedUntil: fleet.pauses[server.ID],
 		}
 		fleet.members[server.ID] = member
 		fleet.sorted = nil
 	}
-	if member.Born != server.Born {
+	if member.StartedAt != server.StartedAt {
 		clear(member.recent) // it has restarted
 	}
 	indexChanged := !known || member.Draining != server.Draining || member.Service != server.Service
-	stale := member.Born != server.Born || member.table.Fence == 0
+	stale := member.StartedAt != server.StartedAt || member.table.Fence == 0
 	member.Server = server
 	member.Revision = revision
 	member.expiresAt = 0
@@ -197,11 +197,11 @@
 }
 
 // slotsOf converts holdings to the base models and slots of a table.
-func slotsOf(holdings []port.Holding) (models []string, slots []Slot) {
+func slotsOf(holdings []platformapi.Holding) (models []string, slots []Slot) {
 	for _, holding := range holdings {
 		models = append(models, holding.Model)
 		for name, version := range holding.Adapters {
-			slots = append(slots, Slot{Adapter: port.Adapter{Model: holding.Model, Name: name}, Version: version})
+			slots = append(slots, Slot{Adapter: platformapi.Adapter{Model: holding.Model, Name: name}, Version: version})
 		}
 	}
 	return models, slots
@@ -226,12 +226,12 @@
 
 // hasTable reports whether there is an owner's table since the start of the server's process.
 func (member *Member) hasTable() bool {
-	return member.table.Fence > 0 && member.table.Born >= member.Born
+	return member.table.Fence > 0 && member.table.Born >= member.StartedAt
 }
 
 // hasReport reports whether there is a report of the server since the start of its process.
 func (member *Member) hasReport() bool {
-	return member.reportRead && member.reportStartedAt >= member.Born
+	return member.reportRead && member.reportStartedAt >= member.StartedAt
 }
 
 // HoldingsUnknown reports whether there is neither an owner's table nor a report of the
@@ -242,7 +242,7 @@
 
 // SetReported applies a server's own report of what it holds. StartedAt is the start of the
 // reporting process. The report is used until the server's owner sends a table.
-func (fleet *Fleet) SetReported(id string, startedAt int64, holdings []port.Holding) {
+func (fleet *Fleet) SetReported(id string, startedAt int64, holdings []platformapi.Holding) {
 	if member, ok := fleet.members[id]; ok {
 		fleet.reports++
 		member.reportRead, member.reportStartedAt, member.reported = true, startedAt, holdings
@@ -252,7 +252,7 @@
 
 // Reported returns a server's own report of what it holds and the start of the reporting
 // process. It returns false once the server's owner has sent a table.
-func (member *Member) Reported() (startedAt int64, holdings []port.Holding, ok bool) {
+func (member *Member) Reported() (startedAt int64, holdings []platformapi.Holding, ok bool) {
 	return member.reportStartedAt, member.reported, member.hasReport() && !member.hasTable()
 }
 
@@ -273,7 +273,7 @@
 
 // Lacks records that a server refused a request because it does not hold the adapter or base
 // model that this daemon expected there.
-func (fleet *Fleet) Lacks(id string, adapter port.Adapter) {
+func (fleet *Fleet) Lacks(id string, adapter platformapi.Adapter) {
 	member, ok := fleet.members[id]
 	if !ok {
 		return
@@ -304,7 +304,7 @@
 
 // removeMember removes a server and leaves a tombstone.
 func (fleet *Fleet) removeMember(now clock.Millis, member *Member, revision int64) {
-	fleet.tombstones[member.ID] = tombstone{revision: revision, startedAt: member.Born, at: now}
+	fleet.tombstones[member.ID] = tombstone{revision: revision, startedAt: member.StartedAt, at: now}
 	fleet.recordRemoval(now, member.ID)
 	delete(fleet.members, member.ID)
 	fleet.sorted = nil
--- a/internal/direct/fleet/fleet_test.go
+++ b/internal/direct/fleet/fleet_test.go
@@ -8,13 +8,13 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 const service = "engines"
 
-func server(id string) port.Server {
-	return port.Server{ID: id, Service: service, Address: id + ":1", Slots: 4}
+func server(id string) platformapi.Server {
+	return platformapi.Server{ID: id, Service: service, Address: id + ":1", Slots: 4}
 }
 
 func ids(members []*fleet.Member) []string {
@@ -72,16 +72,16 @@
 // TestRestartUnderSameID: after a restart, the earlier holdings of a server do not apply.
 func TestRestartUnderSameID(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
-	adapter := port.Adapter{Model: "m", Name: "a1"}
+	adapter := platformapi.Adapter{Model: "m", Name: "a1"}
 	entry := server("a")
-	entry.Born = 100
+	entry.StartedAt = 100
 	servers.Put(entry, 1)
 	slots := []fleet.Slot{{Adapter: adapter, Version: 1}}
 	require.True(t, servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 5, Number: 1, Models: []string{"m"}, Slots: slots}))
 	member, _ := servers.Member("a")
 	_, held := member.Slot(adapter)
 	require.True(t, held)
-	entry.Born = 200
+	entry.StartedAt = 200
 	servers.Put(entry, 2)
 	member, _ = servers.Member("a")
 	_, held = member.Slot(adapter)
@@ -94,7 +94,7 @@
 // be lost, as it is sent only once.
 func TestTableBeforeEntryIsKept(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
-	adapter := port.Adapter{Model: "m", Name: "a1"}
+	adapter := platformapi.Adapter{Model: "m", Name: "a1"}
 	servers.SetTable(fleet.Table{Server: "a", Fence: 5, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: adapter, Version: 1}}})
 	require.False(t, servers.SetTable(fleet.Table{Server: "a", Fence: 4, Number: 9}), "a lower fencing number is older")
 	servers.Put(server("a"), 1)
@@ -161,9 +161,9 @@
 // being loaded.
 func TestQueuedBaseModelIsNotLoading(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
-	servers.Put(port.Server{ID: "s", Service: "engines"}, 1)
+	servers.Put(platformapi.Server{ID: "s", Service: "engines"}, 1)
 	member, _ := servers.Member("s")
-	model := port.Adapter{Model: "m"}
+	model := platformapi.Adapter{Model: "m"}
 	servers.SetTable(fleet.Table{Server: "s", Fence: 1, Number: 1, Slots: []fleet.Slot{{Adapter: model, Coming: true, Queued: true}}})
 	require.True(t, member.Bare())
 	require.False(t, member.ModelComing())
@@ -174,7 +174,7 @@
 	require.False(t, member.OnDisk("m"))
 	servers.SetTable(fleet.Table{Server: "s", Fence: 1, Number: 3, Models: []string{"m"}})
 	require.False(t, member.Bare())
-	servers.Put(port.Server{ID: "s", Service: "engines", Born: 9}, 2)
+	servers.Put(platformapi.Server{ID: "s", Service: "engines", StartedAt: 9}, 2)
 	require.True(t, member.Bare(), "it has restarted")
 	require.True(t, member.OnDisk("m"))
 }
@@ -184,22 +184,22 @@
 func TestReportAppliesUntilOwnersTable(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
 	running := server("a")
-	running.Born = 100
+	running.StartedAt = 100
 	servers.Put(running, 1)
 	member, _ := servers.Member("a")
 	require.True(t, member.HoldingsUnknown())
-	held := port.Adapter{Model: "m", Name: "held"}
-	holdings := []port.Holding{{Model: "m", Adapters: map[string]int{"held": 1}}}
+	held := platformapi.Adapter{Model: "m", Name: "held"}
+	holdings := []platformapi.Holding{{Model: "m", Adapters: map[string]int{"held": 1}}}
 	servers.SetReported("a", 100, holdings)
 	require.False(t, member.HoldingsUnknown())
 	require.True(t, member.HoldsModel("m"))
 	require.Len(t, servers.Holders(held), 1)
-	told := port.Adapter{Model: "m", Name: "told"}
+	told := platformapi.Adapter{Model: "m", Name: "told"}
 	servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 1, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: told, Version: 1}}})
 	servers.SetReported("a", 100, holdings)
 	require.Empty(t, servers.Holders(held), "the owner's table takes precedence")
 	require.Len(t, servers.Holders(told), 1)
-	running.Born = 200
+	running.StartedAt = 200
 	servers.Put(running, 2)
 	require.Empty(t, servers.Holders(told))
 	require.True(t, member.HoldingsUnknown(), "it has restarted")
--- a/internal/direct/fleet/history_test.go
+++ b/internal/direct/fleet/history_test.go
@@ -11,7 +11,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // storeHistory simulates a store that servers write their entries to, and a fleet that applies
@@ -30,15 +30,15 @@
 }
 
 type storeEntry struct {
-	server   port.Server
+	server   platformapi.Server
 	revision int64
 }
 
-func (history *storeHistory) write(entry port.Server) {
+func (history *storeHistory) write(entry platformapi.Server) {
 	history.revision++
 	history.entries[entry.ID] = storeEntry{server: entry, revision: history.revision}
 	if entry.Draining {
-		history.left[fleet.Departure{Server: entry.ID, Born: entry.Born}] = true
+		history.left[fleet.Departure{Server: entry.ID, Born: entry.StartedAt}] = true
 	}
 	history.servers.Put(entry, history.revision)
 }
@@ -107,7 +107,7 @@
 // check verifies that the fleet uses no process that announced that it is draining.
 func (history *storeHistory) check(t *rapid.T) {
 	for _, member := range history.servers.Usable(service) {
-		require.False(t, history.left[fleet.Departure{Server: member.ID, Born: member.Born}], "%s is draining", member.ID)
+		require.False(t, history.left[fleet.Departure{Server: member.ID, Born: member.StartedAt}], "%s is draining", member.ID)
 	}
 }
 
@@ -128,7 +128,7 @@
 			case 0, 1: // a process starts, possibly under an id that was used before
 				history.born++
 				started := server(id)
-				started.Born = history.born
+				started.StartedAt = history.born
 				history.write(started)
 			case 2:
 				if there {
--- a/internal/direct/fleet/member.go
+++ b/internal/direct/fleet/member.go
@@ -5,13 +5,13 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Slot is an adapter at a server. If the adapter has no name, it is a base model that is
 // being loaded.
 type Slot struct {
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 	Version int
 	Coming  bool // being loaded or to be loaded; not usable yet
 	Queued  bool // coming, but its load has not started
@@ -34,15 +34,15 @@
 
 // Member is a backend server.
 type Member struct {
-	port.Server
+	platformapi.Server
 	Hash           uint64 // of its id, for rendezvous hashing
 	Revision       int64  // of its entry in the store
-	slots          map[port.Adapter]Slot
+	slots          map[platformapi.Adapter]Slot
 	models         map[string]bool
-	table          Table                // from its owner; zero if there was none
-	reported       []port.Holding       // the server's own report, if reportRead
-	recent         map[port.Adapter]int // recently held adapters, with recentSequence when last held
-	recentSequence int                  // increases with each adapter of each update
+	table          Table                       // from its owner; zero if there was none
+	reported       []platformapi.Holding       // the server's own report, if reportRead
+	recent         map[platformapi.Adapter]int // recently held adapters, with recentSequence when last held
+	recentSequence int                         // increases with each adapter of each update
 
 	reportRead      bool
 	reportStartedAt int64 // start of the process that reported
@@ -59,14 +59,14 @@
 }
 
 // Slot returns the slot of an adapter that the server holds or loads.
-func (member *Member) Slot(adapter port.Adapter) (Slot, bool) {
+func (member *Member) Slot(adapter platformapi.Adapter) (Slot, bool) {
 	slot, ok := member.slots[adapter]
 	return slot, ok
 }
 
 // AtHand reports whether the server held the adapter recently, so that it need not be loaded
 // from the weight store.
-func (member *Member) AtHand(adapter port.Adapter) bool {
+func (member *Member) AtHand(adapter platformapi.Adapter) bool {
 	_, ok := member.recent[adapter]
 	return ok
 }
@@ -130,7 +130,7 @@
 		member.models[model] = true
 		member.onDisk[model] = true
 	}
-	member.slots = make(map[port.Adapter]Slot, len(slots))
+	member.slots = make(map[platformapi.Adapter]Slot, len(slots))
 	member.modelLoading = false
 	for _, slot := range slots {
 		member.slots[slot.Adapter] = slot
@@ -150,5 +150,5 @@
 	}
 	sequences := slices.Sorted(maps.Values(member.recent))
 	oldest := sequences[len(sequences)-limit]
-	maps.DeleteFunc(member.recent, func(_ port.Adapter, sequence int) bool { return sequence < oldest })
+	maps.DeleteFunc(member.recent, func(_ platformapi.Adapter, sequence int) bool { return sequence < oldest })
 }
--- a/internal/direct/fleet/pause_test.go
+++ b/internal/direct/fleet/pause_test.go
@@ -13,7 +13,7 @@
 func TestPauseOutlastsEntry(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
 	entry := server("a")
-	entry.Born = 100
+	entry.StartedAt = 100
 	servers.Put(entry, 1)
 	servers.Rest("a", 4000)
 	servers.Rest("a", 2000)
@@ -21,7 +21,7 @@
 	require.Equal(t, int64(3000), int64(member.Rests(1000)))
 	servers.Remove(1000, "a", 2)
 	servers.Tick(1000)
-	entry.Born = 200
+	entry.StartedAt = 200
 	servers.Put(entry, 3)
 	member, _ = servers.Member("a")
 	require.Positive(t, member.Rests(3999))
--- a/internal/direct/fleet/restored.go
+++ b/internal/direct/fleet/restored.go
@@ -33,5 +33,5 @@
 // isOutdated reports whether an entry, from the backup that the store was restored from,
 // belongs to an earlier process than the one known.
 func (member *Member) isOutdated(startedAt int64) bool {
-	return member.Revision == 0 && startedAt < member.Born
+	return member.Revision == 0 && startedAt < member.StartedAt
 }
--- a/internal/direct/gateway/copies.go
+++ b/internal/direct/gateway/copies.go
@@ -6,7 +6,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // copyRank is the rank of copies that no single request waits for, behind all routes.
@@ -51,7 +51,7 @@
 
 // demand returns what waits at the servers that have an adapter or are to have it. The
 // mutex is held.
-func (core *core) demand(now clock.Millis, adapter port.Adapter) loading.Demand {
+func (core *core) demand(now clock.Millis, adapter platformapi.Adapter) loading.Demand {
 	demand := loading.Demand{}
 	for _, member := range core.fleet.Holders(adapter) {
 		demand.Backlog += core.backlog(member.ID)
@@ -68,7 +68,7 @@
 }
 
 // addCopiesOf asks for copies of an adapter of a server. The mutex is held.
-func (gateway *Gateway) addCopiesOf(now clock.Millis, from *fleet.Member, adapter port.Adapter, count int) {
+func (gateway *Gateway) addCopiesOf(now clock.Millis, from *fleet.Member, adapter platformapi.Adapter, count int) {
 	core := gateway.core
 	if count == 0 || gateway.storeCrowded() {
 		return
--- a/internal/direct/gateway/core.go
+++ b/internal/direct/gateway/core.go
@@ -14,7 +14,7 @@
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/retry"
@@ -29,7 +29,7 @@
 type core struct {
 	settings Settings
 	options  Options
-	decoder  port.Decoder
+	decoder  platformapi.Decoder
 	now      clock.Source // monotonic
 	wall     clock.Source
 	log      *slog.Logger
@@ -40,7 +40,7 @@
 	// What the store says.
 	catalog  *catalog.Catalog
 	store    *storeCopy
-	versions map[port.Adapter]namedVersion
+	versions map[platformapi.Adapter]namedVersion
 
 	// What callers' accounts use.
 	ledger       *quota.Ledger
@@ -51,17 +51,17 @@
 	// Backend servers, and the work at them.
 	fleet         *fleet.Fleet
 	work          *tally.Tally
-	budgets       map[string]*retry.Budget      // by service
-	readRate      *choose.ReadRate              // of engines
-	slotTime      choose.SlotTime               // of engines
-	loadRate      *loading.Rate                 // of the weight store for adapters
-	intake        *choose.Intake                // prompts sent of late to each server, by all daemons of a mesh
-	askedAt       map[port.Adapter]clock.Millis // when callers last asked for an adapter here
-	reportAskedAt map[string]clock.Millis       // when a server's report was last read for want of its table
-	quarantine    *quarantine.List              // contents under which servers ended
-	losses        map[string]*losses            // by server, of late
-	limits        *throttle.Limits              // that servers have named
-	changed       chan struct{}                 // closed when holdings change
+	budgets       map[string]*retry.Budget             // by service
+	readRate      *choose.ReadRate                     // of engines
+	slotTime      choose.SlotTime                      // of engines
+	loadRate      *loading.Rate                        // of the weight store for adapters
+	intake        *choose.Intake                       // prompts sent of late to each server, by all daemons of a mesh
+	askedAt       map[platformapi.Adapter]clock.Millis // when callers last asked for an adapter here
+	reportAskedAt map[string]clock.Millis              // when a server's report was last read for want of its table
+	quarantine    *quarantine.List                     // contents under which servers ended
+	losses        map[string]*losses                   // by server, of late
+	limits        *throttle.Limits                     // that servers have named
+	changed       chan struct{}                        // closed when holdings change
 
 	// Who gives orders, and what this daemon orders.
 	tenure      *tenure.Tenure
@@ -69,7 +69,7 @@
 	turns       map[string]*loading.Turns // of loads of base models, by service
 	owners      map[string]string         // by server: as this daemon's hub says, or as it tells as a hub
 	askers      map[string]askers         // by server, the daemons that this one has passed wants on for
-	copiesAsked map[port.Adapter]askedCopies
+	copiesAsked map[platformapi.Adapter]askedCopies
 	ordersGiven int64
 
 	// Other daemons.
@@ -114,7 +114,7 @@
 	askers  askers
 }
 
-func newCore(settings Settings, options Options, decoder port.Decoder, now, wall clock.Source, log *slog.Logger) *core {
+func newCore(settings Settings, options Options, decoder platformapi.Decoder, now, wall clock.Source, log *slog.Logger) *core {
 	core := &core{
 		settings: settings,
 		options:  options,
@@ -125,7 +125,7 @@
 		born:     int64(wall()),
 
 		store:    newStoreCopy(),
-		versions: make(map[port.Adapter]namedVersion),
+		versions: make(map[platformapi.Adapter]namedVersion),
 
 		ledger: quota.New(now(), settings.Quota),
 		usedBy: make(map[string]usageHeard),
@@ -136,7 +136,7 @@
 		readRate:      choose.NewReadRate(),
 		loadRate:      loading.NewRate(),
 		intake:        choose.NewIntake(),
-		askedAt:       make(map[port.Adapter]clock.Millis),
+		askedAt:       make(map[platformapi.Adapter]clock.Millis),
 		reportAskedAt: make(map[string]clock.Millis),
 		losses:        make(map[string]*losses),
 		quarantine:    quarantine.New(options.Quarantine, settings.Name),
@@ -148,7 +148,7 @@
 		turns:       make(map[string]*loading.Turns),
 		owners:      make(map[string]string),
 		askers:      make(map[string]askers),
-		copiesAsked: make(map[port.Adapter]askedCopies),
+		copiesAsked: make(map[platformapi.Adapter]askedCopies),
 
 		nameAt: make(map[string]string),
 		seedAt: make(map[string]bool),
@@ -221,13 +221,13 @@
 
 // newest returns the newest version of an adapter that was named, 0 if none was.
 // The mutex is held.
-func (core *core) newest(adapter port.Adapter) int {
+func (core *core) newest(adapter platformapi.Adapter) int {
 	return core.versions[adapter].version
 }
 
 // required returns the least version of an adapter that may serve now: the
 // newest, once there was time to load it. The mutex is held.
-func (core *core) required(now clock.Millis, adapter port.Adapter) int {
+func (core *core) required(now clock.Millis, adapter platformapi.Adapter) int {
 	named := core.versions[adapter]
 	if now-named.at < core.options.VersionGrace {
 		return 0
@@ -236,7 +236,7 @@
 }
 
 // hashOf spreads adapters over servers; all daemons agree on it.
-func hashOf(adapter port.Adapter) uint64 {
+func hashOf(adapter platformapi.Adapter) uint64 {
 	return xxhash.Sum64String(adapter.Model + "/" + adapter.Name)
 }
 
--- a/internal/direct/gateway/holdings.go
+++ b/internal/direct/gateway/holdings.go
@@ -5,7 +5,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -75,9 +75,9 @@
 // be a small one: daemons of a large site that all start again would each read all reports.
 const meetingTime = 300 * clock.Millisecond
 
-func (gateway *Gateway) readHoldings(ctx context.Context, target port.Server) {
-	report, err := gateway.servers.Report(ctx, target)
-	target.Born = max(report.Born, target.Born)
+func (gateway *Gateway) readHoldings(ctx context.Context, target platformapi.Server) {
+	report, err := gateway.servers.ReadReport(ctx, target)
+	target.StartedAt = max(report.StartedAt, target.StartedAt)
 	gateway.noteLeaving(target, report.Leaving, "report")
 	core := gateway.core
 	core.mutex.Lock()
@@ -87,7 +87,7 @@
 		core.fleet.Unreachable(core.now(), target.ID)
 		return
 	}
-	core.fleet.SetReported(target.ID, target.Born, report.Models)
-	core.log.Info("holdings read", "Server", target.ID, "Born", report.Born, "Models", len(report.Models))
+	core.fleet.SetReported(target.ID, target.StartedAt, report.Models)
+	core.log.Info("holdings read", "Server", target.ID, "Born", report.StartedAt, "Models", len(report.Models))
 	core.notify()
 }
--- a/internal/direct/gateway/models.go
+++ b/internal/direct/gateway/models.go
@@ -29,7 +29,9 @@
 			waiting = append(waiting, member)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *fleet.Member) int { return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(waiting, func(a, b *fleet.Member) int {
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
+	})
 	for _, member := range waiting {
 		models.Waiting = append(models.Waiting, member.ID)
 	}
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -8,7 +8,7 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
@@ -77,7 +77,7 @@
 	core := gateway.core
 	fence, _ := core.tenure.Holds(server)
 	ctx, cancel := context.WithCancel(gateway.group.Context())
-	atHand := func(adapter port.Adapter) bool {
+	atHand := func(adapter platformapi.Adapter) bool {
 		member, ok := core.fleet.Member(server)
 		return ok && member.AtHand(adapter)
 	}
@@ -151,7 +151,9 @@
 		}
 		return gateway.readReport(ctx, target, held)
 	}
-	uses := func(adapter port.Adapter) int { return core.work.Uses(tally.Use{Server: server, Adapter: adapter}) }
+	uses := func(adapter platformapi.Adapter) int {
+		return core.work.Uses(tally.Use{Server: server, Adapter: adapter})
+	}
 	order, ok, at := held.planner.Next(now, uses, core.newest, core.traffic(), core.modelTurn(now, member))
 	if !ok {
 		core.mutex.Unlock()
@@ -163,15 +165,15 @@
 	if order.Load && order.Adapter.Name == "" && member.Bare() && !member.ModelComing() {
 		core.log.Info("base model ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).Ends(now))
 	}
-	order.Holder, order.Fence = core.settings.Name, fence
+	order.Owner, order.Fence = core.settings.Name, fence
 	core.tenure.Ordered(now, server)
 	core.mutex.Unlock()
 	gateway.give(ctx, target, held, order)
 	return 0
 }
 
-func (gateway *Gateway) give(ctx context.Context, target port.Server, held *ordering, order port.Order) {
-	answer, err := gateway.servers.Order(ctx, target, order)
+func (gateway *Gateway) give(ctx context.Context, target platformapi.Server, held *ordering, order platformapi.Order) {
+	answer, err := gateway.servers.SendOrder(ctx, target, order)
 	gateway.noteLeaving(target, answer.Leaving, "order")
 	result := answer.Result
 	core := gateway.core
@@ -188,10 +190,10 @@
 		line = append(line, "Error", err.Error())
 	}
 	core.log.Info("order given", line...)
-	if result == port.Fenced {
+	if result == platformapi.Fenced {
 		core.tenure.Fenced(now, target.ID)
 	}
-	if result == port.Unknown {
+	if result == platformapi.Unknown {
 		core.fleet.Unreachable(now, target.ID)
 	}
 	held.planner.Done(now, order, result, core.traffic())
@@ -238,9 +240,9 @@
 }
 
 // readReport learns what a server holds before it is given orders.
-func (gateway *Gateway) readReport(ctx context.Context, target port.Server, held *ordering) clock.Millis {
-	report, err := gateway.servers.Report(ctx, target)
-	target.Born = max(report.Born, target.Born)
+func (gateway *Gateway) readReport(ctx context.Context, target platformapi.Server, held *ordering) clock.Millis {
+	report, err := gateway.servers.ReadReport(ctx, target)
+	target.StartedAt = max(report.StartedAt, target.StartedAt)
 	gateway.noteLeaving(target, report.Leaving, "report")
 	core := gateway.core
 	core.mutex.Lock()
@@ -251,9 +253,9 @@
 		core.fleet.Unreachable(now, target.ID)
 		return idleLook
 	}
-	held.born = target.Born
+	held.born = target.StartedAt
 	held.planner.SetReport(now, report)
-	core.log.Info("report read", "Server", target.ID, "Born", report.Born, "Models", len(report.Models), "Incoming", len(report.Incoming))
+	core.log.Info("report read", "Server", target.ID, "Born", report.StartedAt, "Models", len(report.Models), "Incoming", len(report.Incoming))
 	gateway.publish(target.ID, held)
 	return 0
 }
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/patience.go
@@ -4,7 +4,7 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // patience is how long a request may wait for its adapter: callers abandon a
@@ -55,7 +55,7 @@
 }
 
 // coming reports whether an adapter is on its way to a server.
-func coming(member *fleet.Member, adapter port.Adapter) bool {
+func coming(member *fleet.Member, adapter platformapi.Adapter) bool {
 	slot, ok := member.Slot(adapter)
 	return ok && slot.Coming
 }
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -11,13 +11,13 @@
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
 // placed is the server that a request goes to.
 type placed struct {
-	server  port.Server
+	server  platformapi.Server
 	use     tally.Use
 	version int
 	cost    float64
@@ -109,7 +109,7 @@
 		}
 		use := tally.Use{Server: choice.Member.ID, Adapter: job.adapter}
 		if use != at.use {
-			core.move(at, use, job.call.Prompt)
+			core.move(at, use, job.call.PromptTokens)
 			asked = 0
 		}
 		if choice.Held && ctx.Err() == nil && core.holds(now, now-started, job, use.Server) {
@@ -119,7 +119,7 @@
 			continue
 		}
 		if choice.Held {
-			core.move(at, use, job.call.Prompt)
+			core.move(at, use, job.call.PromptTokens)
 			if choice.Copy != nil {
 				gateway.askCopy(job, choice.Copy, now)
 			}
@@ -147,7 +147,7 @@
 		return false
 	}
 	rate := core.readRate.TokensPerMS()
-	prompt := choose.Prompt{Tokens: job.call.Prompt, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
+	prompt := choose.Prompt{Tokens: job.call.PromptTokens, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
 	return core.options.Hold.Holds(prompt, core.intake.Tokens(now, server, rate), rate)
 }
 
@@ -174,7 +174,7 @@
 		Attempt:    xxhash.Sum64String(job.call.Attempt),
 		Adapter:    job.adapter,
 		Version:    core.required(now, job.adapter),
-		Prompt:     job.call.Prompt,
+		Prompt:     job.call.PromptTokens,
 		Places:     job.places,
 		Tried:      job.tried,
 		Barred:     core.barred(now, waiting),
@@ -188,13 +188,13 @@
 func (core *core) settled(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) placed {
 	job.waited += now - started
 	if job.engine {
-		core.intake.Add(now, use.Server, job.call.Prompt, core.readRate.TokensPerMS())
-		core.sentTokens[use.Server] += job.call.Prompt
+		core.intake.Add(now, use.Server, job.call.PromptTokens, core.readRate.TokensPerMS())
+		core.sentTokens[use.Server] += job.call.PromptTokens
 	}
 	if held, ok := core.orders[use.Server]; ok {
 		held.planner.Used(now, job.adapter, 1)
 	}
-	result := placed{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.call.Prompt, at: now}
+	result := placed{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.call.PromptTokens, at: now}
 	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newest(job.adapter) > 0 && slot.Version >= core.newest(job.adapter) {
 		result.version = core.newest(job.adapter)
 	}
@@ -222,7 +222,7 @@
 	core := gateway.core
 	want := peers.Want{Server: use.Server, Adapter: use.Adapter, Version: core.newest(use.Adapter), Rank: job.rank, Left: left}
 	owner, ok := core.ownerOf(now, use.Server)
-	gateway.log.Info(ending.MessageAskedFor, "Request", job.call.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
+	gateway.log.Info(ending.MessageAdapterRequested, "Request", job.call.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
 	if !ok && core.hub == "" {
 		return
 	}
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
@@ -27,21 +27,21 @@
 // toldState is what a peer has been told on the present connection to it, or has
 // told itself.
 type toldState struct {
-	members  int64                           // changes of the membership
-	orderers []string                        // nil: none yet
-	updateAt clock.Millis                    // when the last update was told
-	shares   map[string]stamp                // by daemon
-	group    int64                           // number of the last group share
-	owners   int64                           // number of the last owners
-	reported map[string]int64                // start of the servers' processes whose word was told, by server
-	tables   map[string]stamp                // by server
-	tablesAt int64                           // changes of tables when they were last looked at
-	reports  int64                           // reports of servers when they were last looked at
-	sums     map[string]tally.Sum            // by server; nil: none yet
-	uses     map[string]map[port.Adapter]int // by server
-	era      int64                           // of the store
-	revision int64                           // of that era
-	usage    quota.Told
+	members  int64                                  // changes of the membership
+	orderers []string                               // nil: none yet
+	updateAt clock.Millis                           // when the last update was told
+	shares   map[string]stamp                       // by daemon
+	group    int64                                  // number of the last group share
+	owners   int64                                  // number of the last owners
+	reported map[string]int64                       // start of the servers' processes whose word was told, by server
+	tables   map[string]stamp                       // by server
+	tablesAt int64                                  // changes of tables when they were last looked at
+	reports  int64                                  // reports of servers when they were last looked at
+	sums     map[string]tally.Sum                   // by server; nil: none yet
+	uses     map[string]map[platformapi.Adapter]int // by server
+	era      int64                                  // of the store
+	revision int64                                  // of that era
+	usage    quota.SentTotals
 	usageAt  clock.Millis // when usage was told last
 	warned   warned
 }
@@ -58,7 +58,7 @@
 
 func newTold() *toldState {
 	return &toldState{
-		usage: make(quota.Told), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[port.Adapter]int),
+		usage: make(quota.SentTotals), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[platformapi.Adapter]int),
 	}
 }
 
@@ -371,8 +371,8 @@
 	core.store.newsAt = now
 }
 
-// Turn implements mirror.Sink.
-func (core *core) Turn() (bool, mirror.Known) {
+// NextTurn implements mirror.Sink.
+func (core *core) NextTurn() (bool, mirror.Known) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
--- a/internal/direct/gateway/sums.go
+++ b/internal/direct/gateway/sums.go
@@ -79,7 +79,7 @@
 	core.hub = hub
 	if hub != "" && hub != core.followsAt {
 		core.followsAt = hub
-		core.ledger.Follow()
+		core.ledger.ForgetHub()
 	}
 	core.work.ClearOthers()
 	if peer, ok := core.members.Peer(hub); ok {
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // stuckFactor is the multiple of its usual time after which the load of a base model counts
@@ -19,18 +19,18 @@
 }
 
 // Uses returns how many requests of all daemons use an adapter at the server.
-type Uses func(port.Adapter) int
+type Uses func(platformapi.Adapter) int
 
 // Next returns the order to send to the server now, if there is one. Otherwise it returns
 // when to call it again; 0 means not before something changes. Turn reports whether a base
 // model may be loaded if the server holds none.
-func (planner *Planner) Next(now clock.Millis, uses Uses, newest func(port.Adapter) int, traffic Traffic, turn bool) (port.Order, bool, clock.Millis) {
+func (planner *Planner) Next(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
 	if now < planner.waitUntil {
-		return port.Order{}, false, planner.waitUntil
+		return platformapi.Order{}, false, planner.waitUntil
 	}
 	planner.expire(now)
 	if !turn && (!planner.fenceKnown || len(planner.models) == 0 && len(planner.modelLoads) == 0) {
-		return port.Order{}, false, now + turnInterval
+		return platformapi.Order{}, false, now + turnInterval
 	}
 	if !planner.fenceKnown {
 		order, ok := planner.firstModel()
@@ -48,7 +48,7 @@
 	if order, ok := planner.nextWant(now, uses, traffic); ok {
 		return order, true, 0
 	}
-	return port.Order{}, false, planner.nextCallAt(now)
+	return platformapi.Order{}, false, planner.nextCallAt(now)
 }
 
 // expire drops wants whose requests have all given up.
@@ -63,7 +63,7 @@
 
 // nextModel loads a base model if the server holds none, as after a restart. While one is
 // being loaded, it repeats the order to check whether the load has ended.
-func (planner *Planner) nextModel(now clock.Millis) (port.Order, bool) {
+func (planner *Planner) nextModel(now clock.Millis) (platformapi.Order, bool) {
 	for name, load := range planner.modelLoads {
 		if !load.stuck && now-load.since > stuckFactor*planner.limits.ModelTime[name] {
 			load.stuck = true
@@ -71,12 +71,12 @@
 			planner.number++
 		}
 		if now < load.checkAt {
-			return port.Order{}, false
+			return platformapi.Order{}, false
 		}
-		return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+		return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 	}
 	if len(planner.models) > 0 {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	return planner.firstModel()
 }
@@ -84,71 +84,71 @@
 // firstModel returns the order to load the model that every server should hold. It also
 // makes the fencing number known to a server, and changes nothing if the server holds the
 // model already.
-func (planner *Planner) firstModel() (port.Order, bool) {
+func (planner *Planner) firstModel() (platformapi.Order, bool) {
 	for _, name := range slices.Sorted(maps.Keys(planner.limits.ModelMB)) {
 		if planner.limits.ModelMB[name] <= planner.limits.MemoryMB {
-			return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+			return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 		}
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextCheck repeats the order of a load or unload that should have ended. The server's
 // answer says whether it has; a report is more expensive and may be stale.
-func (planner *Planner) nextCheck(now clock.Millis) (port.Order, bool) {
+func (planner *Planner) nextCheck(now clock.Millis) (platformapi.Order, bool) {
 	for adapter, entry := range planner.slots {
 		if now < entry.checkAt || !entry.loading && !entry.unloading {
 			continue
 		}
 		if entry.unloading {
-			return port.Order{Adapter: adapter}, true
+			return platformapi.Order{Adapter: adapter}, true
 		}
-		return port.Order{Load: true, Adapter: adapter, Version: entry.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: entry.version}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextVersion replaces an adapter that has a newer version, or unloads it if it is not in use.
-func (planner *Planner) nextVersion(uses Uses, newest func(port.Adapter) int) (port.Order, bool) {
+func (planner *Planner) nextVersion(uses Uses, newest func(platformapi.Adapter) int) (platformapi.Order, bool) {
 	for adapter, entry := range planner.slots {
 		version := newest(adapter)
 		if entry.loading || entry.unloading || entry.version >= version {
 			continue
 		}
 		if uses(adapter) > 0 || planner.wants[adapter] != nil {
-			return port.Order{Load: true, Adapter: adapter, Version: version}, true
+			return platformapi.Order{Load: true, Adapter: adapter, Version: version}, true
 		}
-		return port.Order{Adapter: adapter}, true
+		return platformapi.Order{Adapter: adapter}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextWant loads the most urgently wanted adapter, or unloads another one to make room.
-func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (port.Order, bool) {
+func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
 	limit := planner.options.MostIncoming
 	if traffic.OnWay >= planner.rate.AtOnce(traffic.Servers) {
 		limit = planner.options.CrowdedIncoming
 	}
 	if planner.loadCount() >= limit {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	adapter, wanted, ok := planner.firstWant()
 	if !ok {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	if planner.hasRoom(adapter) {
-		return port.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
 	}
 	if planner.unloadCount() >= len(planner.wants) {
-		return port.Order{}, false // unloads in progress will make room
+		return platformapi.Order{}, false // unloads in progress will make room
 	}
 	victim, ok := planner.victim(now, uses)
-	return port.Order{Adapter: victim}, ok
+	return platformapi.Order{Adapter: victim}, ok
 }
 
 // firstWant returns the most urgent want, and the oldest one of those, that can be loaded now.
-func (planner *Planner) firstWant() (port.Adapter, *want, bool) {
-	var first port.Adapter
+func (planner *Planner) firstWant() (platformapi.Adapter, *want, bool) {
+	var first platformapi.Adapter
 	var best *want
 	for adapter, wanted := range planner.wants {
 		if entry, ok := planner.slots[adapter]; ok && (entry.loading || entry.unloading || entry.version >= wanted.version) || !planner.models[adapter.Model] {
@@ -183,7 +183,7 @@
 
 // hasRoom reports whether one more adapter fits. A server that is ordered to load more
 // than it can hold crashes.
-func (planner *Planner) hasRoom(adapter port.Adapter) bool {
+func (planner *Planner) hasRoom(adapter platformapi.Adapter) bool {
 	if _, held := planner.slots[adapter]; held {
 		return true // a newer version replaces the one held
 	}
@@ -202,8 +202,8 @@
 
 // victim returns the adapter to evict: the one with the lowest score of those that no
 // request uses or waits for.
-func (planner *Planner) victim(now clock.Millis, uses Uses) (port.Adapter, bool) {
-	var victim port.Adapter
+func (planner *Planner) victim(now clock.Millis, uses Uses) (platformapi.Adapter, bool) {
+	var victim platformapi.Adapter
 	least := -1.0
 	for adapter, entry := range planner.slots {
 		if entry.loading || entry.unloading || now-entry.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -11,7 +11,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Limits are what a server can hold.
@@ -82,15 +82,15 @@
 type Planner struct {
 	options      Options
 	limits       Limits
-	rate         *Rate                   // shared by all planners of the daemon
-	recentlyHeld func(port.Adapter) bool // whether the server held an adapter recently
-	fenceKnown   bool                    // the server has seen this daemon's fencing number
-	reportValid  bool                    // a report was read since then, and is still valid
-	lastOrderAt  clock.Millis            // when the server may last have accepted an order
+	rate         *Rate                          // shared by all planners of the daemon
+	recentlyHeld func(platformapi.Adapter) bool // whether the server held an adapter recently
+	fenceKnown   bool                           // the server has seen this daemon's fencing number
+	reportValid  bool                           // a report was read since then, and is still valid
+	lastOrderAt  clock.Millis                   // when the server may last have accepted an order
 	models       map[string]bool
 	modelLoads   map[string]modelLoad // base models being loaded
-	slots        map[port.Adapter]*slot
-	wants        map[port.Adapter]*want
+	slots        map[platformapi.Adapter]*slot
+	wants        map[platformapi.Adapter]*want
 	waitUntil    clock.Millis // no order before this time
 	number       int64        // increases with each change of the table
 }
@@ -104,11 +104,11 @@
 
 // New returns a planner that does not know yet what its server holds. Rate is shared by all
 // planners of the daemon. RecentlyHeld reports whether the server held an adapter recently.
-func New(options Options, limits Limits, rate *Rate, recentlyHeld func(port.Adapter) bool) *Planner {
+func New(options Options, limits Limits, rate *Rate, recentlyHeld func(platformapi.Adapter) bool) *Planner {
 	return &Planner{
 		options: options, limits: limits, rate: rate, recentlyHeld: recentlyHeld, models: make(map[string]bool),
 		modelLoads: make(map[string]modelLoad),
-		slots:      make(map[port.Adapter]*slot), wants: make(map[port.Adapter]*want),
+		slots:      make(map[platformapi.Adapter]*slot), wants: make(map[platformapi.Adapter]*want),
 	}
 }
 
@@ -137,17 +137,17 @@
 }
 
 // SetReport replaces what the planner knows by the server's report of what it holds.
-func (planner *Planner) SetReport(now clock.Millis, report port.Report) {
+func (planner *Planner) SetReport(now clock.Millis, report platformapi.Report) {
 	former := planner.slots
 	planner.reportValid = true
 	planner.number++
 	planner.models = make(map[string]bool)
-	planner.slots = make(map[port.Adapter]*slot)
+	planner.slots = make(map[platformapi.Adapter]*slot)
 	for _, holding := range report.Models {
 		planner.models[holding.Model] = true
 		delete(planner.modelLoads, holding.Model)
 		for name, version := range holding.Adapters {
-			planner.slots[port.Adapter{Model: holding.Model, Name: name}] = &slot{version: version}
+			planner.slots[platformapi.Adapter{Model: holding.Model, Name: name}] = &slot{version: version}
 		}
 	}
 	for _, adapter := range report.Incoming {
@@ -166,7 +166,7 @@
 }
 
 // Want requests an adapter for a request that gives up at until.
-func (planner *Planner) Want(now clock.Millis, adapter port.Adapter, version, rank int, until clock.Millis) {
+func (planner *Planner) Want(now clock.Millis, adapter platformapi.Adapter, version, rank int, until clock.Millis) {
 	wanted, ok := planner.wants[adapter]
 	if !ok {
 		planner.wants[adapter] = &want{version: version, rank: rank, since: now, until: until}
@@ -179,7 +179,7 @@
 }
 
 // Used adds to the count of an adapter's uses.
-func (planner *Planner) Used(now clock.Millis, adapter port.Adapter, uses int) {
+func (planner *Planner) Used(now clock.Millis, adapter platformapi.Adapter, uses int) {
 	entry, ok := planner.slots[adapter]
 	if !ok {
 		return
@@ -197,7 +197,7 @@
 // holds another version of it. The adapter keeps its adapter slot, as if being loaded, until
 // its load has been ordered again and answered. Were the slot reused too early, the server
 // could be ordered to load one adapter too many and crash.
-func (planner *Planner) Absent(now clock.Millis, adapter port.Adapter) {
+func (planner *Planner) Absent(now clock.Millis, adapter platformapi.Adapter) {
 	if entry, ok := planner.slots[adapter]; ok && !entry.loading && !entry.unloading {
 		entry.loading = true
 		entry.checks = 0
@@ -221,13 +221,13 @@
 	}
 	for model, load := range planner.modelLoads {
 		if !load.stuck {
-			slots = append(slots, fleet.Slot{Adapter: port.Adapter{Model: model}, Coming: true})
+			slots = append(slots, fleet.Slot{Adapter: platformapi.Adapter{Model: model}, Coming: true})
 		}
 	}
 	slices.SortFunc(slots, func(a, b fleet.Slot) int { return byName(a.Adapter, b.Adapter) })
 	return planner.number, models, slots
 }
 
-func byName(a, b port.Adapter) int {
+func byName(a, b platformapi.Adapter) int {
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
 }
--- a/internal/direct/loading/planner_test.go
+++ b/internal/direct/loading/planner_test.go
@@ -9,7 +9,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 const adapterSlots = 4
@@ -22,13 +22,13 @@
 // idleStore is a weight store without loads in flight.
 var idleStore = loading.Traffic{Servers: 8}
 
-func never(port.Adapter) bool { return false }
+func never(platformapi.Adapter) bool { return false }
 
-func noVersion(port.Adapter) int { return 0 }
+func noVersion(platformapi.Adapter) int { return 0 }
 
-func noUses(port.Adapter) int { return 0 }
+func noUses(platformapi.Adapter) int { return 0 }
 
-func adapter(name string) port.Adapter { return port.Adapter{Model: "m", Name: name} }
+func adapter(name string) platformapi.Adapter { return platformapi.Adapter{Model: "m", Name: name} }
 
 func newPlanner(now clock.Millis, adapters ...string) *loading.Planner {
 	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
@@ -37,14 +37,14 @@
 	for _, name := range adapters {
 		held[name] = 1
 	}
-	planner.SetReport(now, port.Report{Models: []port.Holding{{Model: "m", Adapters: held}}})
+	planner.SetReport(now, platformapi.Report{Models: []platformapi.Holding{{Model: "m", Adapters: held}}})
 	return planner
 }
 
 // confirmFence makes the planner's fencing number known to the server.
 func confirmFence(planner *loading.Planner, now clock.Millis) {
 	order, _, _ := planner.Next(now, noUses, noVersion, idleStore, true)
-	planner.Done(now, order, port.Holds, idleStore)
+	planner.Done(now, order, platformapi.NothingToDo, idleStore)
 }
 
 // TestReportIsReadAfterFencingNumberIsKnown: until the server has seen the new fencing
@@ -55,12 +55,12 @@
 	require.False(t, needed)
 	order, ok, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: port.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, port.Unknown, idleStore)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
+	planner.Done(1000, order, platformapi.Unknown, idleStore)
 	needed, _ = planner.NeedsReport()
 	require.False(t, needed)
 	order, _, _ = planner.Next(1200, noUses, noVersion, idleStore, true)
-	planner.Done(1200, order, port.Holds, idleStore)
+	planner.Done(1200, order, platformapi.NothingToDo, idleStore)
 	needed, from := planner.NeedsReport()
 	require.True(t, needed)
 	require.Equal(t, 1200+loading.DefaultOptions().ReportLag, from)
@@ -69,11 +69,11 @@
 func TestEmptyServerLoadsBaseModel(t *testing.T) {
 	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
 	confirmFence(planner, 500)
-	planner.SetReport(1000, port.Report{})
+	planner.SetReport(1000, platformapi.Report{})
 	order, ok, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: port.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, port.Accepted, idleStore)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
+	planner.Done(1000, order, platformapi.Accepted, idleStore)
 	_, ok, at := planner.Next(1010, noUses, noVersion, idleStore, true)
 	require.False(t, ok, "the base model is being loaded")
 	require.Positive(t, at)
@@ -84,21 +84,21 @@
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c", "d")
 	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
-	inUse := func(used port.Adapter) int {
+	inUse := func(used platformapi.Adapter) int {
 		if used.Name == "c" {
 			return 0
 		}
 		return 1
 	}
-	_, ok, at := planner.Next(10_000, func(port.Adapter) int { return 1 }, noVersion, idleStore, true)
+	_, ok, at := planner.Next(10_000, func(platformapi.Adapter) int { return 1 }, noVersion, idleStore, true)
 	require.False(t, ok)
 	require.Greater(t, at, clock.Millis(10_000), "it retries")
 	order, ok, _ := planner.Next(10_100, inUse, noVersion, idleStore, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Adapter: adapter("c")}, order)
-	planner.Done(10_100, order, port.Holds, idleStore)
+	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
+	planner.Done(10_100, order, platformapi.NothingToDo, idleStore)
 	order, _, _ = planner.Next(10_110, inUse, noVersion, idleStore, true)
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("e")}, order)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("e")}, order)
 }
 
 func TestLeastUsedAdapterIsEvicted(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
 	order, _, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
-	require.Equal(t, port.Order{Adapter: adapter("c")}, order)
+	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
 }
 
 func TestMostUrgentWantGoesFirst(t *testing.T) {
@@ -135,7 +135,7 @@
 				break
 			}
 			loads++
-			planner.Done(1000, order, port.Accepted, crowded)
+			planner.Done(1000, order, platformapi.Accepted, crowded)
 		}
 		require.Equal(t, most, loads, "loads in flight: %d", inFlight)
 	}
@@ -147,12 +147,12 @@
 	planner := newPlanner(1000, "a", "b", "c")
 	planner.Want(1000, adapter("d"), 0, 0, 9000)
 	order, _, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
-	planner.Done(1000, order, port.Unknown, idleStore)
+	planner.Done(1000, order, platformapi.Unknown, idleStore)
 	planner.Want(1100, adapter("e"), 0, 0, 9000)
 	order, ok, _ := planner.Next(1200, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, adapter("d"), order.Adapter, "the order is repeated")
-	planner.Done(1200, order, port.Holds, idleStore)
+	planner.Done(1200, order, platformapi.NothingToDo, idleStore)
 	order, ok, _ = planner.Next(2000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "there is no room for e: %v", order)
@@ -164,7 +164,7 @@
 	planner.Want(10_000, adapter("e"), 0, 0, 20_000)
 	order, _, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
 	require.False(t, order.Load)
-	planner.Done(10_000, order, port.Accepted, idleStore)
+	planner.Done(10_000, order, platformapi.Accepted, idleStore)
 	next, ok, at := planner.Next(10_001, noUses, noVersion, idleStore, true)
 	for range 5 { // it also wakes up to retry the want
 		if ok {
@@ -177,17 +177,17 @@
 
 func TestNewVersionIsLoadedWhereItIsUsed(t *testing.T) {
 	planner := newPlanner(1000, "a", "b")
-	newest := func(named port.Adapter) int { return map[string]int{"a": 2, "b": 3}[named.Name] }
-	inUse := func(used port.Adapter) int { return map[string]int{"a": 1}[used.Name] }
-	orders := make(map[string]port.Order)
+	newest := func(named platformapi.Adapter) int { return map[string]int{"a": 2, "b": 3}[named.Name] }
+	inUse := func(used platformapi.Adapter) int { return map[string]int{"a": 1}[used.Name] }
+	orders := make(map[string]platformapi.Order)
 	for range 2 {
 		order, ok, _ := planner.Next(2000, inUse, newest, idleStore, true)
 		require.True(t, ok)
 		orders[order.Adapter.Name] = order
-		planner.Done(2000, order, port.Holds, idleStore)
+		planner.Done(2000, order, platformapi.NothingToDo, idleStore)
 	}
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("a"), Version: 2}, orders["a"])
-	require.Equal(t, port.Order{Adapter: adapter("b")}, orders["b"], "an adapter that is not in use is unloaded")
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 2}, orders["a"])
+	require.Equal(t, platformapi.Order{Adapter: adapter("b")}, orders["b"], "an adapter that is not in use is unloaded")
 }
 
 // server simulates a model engine.
@@ -196,22 +196,22 @@
 	runs map[string]int
 }
 
-func (server *server) take(t *rapid.T, now clock.Millis, order port.Order) port.Result {
+func (server *server) take(t *rapid.T, now clock.Millis, order platformapi.Order) platformapi.Result {
 	name := order.Adapter.Name
 	until, known := server.held[name]
 	switch {
 	case !order.Load && server.runs[name] > 0:
-		return port.Accepted
+		return platformapi.Accepted
 	case !order.Load:
 		delete(server.held, name)
-		return port.Holds
+		return platformapi.NothingToDo
 	case known && now >= until:
-		return port.Holds
+		return platformapi.NothingToDo
 	case known:
-		return port.Accepted
+		return platformapi.Accepted
 	}
 	server.held[name] = now + clock.Millis(rapid.IntRange(20, 900).Draw(t, "load"))
-	return port.Accepted
+	return platformapi.Accepted
 }
 
 // TestAdapterSlotsAreNeverExceeded draws wants, requests and lost answers.
@@ -220,7 +220,7 @@
 		now := clock.Millis(1000)
 		planner := newPlanner(now)
 		engine := &server{held: make(map[string]clock.Millis), runs: make(map[string]int)}
-		uses := func(used port.Adapter) int { return engine.runs[used.Name] }
+		uses := func(used platformapi.Adapter) int { return engine.runs[used.Name] }
 		for range rapid.IntRange(20, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(1, 200).Draw(t, "gap"))
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "adapter"))
@@ -239,13 +239,13 @@
 			if !ok {
 				continue
 			}
-			result := port.Unknown
+			result := platformapi.Unknown
 			reached := rapid.IntRange(0, 9).Draw(t, "reached") > 1
 			if reached {
 				result = engine.take(t, now, order)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "answered") < 2 {
-				result = port.Unknown
+				result = platformapi.Unknown
 			}
 			planner.Done(now, order, result, idleStore)
 			require.LessOrEqual(t, len(engine.held), adapterSlots)
@@ -264,8 +264,8 @@
 	planner.Want(10_000, adapter("d"), 0, 0, 20_000)
 	order, ok, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
-	require.Equal(t, port.Order{Load: true, Adapter: adapter("a"), Version: 1}, order, "the refused adapter is checked first")
-	planner.Done(10_000, order, port.Holds, idleStore)
+	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 1}, order, "the refused adapter is checked first")
+	planner.Done(10_000, order, platformapi.NothingToDo, idleStore)
 	order, ok, _ = planner.Next(20_000-1, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "one of the four has to be unloaded")
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -2,33 +2,33 @@
 
 import (
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Done applies the result of an order.
-func (planner *Planner) Done(now clock.Millis, order port.Order, result port.Result, traffic Traffic) {
-	if result != port.Conflict && result != port.Fenced && result != port.Other {
+func (planner *Planner) Done(now clock.Millis, order platformapi.Order, result platformapi.Result, traffic Traffic) {
+	if result != platformapi.Conflict && result != platformapi.Fenced && result != platformapi.WrongServer {
 		planner.lastOrderAt = now
 	}
 	switch result {
-	case port.Accepted, port.Holds:
+	case platformapi.Accepted, platformapi.NothingToDo:
 		planner.fenceKnown = true
-		planner.accepted(now, order, result == port.Holds, traffic)
-	case port.Conflict:
+		planner.accepted(now, order, result == platformapi.NothingToDo, traffic)
+	case platformapi.Conflict:
 		planner.waitUntil = now + planner.options.Backoff
-	case port.Unknown:
+	case platformapi.Unknown:
 		planner.unanswered(now, order)
-	case port.Other, port.Fenced:
+	case platformapi.WrongServer, platformapi.Fenced:
 		planner.reportValid = false
 		planner.fenceKnown = false
-	case port.Invalid:
+	case platformapi.InvalidOrder:
 		planner.refused(now, order)
 	}
 }
 
 // unanswered handles an order without an answer. A load may have been accepted, so it takes
 // an adapter slot until the order has been repeated and answered.
-func (planner *Planner) unanswered(now clock.Millis, order port.Order) {
+func (planner *Planner) unanswered(now clock.Millis, order platformapi.Order) {
 	planner.waitUntil = now + planner.options.Backoff
 	planner.number++
 	if !order.Load {
@@ -49,7 +49,7 @@
 }
 
 // accepted handles an order that the server has accepted, or whose result it already holds.
-func (planner *Planner) accepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
+func (planner *Planner) accepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
 	planner.number++
 	switch {
 	case order.Adapter.Name == "":
@@ -63,7 +63,7 @@
 
 // unloadAccepted frees the adapter slot once no request uses the adapter any more. Until
 // then the server still counts it.
-func (planner *Planner) unloadAccepted(now clock.Millis, adapter port.Adapter, holds bool) {
+func (planner *Planner) unloadAccepted(now clock.Millis, adapter platformapi.Adapter, holds bool) {
 	entry, ok := planner.slots[adapter]
 	if holds || !ok {
 		delete(planner.slots, adapter)
@@ -92,7 +92,7 @@
 }
 
 // loadAccepted records that a load was started, is still in progress, or has ended.
-func (planner *Planner) loadAccepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
+func (planner *Planner) loadAccepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
 	entry, ok := planner.slots[order.Adapter]
 	if !ok {
 		entry = &slot{}
@@ -128,7 +128,7 @@
 }
 
 // loadStarted records the start of a load and when to check it first.
-func (planner *Planner) loadStarted(now clock.Millis, adapter port.Adapter, entry *slot, traffic Traffic) {
+func (planner *Planner) loadStarted(now clock.Millis, adapter platformapi.Adapter, entry *slot, traffic Traffic) {
 	if planner.recentlyHeld(adapter) {
 		entry.began = 0 // its duration says nothing about the weight store
 		entry.checkAt = now + planner.rate.RecentTime()
@@ -142,7 +142,7 @@
 
 // refused drops a want whose order the server rejects as invalid, so that it is not repeated
 // forever.
-func (planner *Planner) refused(now clock.Millis, order port.Order) {
+func (planner *Planner) refused(now clock.Millis, order platformapi.Order) {
 	delete(planner.wants, order.Adapter)
 	planner.waitUntil = now + planner.options.Backoff
 	planner.reportValid = false
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -9,7 +9,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
@@ -35,7 +35,7 @@
 	Group    *GroupShare     // nil unless both are hubs
 	Owners   *Owners         // nil when they have not changed, or the sender is not the receiver's hub
 	Reported []Reported      // what servers say that no daemon gives orders to yet
-	Usage    *quota.Word     // nil where no account has a limit
+	Usage    *quota.Report   // nil where no account has a limit
 }
 
 // GroupShare is what a hub and the daemons that have chosen it have in progress.
@@ -56,7 +56,7 @@
 type Reported struct {
 	Server   string
 	Born     int64
-	Holdings []port.Holding
+	Holdings []platformapi.Holding
 }
 
 // Work is what a daemon has in progress at a server, and what it has sent there since it
@@ -76,7 +76,7 @@
 // ServerUses is how many requests use each adapter of a server.
 type ServerUses struct {
 	Server string
-	Uses   map[port.Adapter]int
+	Uses   map[platformapi.Adapter]int
 }
 
 // DaemonShare is what a daemon has in progress. Of two, the one of the later
@@ -109,7 +109,7 @@
 // Want asks the daemon that gives orders to a server for an adapter.
 type Want struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 	Version int
 	Rank    int
 	Left    clock.Millis // until the request gives up
@@ -136,7 +136,7 @@
 // which servers ended, of limits that servers named, and of servers that said that they leave.
 type Warnings struct {
 	Quarantine []quarantine.Record
-	Limits     []throttle.Word
+	Limits     []throttle.ServerLimit
 	Leaving    []fleet.Departure
 }
 
--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -10,7 +10,7 @@
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
@@ -20,7 +20,7 @@
 )
 
 func messages() []peers.Message {
-	adapter := port.Adapter{Model: "m", Name: "a"}
+	adapter := platformapi.Adapter{Model: "m", Name: "a"}
 	return []peers.Message{
 		{Update: &peers.Update{
 			Word: membership.Word{
@@ -41,7 +41,7 @@
 			}}},
 			Tables: []fleet.Table{{
 				Server: "s", Born: 1, Fence: 2, Number: 3, Models: []string{"m"},
-				Slots: []fleet.Slot{{Adapter: adapter, Version: 4, Coming: true, Queued: true}, {Adapter: port.Adapter{Model: "n", Name: "b"}}},
+				Slots: []fleet.Slot{{Adapter: adapter, Version: 4, Coming: true, Queued: true}, {Adapter: platformapi.Adapter{Model: "n", Name: "b"}}},
 			}},
 			Store: &peers.StoreNews{
 				StoreItems: peers.StoreItems{Items: []peers.Item{{Key: "k", Value: []byte("v"), Revision: 4}}, AsOf: 5, Era: 2, Whole: true}, Age: 6, Back: 7,
@@ -50,7 +50,7 @@
 		}},
 		{Digest: &peers.Digest{Sums: &peers.Sums{
 			Whole: true, Servers: map[string]tally.Sum{"s": {Load: tally.Load{Runs: 3, Reading: 40}, Adapters: 2}},
-			Uses: []peers.ServerUses{{Server: "s", Uses: map[port.Adapter]int{adapter: 2}}},
+			Uses: []peers.ServerUses{{Server: "s", Uses: map[platformapi.Adapter]int{adapter: 2}}},
 		}}},
 		{Digest: &peers.Digest{
 			Group: &peers.GroupShare{Number: 4, Whole: true, Share: tally.Share{
@@ -58,17 +58,17 @@
 				Uses:  map[tally.Use]int{{Server: "s", Adapter: adapter}: 1, {Server: "r", Adapter: adapter}: 0},
 			}},
 			Owners:   &peers.Owners{By: map[string]string{"s": "d", "r": "e", "t": "d"}, Learned: loading.Learned{LoadTime: 250, AtOnce: 40}},
-			Reported: []peers.Reported{{Server: "s", Born: 5, Holdings: []port.Holding{{Model: "m", Adapters: map[string]int{"a": 2}}}}},
+			Reported: []peers.Reported{{Server: "s", Born: 5, Holdings: []platformapi.Holding{{Model: "m", Adapters: map[string]int{"a": 2}}}}},
 		}},
 		{Warnings: &peers.Warnings{
 			Quarantine: []quarantine.Record{
 				{Content: content.ID{1, 2, 3}, Number: 2, Servers: []string{"s@1", "t@0"}, Age: 5},
 				{Content: content.ID{4}, Number: 3, Age: 7},
 			},
-			Limits:  []throttle.Word{{Server: "s", Born: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
+			Limits:  []throttle.ServerLimit{{Server: "s", StartedAt: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
 			Leaving: []fleet.Departure{{Server: "s", Born: 1}, {Server: "t"}},
 		}},
-		{Digest: &peers.Digest{Usage: &quota.Word{
+		{Digest: &peers.Digest{Usage: &quota.Report{
 			Scope: quota.Others, Incarnation: 7, Daemons: 59,
 			Readings: []quota.Reading{{Account: "payroll", Number: 2, Total: 1630, Recent: 800}},
 		}}},
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -11,7 +11,7 @@
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
@@ -99,7 +99,7 @@
 		_        struct{} `cbor:",toarray"`
 		Server   string
 		Born     int64
-		Holdings []port.Holding
+		Holdings []platformapi.Holding
 	}
 	wireWork struct {
 		_                   struct{} `cbor:",toarray"`
@@ -245,7 +245,7 @@
 	return wire
 }
 
-func encodeUsage(usage *quota.Word) *wireUsage {
+func encodeUsage(usage *quota.Report) *wireUsage {
 	wire := &wireUsage{Scope: int(usage.Scope), Incarnation: usage.Incarnation, Daemons: usage.Daemons}
 	for _, reading := range usage.Readings {
 		wire.Readings = append(wire.Readings, wireReading{
@@ -256,8 +256,8 @@
 	return wire
 }
 
-func decodeUsage(wire *wireUsage) *quota.Word {
-	usage := &quota.Word{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
+func decodeUsage(wire *wireUsage) *quota.Report {
+	usage := &quota.Report{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
 	for _, reading := range wire.Readings {
 		usage.Readings = append(usage.Readings, quota.Reading{
 			Account: reading.Account, Number: reading.Number, Total: float64(reading.Total), Recent: float64(reading.Recent),
@@ -317,9 +317,9 @@
 		sums.Servers[sum.Server] = tally.Sum{Load: tally.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
 	}
 	for _, uses := range wire.Uses {
-		decoded := ServerUses{Server: uses.Server, Uses: make(map[port.Adapter]int, len(uses.Uses))}
+		decoded := ServerUses{Server: uses.Server, Uses: make(map[platformapi.Adapter]int, len(uses.Uses))}
 		for _, use := range uses.Uses {
-			decoded.Uses[port.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
+			decoded.Uses[platformapi.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
 		}
 		sums.Uses = append(sums.Uses, decoded)
 	}
@@ -404,7 +404,7 @@
 	for _, load := range loads {
 		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
-			adapter := port.Adapter{Model: named(models, use.Model), Name: use.Named}
+			adapter := platformapi.Adapter{Model: named(models, use.Model), Name: use.Named}
 			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
@@ -440,7 +440,7 @@
 	}
 	if want := wire.Want; want != nil {
 		message.Want = &Want{
-			Server: want.Server, Adapter: port.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
+			Server: want.Server, Adapter: platformapi.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
 			Rank: want.Rank, Left: clock.Millis(want.Left), Absent: want.Absent,
 		}
 	}
@@ -475,7 +475,7 @@
 	held := min(max(wire.Held, 0), len(wire.Models))
 	table := fleet.Table{Server: wire.Server, Born: wire.Born, Fence: wire.Fence, Number: wire.Number, Models: wire.Models[:held]}
 	for _, slot := range wire.Slots {
-		adapter := port.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
+		adapter := platformapi.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
 		table.Slots = append(table.Slots, fleet.Slot{Adapter: adapter, Version: slot.Version, Coming: slot.Coming, Queued: slot.Queued})
 	}
 	return table
--- a/internal/direct/tally/group_test.go
+++ b/internal/direct/tally/group_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
@@ -15,7 +15,7 @@
 	drawn := tally.Share{Loads: make(map[string]tally.Load), Uses: make(map[tally.Use]int)}
 	for range rapid.IntRange(0, 6).Draw(t, name) {
 		server := rapid.SampledFrom([]string{"s1", "s2", "s3"}).Draw(t, "server")
-		adapter := port.Adapter{Model: "m", Name: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "adapter")}
+		adapter := platformapi.Adapter{Model: "m", Name: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "adapter")}
 		load := drawn.Loads[server]
 		load.Runs++
 		load.Reading += 10 * rapid.IntRange(0, 3).Draw(t, "reading")
@@ -42,7 +42,7 @@
 // those of other hubs.
 func TestGroupExcludesOtherHubs(t *testing.T) {
 	counted := tally.New()
-	adapter := port.Adapter{Model: "m", Name: "a"}
+	adapter := platformapi.Adapter{Model: "m", Name: "a"}
 	counted.Begin(tally.Use{Server: "s1", Adapter: adapter}, 20)
 	counted.Peer("near", tally.Share{Loads: map[string]tally.Load{"s1": {Runs: 2, Reading: 5}}, Uses: map[tally.Use]int{{Server: "s1", Adapter: adapter}: 2}})
 	counted.Peer("hub", tally.Share{Loads: map[string]tally.Load{"s1": {Runs: 9}, "s2": {Runs: 1}}, Uses: map[tally.Use]int{}})
--- a/internal/direct/tally/tracker.go
+++ b/internal/direct/tally/tracker.go
@@ -6,7 +6,7 @@
 import (
 	"maps"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Load is the work in progress at a server.
@@ -18,7 +18,7 @@
 // Use identifies an adapter at a server.
 type Use struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 }
 
 // Sum is the work of several daemons at a server.
@@ -56,7 +56,7 @@
 // serverUses counts the requests that use or wait for an adapter, by server and adapter.
 // Each adapter takes an adapter slot of the server. Requests without an adapter are not
 // counted.
-type serverUses map[string]map[port.Adapter]int
+type serverUses map[string]map[platformapi.Adapter]int
 
 func (uses serverUses) add(use Use, count int) {
 	if use.Adapter.Name == "" {
@@ -64,7 +64,7 @@
 	}
 	counts, ok := uses[use.Server]
 	if !ok {
-		counts = make(map[port.Adapter]int)
+		counts = make(map[platformapi.Adapter]int)
 		uses[use.Server] = counts
 	}
 	counts[use.Adapter] += count
@@ -207,10 +207,10 @@
 }
 
 // UsesAt returns how many requests of all daemons use or wait for each adapter at a server.
-func (tally *Tally) UsesAt(server string) map[port.Adapter]int {
+func (tally *Tally) UsesAt(server string) map[platformapi.Adapter]int {
 	uses := maps.Clone(tally.uses[server])
 	if uses == nil {
-		uses = make(map[port.Adapter]int)
+		uses = make(map[platformapi.Adapter]int)
 	}
 	for adapter, count := range tally.hubUses[server] {
 		uses[adapter] += count
@@ -234,9 +234,9 @@
 
 // UsesBut returns how many requests of all daemons but one use or wait for each adapter at
 // a server.
-func (tally *Tally) UsesBut(except, server string) map[port.Adapter]int {
+func (tally *Tally) UsesBut(except, server string) map[platformapi.Adapter]int {
 	excluded := tally.peers[except].Uses
-	uses := make(map[port.Adapter]int)
+	uses := make(map[platformapi.Adapter]int)
 	for adapter, count := range tally.uses[server] {
 		if more := count - excluded[Use{Server: server, Adapter: adapter}]; more > 0 {
 			uses[adapter] = more
@@ -264,7 +264,7 @@
 // SetUses replaces the uses, from a hub, of adapters by other daemons at a server that this
 // daemon owns. It returns the uses that have increased, with the difference, and those that
 // have ended, with 0.
-func (tally *Tally) SetUses(server string, uses map[port.Adapter]int) map[Use]int {
+func (tally *Tally) SetUses(server string, uses map[platformapi.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
 	before := tally.hubUses[server]
 	for adapter, count := range uses {
--- a/internal/direct/tally/tracker_test.go
+++ b/internal/direct/tally/tracker_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tally"
 )
 
 func use(server, adapter string) tally.Use {
-	return tally.Use{Server: server, Adapter: port.Adapter{Model: "m", Name: adapter}}
+	return tally.Use{Server: server, Adapter: platformapi.Adapter{Model: "m", Name: adapter}}
 }
 
 func TestOwnAndPeerRequestsAreAdded(t *testing.T) {
@@ -60,7 +60,7 @@
 	for _, each := range []string{"a", "b"} {
 		require.Equal(t, full.Uses(use("s", each)), member.Uses(use("s", each)))
 	}
-	require.Equal(t, map[tally.Use]int{use("s", "b"): 0}, member.SetUses("s", map[port.Adapter]int{use("s", "a").Adapter: 1}))
+	require.Equal(t, map[tally.Use]int{use("s", "b"): 0}, member.SetUses("s", map[platformapi.Adapter]int{use("s", "a").Adapter: 1}))
 	member.ClearOthers()
 	require.Equal(t, tally.Load{Runs: 1, Reading: 10}, member.Load("s"))
 	require.Equal(t, 1, member.Uses(use("s", "a")))
