--- a/internal/direct/choose/choose.go
+++ b/internal/direct/choose/choose.go
@@ -7,8 +7,8 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/platformapi"
-	"teaselmoor/internal/direct/tally"
 )
 
 // Weights are the terms of a server's cost, which is the expected time to the first
@@ -54,9 +54,9 @@
 	remainingLoadShare = 0.6
 )
 
-// Observed returns the weights with the observed read rate of engines and the observed
+// WithObserved returns the weights with the observed read rate of engines and the observed
 // load times of an adapter, from the weight store and when the server held it recently.
-func (weights Weights) Observed(tokensPerMS float64, load, recent clock.Millis) Weights {
+func (weights Weights) WithObserved(tokensPerMS float64, load, recent clock.Millis) Weights {
 	weights.ReadTokensPerMS = tokensPerMS
 	weights.Load = float64(load) + loadOverhead
 	weights.AtHand = float64(recent) + recentLoadOverhead
@@ -66,39 +66,39 @@
 
 // Query describes the request to place.
 type Query struct {
-	Now        clock.Millis
-	Service    string
-	DataCentre string                   // data centre of this daemon
-	Attempt    uint64                   // hash of the request's id
-	Adapter    platformapi.Adapter      // empty name: the base model; model empty as well: a plain service
-	Version    int                      // minimum version of the adapter
-	Prompt     int                      // tokens
-	Places     int                      // adapter slots of each server
-	Tried      []string                 // servers that were sent the request before
-	Barred     func(server string) bool // whether a server must not be sent requests now; nil: no server
-	Ordered    func(server string) bool // whether a server has an owner; nil: all servers do
-	Frequent   bool                     // the adapter was requested before, recently: another copy may be worth its load
-	Many       bool                     // many daemons place requests by the same, somewhat stale load counts
-	Waiting    string                   // the server at which the request waits for the adapter; empty: none
+	Now          clock.Millis
+	Service      string
+	DataCentre   string                   // data centre of this daemon
+	Attempt      uint64                   // hash of the request's id
+	Adapter      platformapi.Adapter      // empty name: the base model; model empty as well: a plain service
+	Version      int                      // minimum version of the adapter
+	Prompt       int                      // tokens
+	AdapterSlots int                      // adapter slots of each server
+	Tried        []string                 // servers that were sent the request before
+	Blocked      func(server string) bool // whether a server must not be sent requests now; nil: no server
+	HasOwner     func(server string) bool // whether a server has an owner; nil: all servers do
+	Frequent     bool                     // the adapter was requested before, recently: another copy may be worth its load
+	ManyDaemons  bool                     // many daemons place requests by the same, somewhat stale load counts
+	WaitingAt    string                   // the server at which the request waits for the adapter; empty: none
 }
 
 // excludes reports whether a server must not be sent the request, whatever its cost.
 func (query Query) excludes(member *fleet.Member) bool {
-	return slices.Contains(query.Tried, member.ID) || member.Rests(query.Now) > 0 || query.Barred != nil && query.Barred(member.ID)
+	return slices.Contains(query.Tried, member.ID) || member.PausedFor(query.Now) > 0 || query.Blocked != nil && query.Blocked(member.ID)
 }
 
 // Choice is a chosen server and its cost.
 type Choice struct {
 	Member *fleet.Member
 	Cost   float64 // expected time in milliseconds
-	Held   bool    // the server holds what the request needs and can run it at once
-	// Copy is a server that should load another copy of the adapter for later requests,
+	Ready  bool    // the server holds what the request needs and can run it at once
+	// CopyTo is a server that should load another copy of the adapter for later requests,
 	// as all its holders are much busier. Nil: no copy is needed.
-	Copy *fleet.Member
+	CopyTo *fleet.Member
 }
 
 // Choose returns the cheapest server, or false if no server may take the request.
-func (weights Weights) Choose(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally) (Choice, bool) {
+func (weights Weights) Choose(query Query, adapterHash uint64, servers *fleet.Fleet, work *inflight.Tracker) (Choice, bool) {
 	if choice, ok := weights.chooseHolder(query, servers, work); ok {
 		return choice, true
 	}
@@ -108,7 +108,7 @@
 // chooseHolder considers only the holders of the adapter. It reports true if no other
 // server can cost less than the one returned. This holds for most requests, so that few
 // have to consider all servers.
-func (weights Weights) chooseHolder(query Query, servers *fleet.Fleet, work *tally.Tally) (Choice, bool) {
+func (weights Weights) chooseHolder(query Query, servers *fleet.Fleet, work *inflight.Tracker) (Choice, bool) {
 	if query.Adapter.Name == "" || !weights.Shortcut {
 		return Choice{}, false
 	}
@@ -118,7 +118,7 @@
 		if member.Service != query.Service || member.Draining || !ready(member, query) || query.excludes(member) {
 			continue
 		}
-		choice := Choice{Member: member, Held: true, Cost: weights.baseCost(query, servers, work, member) + tieBreaker(query, member)}
+		choice := Choice{Member: member, Ready: true, Cost: weights.baseCost(query, servers, work, member) + tieBreaker(query, member)}
 		if best.Member == nil || choice.Cost < best.Cost {
 			best = choice
 		}
@@ -127,7 +127,7 @@
 	if best.Member == nil {
 		return Choice{}, false
 	}
-	if query.Many {
+	if query.ManyDaemons {
 		best = drawn.pick(best, weights.Load)
 	}
 	least := float64(query.Prompt)/weights.ReadTokensPerMS + min(weights.AtHand, weights.Coming, weights.Load, weights.Relief)
@@ -135,7 +135,7 @@
 }
 
 // chooseAny considers all servers of the service.
-func (weights Weights) chooseAny(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally) (Choice, bool) {
+func (weights Weights) chooseAny(query Query, adapterHash uint64, servers *fleet.Fleet, work *inflight.Tracker) (Choice, bool) {
 	usable := servers.Usable(query.Service)
 	copies := 0
 	var preferred preferredRanks
@@ -148,9 +148,9 @@
 		if query.excludes(member) {
 			continue
 		}
-		choice := Choice{Member: member, Held: ready(member, query)}
+		choice := Choice{Member: member, Ready: ready(member, query)}
 		choice.Cost = weights.baseCost(query, servers, work, member) + tieBreaker(query, member)
-		if !choice.Held {
+		if !choice.Ready {
 			position := preferred.position(rank(adapterHash, member), weights.Homes)
 			crowding := weights.crowdingCost(query, member, work)
 			loaded := choice.Cost + weights.Step*float64(position) + crowding
@@ -159,26 +159,26 @@
 			}
 			choice.Cost += weights.loadCost(query, member, position, copies) + crowding
 		}
-		if member.ID == query.Waiting && !choice.Held {
+		if member.ID == query.WaitingAt && !choice.Ready {
 			waiting = choice
 		}
 		if best.Member == nil || choice.Cost < best.Cost {
 			best = choice
 		}
-		if choice.Held {
+		if choice.Ready {
 			drawn.add(choice, rank(query.Attempt, member))
 		}
 	}
-	if query.Many && best.Held {
+	if query.ManyDaemons && best.Ready {
 		best = drawn.pick(best, weights.Load)
 	}
 	// A waiting request stays at its server unless another one can run it at once:
 	// moving it would have the adapter loaded at two servers.
-	if waiting.Member != nil && !best.Held && !waiting.Member.Suspect(query.Now) {
+	if waiting.Member != nil && !best.Ready && !waiting.Member.Suspect(query.Now) {
 		return waiting, true
 	}
-	if query.Frequent && best.Held && spare.Member != nil && best.Cost > spare.Cost+weights.Relief {
-		best.Copy = weights.copyTarget(query, usable, spare.Member)
+	if query.Frequent && best.Ready && spare.Member != nil && best.Cost > spare.Cost+weights.Relief {
+		best.CopyTo = weights.copyTarget(query, usable, spare.Member)
 	}
 	return best, best.Member != nil
 }
@@ -186,7 +186,7 @@
 // copyTarget returns spare as the server for another copy, or nil if it has no owner or a
 // copy is being loaded already.
 func (weights Weights) copyTarget(query Query, usable []*fleet.Member, spare *fleet.Member) *fleet.Member {
-	if query.Ordered != nil && !query.Ordered(spare.ID) {
+	if query.HasOwner != nil && !query.HasOwner(spare.ID) {
 		return nil
 	}
 	for _, member := range usable {
--- a/internal/direct/choose/copytargets.go
+++ b/internal/direct/choose/copytargets.go
@@ -5,13 +5,13 @@
 	"slices"
 
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/tally"
+	"teaselmoor/internal/direct/inflight"
 )
 
-// Spares returns up to limit servers that should load another copy of an adapter, the
+// CopyTargets returns up to limit servers that should load another copy of an adapter, the
 // cheapest first: servers that do not have it and where a request would start soonest.
 // The first servers of the adapter's rendezvous order are preferred.
-func (weights Weights) Spares(query Query, adapterHash uint64, servers *fleet.Fleet, work *tally.Tally, limit int) []*fleet.Member {
+func (weights Weights) CopyTargets(query Query, adapterHash uint64, servers *fleet.Fleet, work *inflight.Tracker, limit int) []*fleet.Member {
 	usable := servers.Usable(query.Service)
 	_, preferred := survey(usable, query, adapterHash)
 	var candidates []Choice
@@ -21,7 +21,7 @@
 		}
 		position := preferred.position(rank(adapterHash, member), weights.Homes)
 		cost := weights.baseCost(query, servers, work, member) + weights.Step*float64(position) + weights.crowdingCost(query, member, work)
-		if member.AtHand(query.Adapter) {
+		if member.RecentlyHeld(query.Adapter) {
 			cost += weights.AtHand - weights.Load
 		}
 		candidates = append(candidates, Choice{Member: member, Cost: cost})
@@ -36,6 +36,6 @@
 
 // canLoad reports whether a server can be told to load an adapter now.
 func (weights Weights) canLoad(query Query, member *fleet.Member) bool {
-	hasOwner := query.Ordered == nil || query.Ordered(member.ID)
+	hasOwner := query.HasOwner == nil || query.HasOwner(member.ID)
 	return hasOwner && member.HoldsModel(query.Adapter.Model) && !member.Suspect(query.Now)
 }
--- a/internal/direct/choose/cost.go
+++ b/internal/direct/choose/cost.go
@@ -2,7 +2,7 @@
 
 import (
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/tally"
+	"teaselmoor/internal/direct/inflight"
 )
 
 // mixer is 2^64 divided by the golden ratio; multiplying by it spreads a hash over all bits.
@@ -48,13 +48,13 @@
 }
 
 // baseCost is the cost of a server without the cost of loading the adapter.
-func (weights Weights) baseCost(query Query, servers *fleet.Fleet, work *tally.Tally, member *fleet.Member) float64 {
+func (weights Weights) baseCost(query Query, servers *fleet.Fleet, work *inflight.Tracker, member *fleet.Member) float64 {
 	load := work.Load(member.ID)
 	cost := float64(load.Reading+query.Prompt)/weights.ReadTokensPerMS + weights.Full*float64(load.Runs)/float64(max(1, member.Slots))
 	if beyond := load.Runs + 1 - member.Slots; beyond > 0 {
 		cost += weights.queueTime(member) * float64(beyond)
 	}
-	cost += weights.Trouble * servers.Trouble(query.Now, member)
+	cost += weights.Trouble * servers.FailureRate(query.Now, member)
 	if member.Suspect(query.Now) {
 		cost += weights.Suspect
 	}
@@ -77,11 +77,11 @@
 	if slot, ok := member.Slot(query.Adapter); ok && slot.Coming {
 		return weights.Coming
 	}
-	if member.AtHand(query.Adapter) {
+	if member.RecentlyHeld(query.Adapter) {
 		return weights.AtHand
 	}
 	cost := weights.Load + weights.Step*float64(position)
-	if query.Ordered != nil && !query.Ordered(member.ID) {
+	if query.HasOwner != nil && !query.HasOwner(member.ID) {
 		cost += weights.Orderless
 	}
 	if copies > 0 {
@@ -92,8 +92,8 @@
 
 // crowdingCost is the cost of a server whose adapter slots are all in use: the requests of
 // one adapter have to end before another adapter can be loaded.
-func (weights Weights) crowdingCost(query Query, member *fleet.Member, work *tally.Tally) float64 {
-	beyond := work.Distinct(member.ID) + 1 - query.Places
+func (weights Weights) crowdingCost(query Query, member *fleet.Member, work *inflight.Tracker) float64 {
+	beyond := work.AdapterCount(member.ID) + 1 - query.AdapterSlots
 	if beyond <= 0 || query.Adapter.Name == "" {
 		return 0
 	}
--- a/internal/direct/choose/delay.go
+++ b/internal/direct/choose/delay.go
@@ -2,11 +2,11 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Hold decides whether a prompt is sent to its server now or delayed. An engine reads
+// DelayPolicy decides whether a prompt is sent to its server now or delayed. An engine reads
 // prompts between the decoding steps of its streams, so prompts that arrive together
 // make all streams pause. A prompt that is delayed by some ten milliseconds still gets
 // its first event within its goal (TestDelayedPromptsShortenStreamPauses).
-type Hold struct {
+type DelayPolicy struct {
 	// GapShare is the share of the gap goal that reading the prompts at a server may
 	// take. Half leaves room for prompts of other daemons that this one does not know of.
 	GapShare float64
@@ -17,10 +17,10 @@
 	Look clock.Millis
 }
 
-// DefaultHold returns the limits for engines that also get prompts which this daemon does
+// DefaultDelayPolicy returns the limits for engines that also get prompts which this daemon does
 // not know of.
-func DefaultHold() Hold {
-	return Hold{GapShare: 0.5, GoalShare: 0.33, Look: 15}
+func DefaultDelayPolicy() DelayPolicy {
+	return DelayPolicy{GapShare: 0.5, GoalShare: 0.33, Look: 15}
 }
 
 // Prompt is a prompt that is ready to be sent.
@@ -31,12 +31,12 @@
 	Waited  clock.Millis // since the request arrived
 }
 
-// Holds reports whether a prompt should be delayed. Level is the level of its server's
+// ShouldDelay reports whether a prompt should be delayed. Level is the level of its server's
 // prompt bucket; tokensPerMS is the engine's read rate.
-func (hold Hold) Holds(prompt Prompt, level, tokensPerMS float64) bool {
-	if prompt.Waited >= clock.Millis(hold.GoalShare*float64(prompt.Goal)) || level <= 0 {
+func (delayPolicy DelayPolicy) ShouldDelay(prompt Prompt, level, tokensPerMS float64) bool {
+	if prompt.Waited >= clock.Millis(delayPolicy.GoalShare*float64(prompt.Goal)) || level <= 0 {
 		return false
 	}
-	limit := hold.GapShare * float64(prompt.GapGoal) * tokensPerMS
+	limit := delayPolicy.GapShare * float64(prompt.GapGoal) * tokensPerMS
 	return level+float64(prompt.Tokens) > limit
 }
--- a/internal/direct/choose/delay_test.go
+++ b/internal/direct/choose/delay_test.go
@@ -80,10 +80,10 @@
 func TestDelayedPromptsShortenStreamPauses(t *testing.T) {
 	always := func(clock.Millis, clock.Millis, int) bool { return true }
 	before, _ := replayEngine(always)
-	bucket, policy := choose.NewIntake(), choose.DefaultHold()
+	bucket, policy := choose.NewPromptBucket(), choose.DefaultDelayPolicy()
 	after, wait := replayEngine(func(now, waited clock.Millis, tokens int) bool {
 		prompt := choose.Prompt{Tokens: tokens, Goal: firstGoal, GapGoal: gapGoal, Waited: waited}
-		if policy.Holds(prompt, bucket.Tokens(now, "s", engineRate), engineRate) {
+		if policy.ShouldDelay(prompt, bucket.Level(now, "s", engineRate), engineRate) {
 			return false
 		}
 		bucket.Add(now, "s", tokens, engineRate)
@@ -96,26 +96,26 @@
 }
 
 func TestDelayPolicy(t *testing.T) {
-	policy := choose.DefaultHold()
+	policy := choose.DefaultDelayPolicy()
 	prompt := choose.Prompt{Tokens: 1000, Goal: firstGoal, GapGoal: gapGoal}
-	require.False(t, policy.Holds(prompt, 4000, engineRate), "the prompts fit in the share of the gap goal")
-	require.True(t, policy.Holds(prompt, 5000, engineRate))
+	require.False(t, policy.ShouldDelay(prompt, 4000, engineRate), "the prompts fit in the share of the gap goal")
+	require.True(t, policy.ShouldDelay(prompt, 5000, engineRate))
 	prompt.Waited = firstGoal / 2
-	require.False(t, policy.Holds(prompt, 5000, engineRate), "it would miss its own first-event goal")
+	require.False(t, policy.ShouldDelay(prompt, 5000, engineRate), "it would miss its own first-event goal")
 	prompt.Waited, prompt.Tokens = 0, 100_000
-	require.False(t, policy.Holds(prompt, 0, engineRate), "an idle engine gets a prompt of any size")
+	require.False(t, policy.ShouldDelay(prompt, 0, engineRate), "an idle engine gets a prompt of any size")
 }
 
 func TestPromptBucketLeaks(t *testing.T) {
-	bucket := choose.NewIntake()
-	require.Zero(t, bucket.Tokens(0, "s", engineRate))
+	bucket := choose.NewPromptBucket()
+	require.Zero(t, bucket.Level(0, "s", engineRate))
 	bucket.Add(1000, "s", 3800, engineRate)
 	bucket.Add(1000, "other", 1, engineRate)
-	require.InDelta(t, 3800, bucket.Tokens(1000, "s", engineRate), 1)
-	require.InDelta(t, 1520, bucket.Tokens(1100, "s", engineRate), 1)
-	require.Zero(t, bucket.Tokens(1200, "s", engineRate))
+	require.InDelta(t, 3800, bucket.Level(1000, "s", engineRate), 1)
+	require.InDelta(t, 1520, bucket.Level(1100, "s", engineRate), 1)
+	require.Zero(t, bucket.Level(1200, "s", engineRate))
 	bucket.Retain(func(string) bool { return false })
-	require.Zero(t, bucket.Tokens(1000, "s", engineRate))
+	require.Zero(t, bucket.Level(1000, "s", engineRate))
 }
 
 // TestReadRateConverges: answers take some milliseconds longer than the reading, and the
--- a/internal/direct/choose/popular_test.go
+++ b/internal/direct/choose/popular_test.go
@@ -11,8 +11,8 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/tally"
 )
 
 // Parameters of an adapter that becomes popular at a large site.
@@ -43,9 +43,9 @@
 type simulation struct {
 	now     clock.Millis
 	queues  map[string][]*prompt
-	held    map[string]clock.Millis // by server, since when it holds the adapter
-	loading map[string]clock.Millis // by server, when its load ends
-	views   []map[string]tally.Sum  // load counts after each step
+	held    map[string]clock.Millis   // by server, since when it holds the adapter
+	loading map[string]clock.Millis   // by server, when its load ends
+	views   []map[string]inflight.Sum // load counts after each step
 	late    int
 	copies  int
 }
@@ -57,7 +57,7 @@
 }
 
 // known returns the servers and the work in progress as the daemons see them now.
-func (simulation *simulation) known() (*fleet.Fleet, *tally.Tally) {
+func (simulation *simulation) known() (*fleet.Fleet, *inflight.Tracker) {
 	servers, work := newFleet(popularServers)
 	for server, since := range simulation.held {
 		setTable(servers, server, 1, fleet.Slot{Adapter: adapter, Version: 1, Coming: simulation.now < since+popularLag})
@@ -68,7 +68,7 @@
 		}
 	}
 	if lag := int(popularLag / popularStep); len(simulation.views) > lag {
-		work.SetOthers(simulation.views[len(simulation.views)-1-lag])
+		work.SetHubSums(simulation.views[len(simulation.views)-1-lag])
 	}
 	return servers, work
 }
@@ -89,7 +89,7 @@
 			delete(simulation.loading, server)
 		}
 	}
-	sums := make(map[string]tally.Sum)
+	sums := make(map[string]inflight.Sum)
 	for server, queue := range simulation.queues {
 		if _, held := simulation.held[server]; held {
 			queue = simulation.read(queue, choose.DefaultWeights().ReadTokensPerMS*float64(popularStep))
@@ -100,7 +100,7 @@
 			tokens += waiting.left
 		}
 		if len(queue) > 0 {
-			sums[server] = tally.Sum{Load: tally.Load{Runs: len(queue), Reading: int(tokens)}, Adapters: 1}
+			sums[server] = inflight.Sum{Load: inflight.Load{Runs: len(queue), Reading: int(tokens)}, Adapters: 1}
 		}
 	}
 	simulation.views = append(simulation.views, sums)
@@ -124,31 +124,31 @@
 }
 
 // addCopies requests copies as the owners of the servers do.
-func (simulation *simulation) addCopies(servers *fleet.Fleet, work *tally.Tally) {
+func (simulation *simulation) addCopies(servers *fleet.Fleet, work *inflight.Tracker) {
 	weights := choose.DefaultWeights()
-	demand := loading.Demand{Uses: 1, Runs: 1, Holders: len(simulation.held), Coming: len(simulation.loading)}
+	demand := loading.Demand{Uses: 1, Runs: 1, Holders: len(simulation.held), Loading: len(simulation.loading)}
 	for _, member := range servers.Members() {
 		demand.Backlog += clock.Millis(float64(work.Load(member.ID).Reading) / weights.ReadTokensPerMS)
 	}
-	for _, spare := range weights.Spares(query("copy"), hash, servers, work, loading.Copies(demand, popularLoad)) {
+	for _, spare := range weights.CopyTargets(query("copy"), hash, servers, work, loading.CopiesNeeded(demand, popularLoad)) {
 		simulation.load(spare.ID)
 	}
 }
 
 // place sends a request to a server, or has it wait there for the adapter.
-func (simulation *simulation) place(request *prompt, waiting string, servers *fleet.Fleet, work *tally.Tally) {
+func (simulation *simulation) place(request *prompt, waiting string, servers *fleet.Fleet, work *inflight.Tracker) {
 	asked := query(fmt.Sprint("r", request.number))
-	asked.Many, asked.Waiting, asked.Prompt = true, waiting, popularPrompt
+	asked.ManyDaemons, asked.WaitingAt, asked.Prompt = true, waiting, popularPrompt
 	choice, _ := choose.DefaultWeights().Choose(asked, hash, servers, work)
-	request.sent = choice.Held
+	request.sent = choice.Ready
 	simulation.queues[choice.Member.ID] = append(simulation.queues[choice.Member.ID], request)
-	if !choice.Held {
+	if !choice.Ready {
 		simulation.load(choice.Member.ID)
 	}
 }
 
 // placeAgain places the waiting requests again by what is known now.
-func (simulation *simulation) placeAgain(servers *fleet.Fleet, work *tally.Tally) {
+func (simulation *simulation) placeAgain(servers *fleet.Fleet, work *inflight.Tracker) {
 	for _, server := range slices.Sorted(maps.Keys(simulation.queues)) {
 		queue := simulation.queues[server]
 		simulation.queues[server] = slices.DeleteFunc(slices.Clone(queue), func(request *prompt) bool { return !request.sent })
--- a/internal/direct/choose/promptbucket.go
+++ b/internal/direct/choose/promptbucket.go
@@ -2,11 +2,11 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Intake is a leaky bucket for each engine that measures the prompts sent to it. The level
+// PromptBucket is a leaky bucket for each engine that measures the prompts sent to it. The level
 // rises by the tokens of each prompt sent, and falls at a share of the engine's read rate.
 // So it counts recently read prompts as well as those being read: a series of short
 // prompts without a break also makes streams pause for longer than their goal.
-type Intake struct {
+type PromptBucket struct {
 	levels map[string]level
 }
 
@@ -20,19 +20,19 @@
 // for this share of the time they meet their gap goal.
 const leakShare = 0.6
 
-// NewIntake returns an empty bucket for every engine.
-func NewIntake() *Intake {
-	return &Intake{levels: make(map[string]level)}
+// NewPromptBucket returns an empty bucket for every engine.
+func NewPromptBucket() *PromptBucket {
+	return &PromptBucket{levels: make(map[string]level)}
 }
 
 // Add adds prompt tokens that were sent to a server.
-func (intake *Intake) Add(now clock.Millis, server string, tokens int, tokensPerMS float64) {
-	intake.levels[server] = level{tokens: intake.Tokens(now, server, tokensPerMS) + float64(tokens), at: now}
+func (promptBucket *PromptBucket) Add(now clock.Millis, server string, tokens int, tokensPerMS float64) {
+	promptBucket.levels[server] = level{tokens: promptBucket.Level(now, server, tokensPerMS) + float64(tokens), at: now}
 }
 
-// Tokens returns the current level of a server's bucket.
-func (intake *Intake) Tokens(now clock.Millis, server string, tokensPerMS float64) float64 {
-	known, ok := intake.levels[server]
+// Level returns the current level of a server's bucket.
+func (promptBucket *PromptBucket) Level(now clock.Millis, server string, tokensPerMS float64) float64 {
+	known, ok := promptBucket.levels[server]
 	if !ok {
 		return 0
 	}
@@ -40,10 +40,10 @@
 }
 
 // Retain drops the buckets of servers that are no longer known.
-func (intake *Intake) Retain(known func(server string) bool) {
-	for server := range intake.levels {
+func (promptBucket *PromptBucket) Retain(known func(server string) bool) {
+	for server := range promptBucket.levels {
 		if !known(server) {
-			delete(intake.levels, server)
+			delete(promptBucket.levels, server)
 		}
 	}
 }
--- a/internal/direct/fleet/changes.go
+++ b/internal/direct/fleet/changes.go
@@ -36,7 +36,7 @@
 	return changed, now
 }
 
-// Reports returns how many reports of servers have been applied.
-func (fleet *Fleet) Reports() int64 {
+// ReportCount returns how many reports of servers have been applied.
+func (fleet *Fleet) ReportCount() int64 {
 	return fleet.reports
 }
--- a/internal/direct/fleet/draining.go
+++ b/internal/direct/fleet/draining.go
@@ -16,25 +16,25 @@
 	ignoreUntil  clock.Millis // when an entry that says ready is applied again; 0: never
 }
 
-// Departure announces that the process of a server is draining. Servers send it in their
+// DrainNotice announces that the process of a server is draining. Servers send it in their
 // answers, and daemons pass it on to each other.
-type Departure struct {
-	Server string
-	Born   int64 // start of the process, 0 where it is not known
+type DrainNotice struct {
+	Server    string
+	StartedAt int64 // start of the process, 0 where it is not known
 }
 
-// Leaving applies a drain notice, which this daemon or another one has received from the
+// ApplyDrainNotice applies a drain notice, which this daemon or another one has received from the
 // server. It reports whether the notice is new.
-func (fleet *Fleet) Leaving(now clock.Millis, notice Departure) bool {
-	if earlier, ok := fleet.draining[notice.Server]; ok && earlier.ignoreUntil == 0 && notice.Born <= earlier.startedAt {
+func (fleet *Fleet) ApplyDrainNotice(now clock.Millis, notice DrainNotice) bool {
+	if earlier, ok := fleet.draining[notice.Server]; ok && earlier.ignoreUntil == 0 && notice.StartedAt <= earlier.startedAt {
 		return false
 	}
 	member, known := fleet.members[notice.Server]
-	if known && notice.Born < member.StartedAt {
+	if known && notice.StartedAt < member.StartedAt {
 		return false // another process has started under the id
 	}
 	fleet.noticeCount++
-	fleet.draining[notice.Server] = drainRecord{startedAt: notice.Born, at: now, noticeNumber: fleet.noticeCount}
+	fleet.draining[notice.Server] = drainRecord{startedAt: notice.StartedAt, at: now, noticeNumber: fleet.noticeCount}
 	if known {
 		member.Draining = true
 		fleet.byService = nil
@@ -42,20 +42,20 @@
 	return true
 }
 
-// DeparturesHeard returns the number of drain notices that were new.
-func (fleet *Fleet) DeparturesHeard() int64 {
+// DrainNoticeCount returns the number of drain notices that were new.
+func (fleet *Fleet) DrainNoticeCount() int64 {
 	return fleet.noticeCount
 }
 
-// DeparturesSince returns the drain notices that were new after the given number of notices.
-func (fleet *Fleet) DeparturesSince(number int64) []Departure {
+// DrainNoticesSince returns the drain notices that were new after the given number of notices.
+func (fleet *Fleet) DrainNoticesSince(number int64) []DrainNotice {
 	if number >= fleet.noticeCount {
 		return nil
 	}
-	var notices []Departure
+	var notices []DrainNotice
 	for id, record := range fleet.draining {
 		if record.noticeNumber > number {
-			notices = append(notices, Departure{Server: id, Born: record.startedAt})
+			notices = append(notices, DrainNotice{Server: id, StartedAt: record.startedAt})
 		}
 	}
 	return notices
--- a/internal/direct/fleet/draining_test.go
+++ b/internal/direct/fleet/draining_test.go
@@ -44,24 +44,24 @@
 	entry := server("a")
 	entry.StartedAt = 100
 	servers.Put(entry, 1)
-	require.False(t, servers.Leaving(10, fleet.Departure{Server: "a", Born: 50}), "the notice of an earlier process")
+	require.False(t, servers.ApplyDrainNotice(10, fleet.DrainNotice{Server: "a", StartedAt: 50}), "the notice of an earlier process")
 	require.Len(t, servers.Usable(service), 1)
-	notice := fleet.Departure{Server: "a", Born: 100}
-	require.True(t, servers.Leaving(10, notice))
+	notice := fleet.DrainNotice{Server: "a", StartedAt: 100}
+	require.True(t, servers.ApplyDrainNotice(10, notice))
 	require.Empty(t, servers.Usable(service))
-	require.False(t, servers.Leaving(20, notice), "the notice is known already")
-	require.Equal(t, []fleet.Departure{notice}, servers.DeparturesSince(0))
-	require.Empty(t, servers.DeparturesSince(servers.DeparturesHeard()))
+	require.False(t, servers.ApplyDrainNotice(20, notice), "the notice is known already")
+	require.Equal(t, []fleet.DrainNotice{notice}, servers.DrainNoticesSince(0))
+	require.Empty(t, servers.DrainNoticesSince(servers.DrainNoticeCount()))
 	servers.Put(entry, 2)
 	require.Empty(t, servers.Usable(service), "its entry still says that it is ready")
 
 	entry.StartedAt = 200
 	servers.Put(entry, 3)
 	require.Len(t, servers.Usable(service), 1, "another process has started under its id")
-	require.False(t, servers.Leaving(30, notice))
+	require.False(t, servers.ApplyDrainNotice(30, notice))
 
 	other := server("b")
-	require.True(t, servers.Leaving(30, fleet.Departure{Server: "b"}), "the notice arrives before the entry")
+	require.True(t, servers.ApplyDrainNotice(30, fleet.DrainNotice{Server: "b"}), "the notice arrives before the entry")
 	servers.Put(other, 4)
 	require.Len(t, servers.Usable(service), 1)
 }
@@ -72,6 +72,6 @@
 	entry := server("a")
 	entry.Draining = true
 	servers.Put(entry, 1)
-	require.False(t, servers.Leaving(10, fleet.Departure{Server: "a"}))
-	require.Empty(t, servers.DeparturesSince(0))
+	require.False(t, servers.ApplyDrainNotice(10, fleet.DrainNotice{Server: "a"}))
+	require.Empty(t, servers.DrainNoticesSince(0))
 }
--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -240,9 +240,9 @@
 	return !member.hasTable() && !member.hasReport()
 }
 
-// SetReported applies a server's own report of what it holds. StartedAt is the start of the
+// SetReport applies a server's own report of what it holds. StartedAt is the start of the
 // reporting process. The report is used until the server's owner sends a table.
-func (fleet *Fleet) SetReported(id string, startedAt int64, holdings []platformapi.Holding) {
+func (fleet *Fleet) SetReport(id string, startedAt int64, holdings []platformapi.Holding) {
 	if member, ok := fleet.members[id]; ok {
 		fleet.reports++
 		member.reportRead, member.reportStartedAt, member.reported = true, startedAt, holdings
@@ -261,19 +261,19 @@
 	return fleet.tables
 }
 
-// Back records the end of an outage of the store as reported by a peer.
-func (fleet *Fleet) Back(at clock.Millis) {
+// RecordOutageEnd records the end of an outage of the store as reported by a peer.
+func (fleet *Fleet) RecordOutageEnd(at clock.Millis) {
 	fleet.outageEnd = max(fleet.outageEnd, at)
 }
 
-// BackAt returns the end of the store's last outage, or 0 if there was none.
-func (fleet *Fleet) BackAt() clock.Millis {
+// OutageEnd returns the end of the store's last outage, or 0 if there was none.
+func (fleet *Fleet) OutageEnd() clock.Millis {
 	return fleet.outageEnd
 }
 
-// Lacks records that a server refused a request because it does not hold the adapter or base
+// MarkMissing records that a server refused a request because it does not hold the adapter or base
 // model that this daemon expected there.
-func (fleet *Fleet) Lacks(id string, adapter platformapi.Adapter) {
+func (fleet *Fleet) MarkMissing(id string, adapter platformapi.Adapter) {
 	member, ok := fleet.members[id]
 	if !ok {
 		return
@@ -324,15 +324,15 @@
 	}
 }
 
-// StoreLost records that the store does not answer.
-func (fleet *Fleet) StoreLost(now clock.Millis) {
+// StoreUnavailable records that the store does not answer.
+func (fleet *Fleet) StoreUnavailable(now clock.Millis) {
 	if fleet.outageSince == 0 {
 		fleet.outageSince = now
 	}
 }
 
-// StoreBack records that the store answers.
-func (fleet *Fleet) StoreBack(now clock.Millis) {
+// StoreAvailable records that the store answers.
+func (fleet *Fleet) StoreAvailable(now clock.Millis) {
 	if fleet.outageSince > 0 && now-fleet.outageSince >= fleet.options.OutageSpan {
 		fleet.outageEnd = now
 	}
--- a/internal/direct/fleet/fleet_test.go
+++ b/internal/direct/fleet/fleet_test.go
@@ -48,8 +48,8 @@
 	servers := fleet.New(options)
 	servers.Put(server("a"), 1)
 	servers.Put(server("b"), 2)
-	servers.StoreLost(10_000)
-	servers.StoreBack(20_000)
+	servers.StoreUnavailable(10_000)
+	servers.StoreAvailable(20_000)
 	servers.Retain(20_000, map[string]bool{}, 9)
 	require.Len(t, servers.Usable(service), 2)
 	servers.Put(server("b"), 10)
@@ -63,8 +63,8 @@
 func TestShortUnavailabilityOfStoreIsNoOutage(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
 	servers.Put(server("a"), 1)
-	servers.StoreLost(10_000)
-	servers.StoreBack(10_300)
+	servers.StoreUnavailable(10_000)
+	servers.StoreAvailable(10_300)
 	servers.Remove(10_300, "a", 2)
 	require.Empty(t, servers.Usable(service))
 }
@@ -86,7 +86,7 @@
 	member, _ = servers.Member("a")
 	_, held = member.Slot(adapter)
 	require.False(t, held)
-	require.False(t, member.AtHand(adapter))
+	require.False(t, member.RecentlyHeld(adapter))
 	require.False(t, member.HoldsModel("m"))
 }
 
@@ -126,7 +126,7 @@
 	now := clock.Millis(1000)
 	last := clock.Millis(0)
 	for range 6 {
-		servers.Unreachable(now, "a")
+		servers.MarkUnreachable(now, "a")
 		require.True(t, member.Suspect(now))
 		wait := clock.Millis(0)
 		for member.Suspect(now + wait) {
@@ -137,8 +137,8 @@
 		last = wait
 		now += wait
 	}
-	servers.Answered(now, "a", false)
-	servers.Unreachable(now, "a")
+	servers.RecordAnswer(now, "a", false)
+	servers.MarkUnreachable(now, "a")
 	require.False(t, member.Suspect(now+options.FirstBackoff))
 }
 
@@ -147,14 +147,14 @@
 	servers.Put(server("a"), 1)
 	member, _ := servers.Member("a")
 	for range 5 {
-		servers.Answered(1000, "a", true)
+		servers.RecordAnswer(1000, "a", true)
 	}
-	require.Greater(t, servers.Trouble(1000, member), 0.6)
-	require.Less(t, servers.Trouble(9000, member), 0.2)
+	require.Greater(t, servers.FailureRate(1000, member), 0.6)
+	require.Less(t, servers.FailureRate(9000, member), 0.2)
 	for range 10 {
-		servers.Answered(1000, "a", false)
+		servers.RecordAnswer(1000, "a", false)
 	}
-	require.Less(t, servers.Trouble(1000, member), 0.1)
+	require.Less(t, servers.FailureRate(1000, member), 0.1)
 }
 
 // TestQueuedBaseModelIsNotLoading: a base model whose load has not started does not count as
@@ -165,17 +165,17 @@
 	member, _ := servers.Member("s")
 	model := platformapi.Adapter{Model: "m"}
 	servers.SetTable(fleet.Table{Server: "s", Fence: 1, Number: 1, Slots: []fleet.Slot{{Adapter: model, Coming: true, Queued: true}}})
-	require.True(t, member.Bare())
-	require.False(t, member.ModelComing())
+	require.True(t, member.HasNoModel())
+	require.False(t, member.LoadingModel())
 	servers.SetTable(fleet.Table{Server: "s", Fence: 1, Number: 2, Slots: []fleet.Slot{{Adapter: model, Coming: true}}})
-	require.True(t, member.ModelComing())
-	loading, _ := member.Coming()
+	require.True(t, member.LoadingModel())
+	loading, _ := member.LoadCounts()
 	require.Zero(t, loading, "it takes no adapter slot")
 	require.False(t, member.OnDisk("m"))
 	servers.SetTable(fleet.Table{Server: "s", Fence: 1, Number: 3, Models: []string{"m"}})
-	require.False(t, member.Bare())
+	require.False(t, member.HasNoModel())
 	servers.Put(platformapi.Server{ID: "s", Service: "engines", StartedAt: 9}, 2)
-	require.True(t, member.Bare(), "it has restarted")
+	require.True(t, member.HasNoModel(), "it has restarted")
 	require.True(t, member.OnDisk("m"))
 }
 
@@ -190,13 +190,13 @@
 	require.True(t, member.HoldingsUnknown())
 	held := platformapi.Adapter{Model: "m", Name: "held"}
 	holdings := []platformapi.Holding{{Model: "m", Adapters: map[string]int{"held": 1}}}
-	servers.SetReported("a", 100, holdings)
+	servers.SetReport("a", 100, holdings)
 	require.False(t, member.HoldingsUnknown())
 	require.True(t, member.HoldsModel("m"))
 	require.Len(t, servers.Holders(held), 1)
 	told := platformapi.Adapter{Model: "m", Name: "told"}
 	servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 1, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: told, Version: 1}}})
-	servers.SetReported("a", 100, holdings)
+	servers.SetReport("a", 100, holdings)
 	require.Empty(t, servers.Holders(held), "the owner's table takes precedence")
 	require.Len(t, servers.Holders(told), 1)
 	running.StartedAt = 200
--- a/internal/direct/fleet/health.go
+++ b/internal/direct/fleet/health.go
@@ -4,9 +4,9 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// Unreachable records that a server could not be reached. It makes the server a suspect for
+// MarkUnreachable records that a server could not be reached. It makes the server a suspect for
 // a backoff that doubles with each failure.
-func (fleet *Fleet) Unreachable(now clock.Millis, id string) {
+func (fleet *Fleet) MarkUnreachable(now clock.Millis, id string) {
 	member, ok := fleet.members[id]
 	if !ok || member.Suspect(now) {
 		return
@@ -19,14 +19,14 @@
 // row raise it to about half.
 const failureRateStep = 0.2
 
-// Answered records an answer of a server. Failed reports whether it is an error that the
+// RecordAnswer records an answer of a server. Failed reports whether it is an error that the
 // server caused.
-func (fleet *Fleet) Answered(now clock.Millis, id string, failed bool) {
+func (fleet *Fleet) RecordAnswer(now clock.Millis, id string, failed bool) {
 	member, ok := fleet.members[id]
 	if !ok {
 		return
 	}
-	rate := fleet.Trouble(now, member)
+	rate := fleet.FailureRate(now, member)
 	target := 0.0
 	if failed {
 		target = 1
@@ -38,8 +38,8 @@
 	member.failureRateAt = now
 }
 
-// Trouble returns the recent failure rate of a server, from 0 to 1.
-func (fleet *Fleet) Trouble(now clock.Millis, member *Member) float64 {
+// FailureRate returns the recent failure rate of a server, from 0 to 1.
+func (fleet *Fleet) FailureRate(now clock.Millis, member *Member) float64 {
 	age := float64(now - member.failureRateAt)
 	halfLife := float64(fleet.options.TroubleHalfLife)
 	return member.failureRate * halfLife / (halfLife + age)
--- a/internal/direct/fleet/history_test.go
+++ b/internal/direct/fleet/history_test.go
@@ -25,7 +25,7 @@
 	entries  map[string]storeEntry
 	backup   map[string]storeEntry
 	backupAt int64
-	left     map[fleet.Departure]bool // processes that announced that they are draining
+	left     map[fleet.DrainNotice]bool // processes that announced that they are draining
 	born     int64
 }
 
@@ -38,7 +38,7 @@
 	history.revision++
 	history.entries[entry.ID] = storeEntry{server: entry, revision: history.revision}
 	if entry.Draining {
-		history.left[fleet.Departure{Server: entry.ID, Born: entry.StartedAt}] = true
+		history.left[fleet.DrainNotice{Server: entry.ID, StartedAt: entry.StartedAt}] = true
 	}
 	history.servers.Put(entry, history.revision)
 }
@@ -107,7 +107,7 @@
 // check verifies that the fleet uses no process that announced that it is draining.
 func (history *storeHistory) check(t *rapid.T) {
 	for _, member := range history.servers.Usable(service) {
-		require.False(t, history.left[fleet.Departure{Server: member.ID, Born: member.StartedAt}], "%s is draining", member.ID)
+		require.False(t, history.left[fleet.DrainNotice{Server: member.ID, StartedAt: member.StartedAt}], "%s is draining", member.ID)
 	}
 }
 
@@ -119,7 +119,7 @@
 		options := fleet.DefaultOptions()
 		history := &storeHistory{
 			servers: fleet.New(options), options: options, now: clock.Minute, entries: make(map[string]storeEntry),
-			backup: make(map[string]storeEntry), left: make(map[fleet.Departure]bool), born: 1,
+			backup: make(map[string]storeEntry), left: make(map[fleet.DrainNotice]bool), born: 1,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server"))
--- a/internal/direct/fleet/member.go
+++ b/internal/direct/fleet/member.go
@@ -64,9 +64,9 @@
 	return slot, ok
 }
 
-// AtHand reports whether the server held the adapter recently, so that it need not be loaded
+// RecentlyHeld reports whether the server held the adapter recently, so that it need not be loaded
 // from the weight store.
-func (member *Member) AtHand(adapter platformapi.Adapter) bool {
+func (member *Member) RecentlyHeld(adapter platformapi.Adapter) bool {
 	_, ok := member.recent[adapter]
 	return ok
 }
@@ -76,13 +76,13 @@
 	return member.models[name]
 }
 
-// ModelComing reports whether the server is loading a base model.
-func (member *Member) ModelComing() bool {
+// LoadingModel reports whether the server is loading a base model.
+func (member *Member) LoadingModel() bool {
 	return member.modelLoading
 }
 
-// Bare reports whether the server holds no base model.
-func (member *Member) Bare() bool {
+// HasNoModel reports whether the server holds no base model.
+func (member *Member) HasNoModel() bool {
 	return len(member.models) == 0
 }
 
@@ -92,14 +92,14 @@
 	return member.onDisk[model]
 }
 
-// Occupied returns how many adapters the server holds or loads.
-func (member *Member) Occupied() int {
+// SlotCount returns how many adapters the server holds or loads.
+func (member *Member) SlotCount() int {
 	return len(member.slots)
 }
 
-// Coming returns how many adapters the server is loading, and how many wait for their load
+// LoadCounts returns how many adapters the server is loading, and how many wait for their load
 // to start.
-func (member *Member) Coming() (loading, queued int) {
+func (member *Member) LoadCounts() (loading, queued int) {
 	for _, slot := range member.slots {
 		switch {
 		case slot.ofModel() && !slot.Queued: // it takes no adapter slot
--- a/internal/direct/fleet/pause.go
+++ b/internal/direct/fleet/pause.go
@@ -6,9 +6,9 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// Rest records that a server has asked this daemon to send no requests until a given time.
+// Pause records that a server has asked this daemon to send no requests until a given time.
 // It applies to this daemon alone, and lasts even if the server's entry is removed or changes.
-func (fleet *Fleet) Rest(id string, until clock.Millis) {
+func (fleet *Fleet) Pause(id string, until clock.Millis) {
 	if until <= fleet.pauses[id] {
 		return
 	}
@@ -18,8 +18,8 @@
 	}
 }
 
-// Rests returns for how long this daemon must send no requests to the server; 0 if it may.
-func (member *Member) Rests(now clock.Millis) clock.Millis {
+// PausedFor returns for how long this daemon must send no requests to the server; 0 if it may.
+func (member *Member) PausedFor(now clock.Millis) clock.Millis {
 	return max(0, member.pausedUntil-now)
 }
 
--- a/internal/direct/gateway/copies.go
+++ b/internal/direct/gateway/copies.go
@@ -32,7 +32,7 @@
 	if core.catalog == nil || core.members.Plan().Mesh {
 		return
 	}
-	goal := loading.ReadingGoal(core.loadRate.LoadTime(), core.catalog.LeastGapGoal())
+	goal := loading.MaxReadingTime(core.loadRate.LoadTime(), core.catalog.MinGapGoal())
 	for server := range core.orderWorkers {
 		member, ok := core.fleet.Member(server)
 		if !ok || !core.isEngine(member.Service) || core.promptBacklog(server) < goal {
@@ -41,7 +41,7 @@
 		for adapter, uses := range core.work.UsesAt(server) {
 			demand := core.demand(now, adapter)
 			demand.Uses, demand.Runs = uses, core.work.Load(server).Runs
-			gateway.requestCopiesOf(now, member, adapter, loading.Copies(demand, goal))
+			gateway.requestCopiesOf(now, member, adapter, loading.CopiesNeeded(demand, goal))
 		}
 	}
 }
@@ -59,13 +59,13 @@
 	for _, member := range core.fleet.Holders(adapter) {
 		demand.Backlog += core.promptBacklog(member.ID)
 		if slot, ok := member.Slot(adapter); ok && slot.Coming {
-			demand.Coming++
+			demand.Loading++
 			continue
 		}
 		demand.Holders++
 	}
 	if requested := core.copiesRequested[adapter]; now-requested.at < copyVisibilityDelay {
-		demand.Coming = max(demand.Coming, requested.count)
+		demand.Loading = max(demand.Loading, requested.count)
 	}
 	return demand
 }
@@ -78,11 +78,11 @@
 		return
 	}
 	query := choose.Query{
-		Now: now, Service: from.Service, DataCentre: from.DataCentre, Adapter: adapter, Places: core.adapterSlots(from.Service),
-		Ordered: func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
+		Now: now, Service: from.Service, DataCentre: from.DataCentre, Adapter: adapter, AdapterSlots: core.adapterSlots(from.Service),
+		HasOwner: func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
 	}
-	targets := core.weights().Spares(query, adapterHash(adapter), core.fleet, core.work, count)
-	core.copiesRequested[adapter] = requestedCopies{count: core.demand(now, adapter).Coming + len(targets), at: now}
+	targets := core.weights().CopyTargets(query, adapterHash(adapter), core.fleet, core.work, count)
+	core.copiesRequested[adapter] = requestedCopies{count: core.demand(now, adapter).Loading + len(targets), at: now}
 	for _, target := range targets {
 		owner, _ := core.ownerOf(now, target.ID)
 		core.log.Info("adapter copy requested", "Server", target.ID, "Adapter", adapter.Name, "Owner", owner, "Busy", from.ID, "Copies", count)
@@ -94,7 +94,7 @@
 // request waits for. The mutex must be held.
 func (gateway *Gateway) storeBusy() bool {
 	traffic := gateway.core.traffic()
-	return float64(traffic.OnWay) > copyMaxStoreLoad*float64(gateway.core.loadRate.AtOnce(traffic.Servers))
+	return float64(traffic.InFlight) > copyMaxStoreLoad*float64(gateway.core.loadRate.FullSpeedLoads(traffic.Servers))
 }
 
 // adapterSlots returns the number of adapter slots of each server of a service. The mutex must
--- a/internal/direct/gateway/core.go
+++ b/internal/direct/gateway/core.go
@@ -11,6 +11,7 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
@@ -18,7 +19,6 @@
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/retry"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/throttle"
 )
@@ -50,12 +50,12 @@
 
 	// Backend servers and their work.
 	fleet             *fleet.Fleet
-	work              *tally.Tally
+	work              *inflight.Tracker
 	budgets           map[string]*retry.Budget             // by service
 	readRate          *choose.ReadRate                     // of engines
 	slotTime          choose.SlotTime                      // of engines
-	loadRate          *loading.Rate                        // of adapter loads from the weight store
-	promptBuckets     *choose.Intake                       // prompt tokens recently sent to each server by all daemons of a mesh
+	loadRate          *loading.LoadRate                    // of adapter loads from the weight store
+	promptBuckets     *choose.PromptBucket                 // prompt tokens recently sent to each server by all daemons of a mesh
 	requestedAt       map[platformapi.Adapter]clock.Millis // when callers last requested an adapter here
 	reportRequestedAt map[string]clock.Millis              // when a server's report was last requested because its table is unknown
 	quarantine        *quarantine.List                     // contents that servers have crashed on
@@ -81,16 +81,16 @@
 	leaving       bool
 
 	// Work of other daemons as they report it.
-	snapshots map[string]peers.DaemonShare    // by daemon, this one included
-	groups    map[string]groupSnapshot        // of other hubs
-	sums      map[string]map[string]tally.Sum // work of all other daemons, by reporting hub and server
+	snapshots map[string]peers.DaemonShare       // by daemon, this one included
+	groups    map[string]groupSnapshot           // of other hubs
+	sums      map[string]map[string]inflight.Sum // work of all other daemons, by reporting hub and server
 
 	// State of what peers have been sent.
 	sent          map[string]*sentState // by address
 	groupSnapshot groupSnapshot         // of this daemon's group if it is a hub
-	groupChanges  tally.Share           // difference to the previous group snapshot
+	groupChanges  inflight.Share        // difference to the previous group snapshot
 	ownersVersion int64                 // incremented when owners or learnedRates change on this daemon as a hub
-	learnedRates  loading.Learned       // of the weight store, as this daemon sends them as a hub
+	learnedRates  loading.RateEstimate  // of the weight store, as this daemon sends them as a hub
 	sentReading   map[string]int        // prompt tokens being read by server, as last sent to peers
 	sentTokens    map[string]int        // prompt tokens sent by server since peers were last sent them
 	workChanged   chan struct{}         // holds a token when this daemon's work has changed
@@ -132,11 +132,11 @@
 		usageReports: make(map[string]usageReport),
 
 		fleet:             fleet.New(options.Fleet),
-		work:              tally.New(),
+		work:              inflight.New(),
 		budgets:           make(map[string]*retry.Budget),
 		readRate:          choose.NewReadRate(),
-		loadRate:          loading.NewRate(),
-		promptBuckets:     choose.NewIntake(),
+		loadRate:          loading.NewLoadRate(),
+		promptBuckets:     choose.NewPromptBucket(),
 		requestedAt:       make(map[platformapi.Adapter]clock.Millis),
 		reportRequestedAt: make(map[string]clock.Millis),
 		lostRequests:      make(map[string]*lostAtServer),
@@ -156,7 +156,7 @@
 
 		snapshots: make(map[string]peers.DaemonShare),
 		groups:    make(map[string]groupSnapshot),
-		sums:      make(map[string]map[string]tally.Sum),
+		sums:      make(map[string]map[string]inflight.Sum),
 
 		sent:         make(map[string]*sentState),
 		sentReading:  make(map[string]int),
@@ -252,7 +252,7 @@
 // weights returns the weights for choosing a server, adjusted to observed rates and times. The
 // mutex must be held.
 func (core *core) weights() choose.Weights {
-	weights := core.options.Weights.Observed(core.readRate.TokensPerMS(), core.loadRate.LoadTime(), core.loadRate.RecentTime())
+	weights := core.options.Weights.WithObserved(core.readRate.TokensPerMS(), core.loadRate.LoadTime(), core.loadRate.RecentLoadTime())
 	weights.Slot = core.slotTime.Millis()
 	return weights
 }
--- a/internal/direct/gateway/dispatch.go
+++ b/internal/direct/gateway/dispatch.go
@@ -166,9 +166,9 @@
 	core.mutex.Lock()
 	now := core.now()
 	if failed != nil && failed.Dial {
-		core.fleet.Unreachable(now, to.server.ID)
+		core.fleet.MarkUnreachable(now, to.server.ID)
 	} else {
-		core.fleet.Answered(now, to.server.ID, true)
+		core.fleet.RecordAnswer(now, to.server.ID, true)
 	}
 	core.mutex.Unlock()
 	job.triedServers = append(job.triedServers, to.server.ID)
@@ -227,7 +227,7 @@
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.fleet.Answered(core.now(), to.server.ID, failed)
+	core.fleet.RecordAnswer(core.now(), to.server.ID, failed)
 }
 
 // handleNotRun decides how to go on with a request that a server says it did not run.
@@ -240,7 +240,7 @@
 	if reply.Absent && job.engine {
 		gateway.handleMissingAdapter(now, job, to)
 	} else {
-		core.fleet.Answered(now, to.server.ID, true)
+		core.fleet.RecordAnswer(now, to.server.ID, true)
 		job.triedServers = append(job.triedServers, to.server.ID)
 	}
 	return tryResult{retry: true, needsBudget: true, status: http.StatusServiceUnavailable, reason: ending.TriesUsed}
@@ -250,7 +250,7 @@
 // requests a load from its owner. The mutex must be held.
 func (gateway *Gateway) handleMissingAdapter(now clock.Millis, job *job, to assignment) {
 	core := gateway.core
-	core.fleet.Lacks(to.server.ID, job.adapter)
+	core.fleet.MarkMissing(to.server.ID, job.adapter)
 	owner, ok := core.ownerOf(now, to.server.ID)
 	request := peers.Want{
 		Server: to.server.ID, Adapter: job.adapter, Version: core.newestVersion(job.adapter), Rank: job.rank,
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -70,7 +70,7 @@
 	}
 	if change.Found || change.Moved || change.Ended {
 		// The peer's work now counts in the group of its new hub, or the peer has restarted.
-		core.work.Forget(update.Name)
+		core.work.RemovePeer(update.Name)
 		delete(core.snapshots, update.Name)
 		delete(core.groups, update.Name)
 	}
--- a/internal/direct/gateway/group.go
+++ b/internal/direct/gateway/group.go
@@ -4,15 +4,15 @@
 	"maps"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
 // groupSnapshot is what a hub and the daemons that have chosen it have in progress, with its
 // sequence number.
 type groupSnapshot struct {
 	number   int64
-	snapshot tally.Share
+	snapshot inflight.Share
 }
 
 // updateGroup aggregates, on a hub, what this daemon and the daemons that have chosen it have
@@ -30,7 +30,7 @@
 		}
 	}
 	share := core.work.Group(group)
-	if changes := share.Changes(core.groupSnapshot.snapshot); !changes.Empty() {
+	if changes := share.DeltaFrom(core.groupSnapshot.snapshot); !changes.Empty() {
 		core.groupSnapshot = groupSnapshot{number: core.groupSnapshot.number + 1, snapshot: share}
 		core.groupChanges = changes
 	}
@@ -42,8 +42,8 @@
 	if core.members.Plan().Mesh || core.hub != "" {
 		return
 	}
-	owners, learned := core.currentOwners(now), core.loadRate.Learned()
-	if maps.Equal(owners, core.owners) && learned.Like(core.learnedRates) {
+	owners, learned := core.currentOwners(now), core.loadRate.Estimate()
+	if maps.Equal(owners, core.owners) && learned.SimilarTo(core.learnedRates) {
 		return
 	}
 	core.owners, core.learnedRates = owners, learned
@@ -72,13 +72,13 @@
 	case received.Whole:
 		known = groupSnapshot{number: received.Number, snapshot: received.Share}
 	case ok && received.Number == known.number+1:
-		known = groupSnapshot{number: received.Number, snapshot: known.snapshot.With(received.Share)}
+		known = groupSnapshot{number: received.Number, snapshot: known.snapshot.ApplyDelta(received.Share)}
 	default:
 		return // the full snapshot was lost with its connection; the next connection begins with one
 	}
 	core.groups[from] = known
 	if core.hub == "" {
-		core.countUses(now, core.work.Peer(from, known.snapshot))
+		core.countUses(now, core.work.SetPeer(from, known.snapshot))
 	}
 }
 
@@ -106,10 +106,10 @@
 // unsentReports returns the holdings from servers' own reports that a target has not been sent.
 // They are used for servers without an owner's table. The mutex must be held.
 func (core *core) unsentReports(sent *sentState) []peers.Reported {
-	if sent.reports == core.fleet.Reports() {
+	if sent.reports == core.fleet.ReportCount() {
 		return nil
 	}
-	sent.reports = core.fleet.Reports()
+	sent.reports = core.fleet.ReportCount()
 	var unsent []peers.Reported
 	for _, member := range core.fleet.Members() {
 		startedAt, holdings, ok := member.Reported()
@@ -124,7 +124,7 @@
 // applyReported applies holdings from servers' own reports. The mutex must be held.
 func (core *core) applyReported(reports []peers.Reported) {
 	for _, reported := range reports {
-		core.fleet.SetReported(reported.Server, reported.Born, reported.Holdings)
+		core.fleet.SetReport(reported.Server, reported.Born, reported.Holdings)
 	}
 	if len(reports) > 0 {
 		core.wakeWaitingRequests()
--- a/internal/direct/gateway/holdings.go
+++ b/internal/direct/gateway/holdings.go
@@ -43,7 +43,7 @@
 	for _, member := range core.fleet.Members() {
 		lastRequest, ok := core.reportRequestedAt[member.ID]
 		due := core.isEngine(member.Service) && member.HoldingsUnknown() && (!ok || now-lastRequest >= reportRetryInterval)
-		if due && !member.Suspect(now) && member.Rests(now) == 0 && len(unread) < maxConcurrentReports {
+		if due && !member.Suspect(now) && member.PausedFor(now) == 0 && len(unread) < maxConcurrentReports {
 			unread = append(unread, member)
 		}
 	}
@@ -85,10 +85,10 @@
 	defer core.mutex.Unlock()
 	if err != nil {
 		core.log.Warn("cannot read server report", "Server", target.ID, "Error", err.Error())
-		core.fleet.Unreachable(core.now(), target.ID)
+		core.fleet.MarkUnreachable(core.now(), target.ID)
 		return
 	}
-	core.fleet.SetReported(target.ID, target.StartedAt, report.Models)
+	core.fleet.SetReport(target.ID, target.StartedAt, report.Models)
 	core.log.Info("holdings read", "Server", target.ID, "Born", report.StartedAt, "Models", len(report.Models))
 	core.wakeWaitingRequests()
 }
--- a/internal/direct/gateway/leaving.go
+++ b/internal/direct/gateway/leaving.go
@@ -20,16 +20,16 @@
 func (core *core) markLeavingByReply(server platformapi.Server, answered string) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.markLeaving(core.now(), fleet.Departure{Server: server.ID, Born: server.StartedAt}, answered)
+	return core.markLeaving(core.now(), fleet.DrainNotice{Server: server.ID, StartedAt: server.StartedAt}, answered)
 }
 
 // markLeaving records a server's notice that it is leaving, and reports whether that is new; by
 // names the source of the notice. The mutex must be held.
-func (core *core) markLeaving(now clock.Millis, notice fleet.Departure, by string) bool {
-	if !core.fleet.Leaving(now, notice) {
+func (core *core) markLeaving(now clock.Millis, notice fleet.DrainNotice, by string) bool {
+	if !core.fleet.ApplyDrainNotice(now, notice) {
 		return false
 	}
-	core.log.Info(ending.MessageServerLeaving, "Server", notice.Server, "Born", notice.Born, "By", by)
+	core.log.Info(ending.MessageServerLeaving, "Server", notice.Server, "Born", notice.StartedAt, "By", by)
 	core.wakeWaitingRequests()
 	return true
 }
--- a/internal/direct/gateway/metrics.go
+++ b/internal/direct/gateway/metrics.go
@@ -47,7 +47,7 @@
 		writeUse(out, status)
 	}
 	for service := range core.budgets {
-		left := core.budgets[service].Left(now, core.budgetDaemons())
+		left := core.budgets[service].Remaining(now, core.budgetDaemons())
 		_, _ = fmt.Fprintf(out, "teaselmoor_retry_budget_left{service=%q} %g\n", service, left)
 	}
 }
--- a/internal/direct/gateway/models.go
+++ b/internal/direct/gateway/models.go
@@ -15,15 +15,15 @@
 // rate was learned. The mutex must be held.
 func (core *core) modelStates(name string, engine *catalog.Engine) loading.Models {
 	turns, maxLoads := core.turnsOf(name), max(1, int(engine.LoadsPerS))
-	models := loading.Models{AtOnce: min(turns.AtOnce(), maxLoads), Trial: min(turns.Trial(), maxLoads), LoadTime: slowestModelLoad(engine)}
+	models := loading.Models{FullSpeedLoads: min(turns.FullSpeedLoads(), maxLoads), TrialLoads: min(turns.TrialLoads(), maxLoads), LoadTime: slowestModelLoad(engine)}
 	var waiting []*fleet.Member
 	for _, member := range core.fleet.Members() {
 		switch {
 		case member.Service != name:
-		case !member.Bare():
+		case !member.HasNoModel():
 			models.Holding = append(models.Holding, member.ID)
 		case hasModelOnDisk(member, engine):
-		case member.ModelComing():
+		case member.LoadingModel():
 			models.Loading = append(models.Loading, member.ID)
 		case !member.Draining:
 			waiting = append(waiting, member)
@@ -60,7 +60,7 @@
 	}
 	for name, service := range core.catalog.Services {
 		if service.Engine != nil {
-			core.turnsOf(name).Note(now, core.modelStates(name, service.Engine))
+			core.turnsOf(name).Update(now, core.modelStates(name, service.Engine))
 		}
 	}
 }
@@ -80,10 +80,10 @@
 // must be held.
 func (core *core) mayLoadModel(now clock.Millis, server *fleet.Member) bool {
 	service := core.catalog.Services[server.Service]
-	if service == nil || service.Engine == nil || !server.Bare() || server.ModelComing() || hasModelOnDisk(server, service.Engine) {
+	if service == nil || service.Engine == nil || !server.HasNoModel() || server.LoadingModel() || hasModelOnDisk(server, service.Engine) {
 		return true
 	}
-	return core.turnsOf(server.Service).May(now, server.ID, core.modelStates(server.Service, service.Engine))
+	return core.turnsOf(server.Service).MayLoad(now, server.ID, core.modelStates(server.Service, service.Engine))
 }
 
 // isEngine reports whether the servers of a service run models. The mutex must be held.
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -7,9 +7,9 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/platformapi"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(gateway.tasks.Context())
 	recentlyHeld := func(adapter platformapi.Adapter) bool {
 		member, ok := core.fleet.Member(server)
-		return ok && member.AtHand(adapter)
+		return ok && member.RecentlyHeld(adapter)
 	}
 	worker := &orderWorker{
 		planner: loading.New(core.options.Loading, loading.Limits{}, core.loadRate, recentlyHeld), fence: fence,
@@ -137,7 +137,7 @@
 	now := core.now()
 	member, known := core.fleet.Member(server)
 	fence, allowed := core.claims.MayOrder(now, server)
-	if !known || !allowed || member.Suspect(now) || member.Draining || member.Rests(now) > 0 {
+	if !known || !allowed || member.Suspect(now) || member.Draining || member.PausedFor(now) > 0 {
 		core.mutex.Unlock()
 		return idleCheckInterval
 	}
@@ -152,9 +152,9 @@
 		return gateway.readReport(ctx, target, worker)
 	}
 	uses := func(adapter platformapi.Adapter) int {
-		return core.work.Uses(tally.Use{Server: server, Adapter: adapter})
+		return core.work.Uses(inflight.Use{Server: server, Adapter: adapter})
 	}
-	order, ok, at := worker.planner.Next(now, uses, core.newestVersion, core.traffic(), core.mayLoadModel(now, member))
+	order, ok, at := worker.planner.NextOrder(now, uses, core.newestVersion, core.traffic(), core.mayLoadModel(now, member))
 	if !ok {
 		core.mutex.Unlock()
 		if at == 0 {
@@ -162,8 +162,8 @@
 		}
 		return max(1, at-now)
 	}
-	if order.Load && order.Adapter.Name == "" && member.Bare() && !member.ModelComing() {
-		core.log.Info("base model load ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).Ends(now))
+	if order.Load && order.Adapter.Name == "" && member.HasNoModel() && !member.LoadingModel() {
+		core.log.Info("base model load ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).RemainingTimes(now))
 	}
 	order.Owner, order.Fence = core.settings.Name, fence
 	core.claims.Ordered(now, server)
@@ -195,9 +195,9 @@
 		core.claims.Fenced(now, target.ID)
 	}
 	if result == platformapi.Unknown {
-		core.fleet.Unreachable(now, target.ID)
+		core.fleet.MarkUnreachable(now, target.ID)
 	}
-	worker.planner.Done(now, order, result, core.traffic())
+	worker.planner.HandleResult(now, order, result, core.traffic())
 	gateway.publishTable(target.ID, worker)
 }
 
@@ -205,7 +205,7 @@
 // loads are queued. The mutex must be held.
 func (core *core) incomingAdapters() (loading, queued int) {
 	for _, member := range core.fleet.Members() {
-		loadingHere, queuedHere := member.Coming()
+		loadingHere, queuedHere := member.LoadCounts()
 		loading += loadingHere
 		queued += queuedHere
 	}
@@ -215,7 +215,7 @@
 // traffic returns the loads in flight from the weight store. The mutex must be held.
 func (core *core) traffic() loading.Traffic {
 	inFlight, _ := core.incomingAdapters()
-	return loading.Traffic{OnWay: inFlight, Servers: core.engineCount()}
+	return loading.Traffic{InFlight: inFlight, Servers: core.engineCount()}
 }
 
 // engineCount is the number of servers that adapters are loaded on. The mutex must be held.
@@ -227,7 +227,7 @@
 // before the server's report was read: an empty table under a new claim would replace the
 // former owner's table and hide what the server holds. The mutex must be held.
 func (gateway *Gateway) publishTable(server string, worker *orderWorker) {
-	if !worker.planner.Knows() {
+	if !worker.planner.HoldingsKnown() {
 		return
 	}
 	core := gateway.core
@@ -251,7 +251,7 @@
 	now := core.now()
 	if err != nil {
 		core.log.Warn("cannot read server report", "Server", target.ID, "Error", err.Error())
-		core.fleet.Unreachable(now, target.ID)
+		core.fleet.MarkUnreachable(now, target.ID)
 		return idleCheckInterval
 	}
 	worker.serverStart = target.StartedAt
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/patience.go
@@ -28,7 +28,7 @@
 // on a server.
 func (core *core) loadTooLate(server *fleet.Member, maxWait clock.Millis) bool {
 	inFlight, queued := core.incomingAdapters()
-	return loading.Hopeless(inFlight+queued, core.expectedLoadTime(server), maxWait)
+	return loading.LoadTooLate(inFlight+queued, core.expectedLoadTime(server), maxWait)
 }
 
 // expectedLoadTime estimates how long an adapter that has not been requested yet takes to
@@ -37,13 +37,13 @@
 func (core *core) expectedLoadTime(server *fleet.Member) clock.Millis {
 	options := core.options.Loading
 	loading, queued := core.incomingAdapters()
-	atOnce := core.loadRate.AtOnce(core.engineCount())
+	atOnce := core.loadRate.FullSpeedLoads(core.engineCount())
 	storeRounds := loadRoundsAhead(loading+queued, atOnce)
 	incoming := options.MostIncoming
 	if loading+queued >= atOnce {
 		incoming = options.CrowdedIncoming
 	}
-	loadingHere, queuedHere := server.Coming()
+	loadingHere, queuedHere := server.LoadCounts()
 	serverRounds := loadRoundsAhead(loadingHere+queuedHere, incoming)
 	loadTime := core.loadRate.LoadTime()
 	return loadTime + clock.Millis(float64(loadTime)*max(storeRounds, serverRounds))
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -10,15 +10,15 @@
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
 	"teaselmoor/internal/direct/platformapi"
-	"teaselmoor/internal/direct/tally"
 )
 
 // assignment is the server that a request is sent to.
 type assignment struct {
 	server  platformapi.Server
-	use     tally.Use
+	use     inflight.Use
 	version int
 	cost    float64
 	alone   bool         // no other prompt was being read there
@@ -38,7 +38,7 @@
 	core := activeRequest.gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.work.First(activeRequest.to.use, activeRequest.unreadTokens)
+	core.work.FirstEvent(activeRequest.to.use, activeRequest.unreadTokens)
 	core.markWorkChanged()
 	activeRequest.firstEventAt = core.now()
 	if activeRequest.to.alone {
@@ -64,13 +64,13 @@
 
 // countedUse is the server that a request counts at while it is being placed.
 type countedUse struct {
-	use           tally.Use
+	use           inflight.Use
 	readingTokens int // prompt tokens counted as being read there
 }
 
 // moveCount moves a request's count to another server, including that server's rate limit. An
 // empty use removes the count. The mutex must be held.
-func (core *core) moveCount(from *countedUse, use tally.Use, prompt int) {
+func (core *core) moveCount(from *countedUse, use inflight.Use, prompt int) {
 	if from.use.Server != use.Server {
 		now := core.now()
 		core.serverLimits.Return(now, from.use.Server)
@@ -100,36 +100,36 @@
 	for {
 		now := core.now()
 		if refused := core.refuseQuarantined(now, job); refused != nil {
-			core.moveCount(counted, tally.Use{}, 0)
+			core.moveCount(counted, inflight.Use{}, 0)
 			job.waited += now - started
 			return assignment{}, refused
 		}
 		choice, ok := core.choose(core.query(now, job, counted.use.Server, frequent), job.adapterHash)
 		if !ok {
-			core.moveCount(counted, tally.Use{}, 0)
+			core.moveCount(counted, inflight.Use{}, 0)
 			return assignment{}, core.noServerResult(now, job)
 		}
-		use := tally.Use{Server: choice.Member.ID, Adapter: job.adapter}
+		use := inflight.Use{Server: choice.Member.ID, Adapter: job.adapter}
 		if use != counted.use {
 			core.moveCount(counted, use, job.headers.PromptTokens)
 			lastRequest = 0
 		}
-		if choice.Held && ctx.Err() == nil && core.shouldDelay(now, now-started, job, use.Server) {
+		if choice.Ready && ctx.Err() == nil && core.shouldDelay(now, now-started, job, use.Server) {
 			core.moveCount(counted, use, 0)
 			gateway.waitForChange(ctx, core.options.Hold.Look)
 			job.holdTime += core.now() - now
 			continue
 		}
-		if choice.Held {
+		if choice.Ready {
 			core.moveCount(counted, use, job.headers.PromptTokens)
-			if choice.Copy != nil {
-				gateway.requestCopy(job, choice.Copy, now)
+			if choice.CopyTo != nil {
+				gateway.requestCopy(job, choice.CopyTo, now)
 			}
 			return core.assign(now, started, job, choice, use), nil
 		}
 		tooLate := lastRequest == 0 && !isIncoming(choice.Member, job.adapter) && core.loadTooLate(choice.Member, maxWait)
 		if tooLate || now-started >= maxWait || ctx.Err() != nil {
-			core.moveCount(counted, tally.Use{}, 0)
+			core.moveCount(counted, inflight.Use{}, 0)
 			job.waited += now - started
 			core.logAdapterNotReady(now, job, choice.Member, tooLate, maxWait)
 			return assignment{}, waitEndedResult(ctx, job)
@@ -150,7 +150,7 @@
 	}
 	rate := core.readRate.TokensPerMS()
 	prompt := choose.Prompt{Tokens: job.headers.PromptTokens, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
-	return core.options.Hold.Holds(prompt, core.promptBuckets.Tokens(now, server, rate), rate)
+	return core.options.Hold.ShouldDelay(prompt, core.promptBuckets.Level(now, server, rate), rate)
 }
 
 // frequentWindow is the time since the last request for an adapter within which it counts as
@@ -172,33 +172,33 @@
 // waits already. The mutex must be held.
 func (core *core) query(now clock.Millis, job *job, waiting string, frequent bool) choose.Query {
 	return choose.Query{
-		Now:        now,
-		Service:    job.service,
-		DataCentre: core.settings.DataCentre,
-		Attempt:    xxhash.Sum64String(job.headers.Attempt),
-		Adapter:    job.adapter,
-		Version:    core.requiredVersion(now, job.adapter),
-		Prompt:     job.headers.PromptTokens,
-		Places:     job.adapterSlots,
-		Tried:      job.triedServers,
-		Barred:     core.overLimit(now, waiting),
-		Ordered:    func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
-		Frequent:   frequent,
-		Many:       !core.members.Plan().Mesh,
-		Waiting:    waiting,
+		Now:          now,
+		Service:      job.service,
+		DataCentre:   core.settings.DataCentre,
+		Attempt:      xxhash.Sum64String(job.headers.Attempt),
+		Adapter:      job.adapter,
+		Version:      core.requiredVersion(now, job.adapter),
+		Prompt:       job.headers.PromptTokens,
+		AdapterSlots: job.adapterSlots,
+		Tried:        job.triedServers,
+		Blocked:      core.overLimit(now, waiting),
+		HasOwner:     func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
+		Frequent:     frequent,
+		ManyDaemons:  !core.members.Plan().Mesh,
+		WaitingAt:    waiting,
 	}
 }
 
 // assign records that a request is sent to the chosen server, and returns the assignment. The
 // mutex must be held.
-func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) assignment {
+func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use inflight.Use) assignment {
 	job.waited += now - started
 	if job.engine {
 		core.promptBuckets.Add(now, use.Server, job.headers.PromptTokens, core.readRate.TokensPerMS())
 		core.sentTokens[use.Server] += job.headers.PromptTokens
 	}
 	if worker, ok := core.orderWorkers[use.Server]; ok {
-		worker.planner.Used(now, job.adapter, 1)
+		worker.planner.RecordUse(now, job.adapter, 1)
 	}
 	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.headers.PromptTokens, at: now}
 	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newestVersion(job.adapter) > 0 && slot.Version >= core.newestVersion(job.adapter) {
@@ -219,11 +219,11 @@
 	if gateway.storeBusy() {
 		return
 	}
-	gateway.requestAdapter(job, tally.Use{Server: server.ID, Adapter: job.adapter}, now, copyRequestLifetime)
+	gateway.requestAdapter(job, inflight.Use{Server: server.ID, Adapter: job.adapter}, now, copyRequestLifetime)
 }
 
 // requestAdapter requests an adapter from the owner of a server. The mutex must be held.
-func (gateway *Gateway) requestAdapter(job *job, use tally.Use, now, left clock.Millis) {
+func (gateway *Gateway) requestAdapter(job *job, use inflight.Use, now, left clock.Millis) {
 	core := gateway.core
 	request := peers.Want{Server: use.Server, Adapter: use.Adapter, Version: core.newestVersion(use.Adapter), Rank: job.rank, Left: left}
 	owner, ok := core.ownerOf(now, use.Server)
--- a/internal/direct/gateway/quarantine.go
+++ b/internal/direct/gateway/quarantine.go
@@ -26,7 +26,7 @@
 	core := gateway.core
 	core.mutex.Lock()
 	now := core.now()
-	core.fleet.Answered(now, to.server.ID, false)
+	core.fleet.RecordAnswer(now, to.server.ID, false)
 	cleared := core.quarantine.Answered(now, job.content)
 	core.mutex.Unlock()
 	if cleared {
--- a/internal/direct/gateway/reading.go
+++ b/internal/direct/gateway/reading.go
@@ -2,8 +2,8 @@
 
 import (
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
 // idleReadingInterval is how often a daemon outside a mesh checks whether it is in one. It
@@ -92,12 +92,12 @@
 // applyPeerWork applies a peer's work in progress and the prompt tokens that it has sent. The
 // mutex must be held.
 func (core *core) applyPeerWork(now clock.Millis, from string, received map[string]peers.Work) {
-	loads := make(map[string]tally.Load, len(received))
+	loads := make(map[string]inflight.Load, len(received))
 	for server, work := range received {
 		loads[server] = work.Load
 		if work.Sent > 0 {
 			core.promptBuckets.Add(now, server, work.Sent, core.readRate.TokensPerMS())
 		}
 	}
-	core.work.PeerLoads(from, loads)
+	core.work.SetPeerLoads(from, loads)
 }
--- a/internal/direct/gateway/rest.go
+++ b/internal/direct/gateway/rest.go
@@ -13,7 +13,7 @@
 	}
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.fleet.Rest(server, core.now()+rest)
+	core.fleet.Pause(server, core.now()+rest)
 	core.log.Info(ending.MessageServerPaused, "Server", server, "Millis", rest)
 	core.wakeWaitingRequests()
 }
@@ -24,7 +24,7 @@
 func (core *core) shortestPause(now clock.Millis, job *job) clock.Millis {
 	first := clock.Millis(0)
 	for _, member := range core.fleet.Usable(job.service) {
-		left := member.Rests(now)
+		left := member.PausedFor(now)
 		if left > 0 && (first == 0 || left < first) {
 			first = left
 		}
@@ -37,7 +37,7 @@
 func (core *core) pausedServers(now clock.Millis) int {
 	count := 0
 	for _, member := range core.fleet.Members() {
-		if member.Rests(now) > 0 {
+		if member.PausedFor(now) > 0 {
 			count++
 		}
 	}
--- a/internal/direct/gateway/settings.go
+++ b/internal/direct/gateway/settings.go
@@ -100,7 +100,7 @@
 type Options struct {
 	Fleet      fleet.Options
 	Weights    choose.Weights
-	Hold       choose.Hold
+	Hold       choose.DelayPolicy
 	Loading    loading.Options
 	Mirror     mirror.Options
 	Peers      peers.Options
@@ -167,7 +167,7 @@
 // DefaultOptions returns the default options for the lease in the settings.
 func DefaultOptions(settings Settings) Options {
 	return Options{
-		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultHold(), Loading: loading.DefaultOptions(),
+		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultDelayPolicy(), Loading: loading.DefaultOptions(),
 		Mirror: mirror.DefaultOptions(), Peers: peers.DefaultOptions(), Membership: membership.DefaultOptions(), Tenure: tenure.DefaultOptions(settings.Lease, settings.Fenced),
 		Upstream: upstream.DefaultOptions(), Quarantine: quarantine.DefaultOptions(),
 
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -7,11 +7,11 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
 	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -37,7 +37,7 @@
 	tables    map[string]versionStamp                // last version sent, by server
 	tablesAt  int64                                  // number of table changes when tables were last compared
 	reports   int64                                  // number of servers' reports when they were last compared
-	sums      map[string]tally.Sum                   // last sent, by server; nil: none yet
+	sums      map[string]inflight.Sum                // last sent, by server; nil: none yet
 	uses      map[string]map[platformapi.Adapter]int // last sent, by server
 	era       int64                                  // of the store
 	revision  int64                                  // of the store, in that era
@@ -274,7 +274,7 @@
 		sent.revision = max(sent.revision, peer.Revision) // the peer has read up to there itself
 	}
 	unsent := &peers.StoreNews{StoreItems: core.store.itemsSince(sent.revision), Age: now - core.store.readAt}
-	if backAt := core.fleet.BackAt(); backAt > 0 {
+	if backAt := core.fleet.OutageEnd(); backAt > 0 {
 		unsent.Back = now - backAt
 	}
 	sent.revision = core.store.revision
@@ -305,7 +305,7 @@
 	if delta.Owners != nil && from == core.hub {
 		core.owners = delta.Owners.By
 		if !core.members.Role().GivesOrders() {
-			core.loadRate.Adopt(delta.Owners.Learned)
+			core.loadRate.SetEstimate(delta.Owners.Learned)
 		}
 	}
 	if delta.Sums != nil {
@@ -346,16 +346,16 @@
 	}
 	core.snapshots[share.Name] = share
 	if core.hub == "" {
-		core.countUses(now, core.work.Peer(share.Name, share.Share))
+		core.countUses(now, core.work.SetPeer(share.Name, share.Share))
 	}
 }
 
 // countUses passes uses of adapters through other daemons to the planners. The mutex must be
 // held.
-func (core *core) countUses(now clock.Millis, uses map[tally.Use]int) {
+func (core *core) countUses(now clock.Millis, uses map[inflight.Use]int) {
 	for use, more := range uses {
 		if worker, ok := core.orderWorkers[use.Server]; ok {
-			worker.planner.Used(now, use.Adapter, more)
+			worker.planner.RecordUse(now, use.Adapter, more)
 		}
 	}
 }
@@ -364,7 +364,7 @@
 // mutex must be held.
 func (core *core) applyStoreUpdate(now clock.Millis, received *peers.StoreNews) {
 	if received.Back > 0 {
-		core.fleet.Back(now - received.Back)
+		core.fleet.RecordOutageEnd(now - received.Back)
 	}
 	if !core.applyStoreItems(received.StoreItems) {
 		return
--- a/internal/direct/gateway/store.go
+++ b/internal/direct/gateway/store.go
@@ -46,14 +46,14 @@
 		}
 		core.store.lostAt = 0
 		core.store.readAt = now
-		core.fleet.StoreBack(now)
+		core.fleet.StoreAvailable(now)
 		return
 	}
 	if core.store.lostAt == 0 {
 		core.log.Warn("store unreachable", "Error", err.Error())
 		core.store.lostAt = now
 	}
-	core.fleet.StoreLost(now)
+	core.fleet.StoreUnavailable(now)
 }
 
 // applyPeerItems applies store items that a peer has sent. The mutex must be held.
@@ -152,7 +152,7 @@
 		}
 		core.log.Info("server restarted", "Server", server.ID, "Born", server.StartedAt, "Revision", revision)
 		if worker, ok := core.orderWorkers[server.ID]; ok {
-			worker.planner.Forget()
+			worker.planner.InvalidateReport()
 			worker.wakeUp()
 		}
 	case newlyDraining:
--- a/internal/direct/gateway/sums.go
+++ b/internal/direct/gateway/sums.go
@@ -4,14 +4,14 @@
 	"maps"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
 // unsentSums returns the aggregated counts that a daemon has not been sent, and the uses of
 // adapters by others on the servers that it owns. The mutex must be held.
 func (core *core) unsentSums(now clock.Millis, target string, sent *sentState) *peers.Sums {
-	sums := core.work.Others(target)
+	sums := core.work.SumsExcept(target)
 	unsent := &peers.Sums{Whole: sent.sums == nil, Servers: changedSums(sent.sums, sums)}
 	sent.sums = sums
 	for server := range core.fleet.Tables() {
@@ -19,7 +19,7 @@
 			delete(sent.uses, server)
 			continue
 		}
-		uses := core.work.UsesBut(target, server)
+		uses := core.work.UsesExcept(target, server)
 		if before, ok := sent.uses[server]; !ok || !maps.Equal(before, uses) {
 			sent.uses[server] = uses
 			unsent.Uses = append(unsent.Uses, peers.ServerUses{Server: server, Uses: uses})
@@ -32,8 +32,8 @@
 }
 
 // changedSums returns the counts that differ, with 0 for servers that are no longer listed.
-func changedSums(before, after map[string]tally.Sum) map[string]tally.Sum {
-	changed := make(map[string]tally.Sum)
+func changedSums(before, after map[string]inflight.Sum) map[string]inflight.Sum {
+	changed := make(map[string]inflight.Sum)
 	for server, sum := range after {
 		if before[server] != sum {
 			changed[server] = sum
@@ -41,7 +41,7 @@
 	}
 	for server := range before {
 		if _, ok := after[server]; !ok {
-			changed[server] = tally.Sum{}
+			changed[server] = inflight.Sum{}
 		}
 	}
 	return changed
@@ -51,7 +51,7 @@
 // are kept in case it becomes the hub. The mutex must be held.
 func (core *core) applySums(now clock.Millis, from string, sums *peers.Sums) {
 	if sums.Whole {
-		core.sums[from] = make(map[string]tally.Sum, len(sums.Servers))
+		core.sums[from] = make(map[string]inflight.Sum, len(sums.Servers))
 	}
 	known, ok := core.sums[from]
 	if !ok {
@@ -62,9 +62,9 @@
 	if core.hub != from {
 		return
 	}
-	core.work.SetOthers(known)
+	core.work.SetHubSums(known)
 	for _, uses := range sums.Uses {
-		core.countUses(now, core.work.SetUses(uses.Server, uses.Uses))
+		core.countUses(now, core.work.SetHubUses(uses.Server, uses.Uses))
 	}
 }
 
@@ -82,24 +82,24 @@
 		core.lastHub = hub
 		core.ledger.ForgetHub()
 	}
-	core.work.ClearOthers()
+	core.work.ClearHubSums()
 	if peer, ok := core.members.Peer(hub); ok {
 		// A hub that had lost contact with this daemon has dropped its work, so it is sent
 		// again.
 		delete(core.sentTo(peer.Address).snapshots, core.settings.Name)
 	}
 	if hub != "" {
-		core.work.SetOthers(core.sums[hub])
+		core.work.SetHubSums(core.sums[hub])
 		return true
 	}
 	for name, share := range core.snapshots {
 		if core.members.Live(now, name) {
-			core.work.Peer(name, share.Share)
+			core.work.SetPeer(name, share.Share)
 		}
 	}
 	for name, group := range core.groups {
 		if core.members.Live(now, name) {
-			core.work.Peer(name, group.snapshot)
+			core.work.SetPeer(name, group.snapshot)
 		}
 	}
 	return true
--- a/internal/direct/gateway/unplaced.go
+++ b/internal/direct/gateway/unplaced.go
@@ -33,7 +33,7 @@
 // must be held.
 func (core *core) logAdapterNotReady(now clock.Millis, job *job, server *fleet.Member, tooLate bool, maxWait clock.Millis) {
 	loading, queued := core.incomingAdapters()
-	loadingHere, queuedHere := server.Coming()
+	loadingHere, queuedHere := server.LoadCounts()
 	owner, _ := core.ownerOf(now, server.ID)
 	core.log.Info(ending.MessageAdapterNotReady, "Request", job.headers.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
 		"AtOnce", tooLate, "PatienceMillis", maxWait, "LoadMillis", core.expectedLoadTime(server), "Loading", loading, "Queued", queued,
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -165,7 +165,7 @@
 	}
 	for name := range core.members.Peers() {
 		if !core.members.Live(now, name) {
-			core.work.Forget(name)
+			core.work.RemovePeer(name)
 		}
 	}
 	if core.hub != "" {
--- a/internal/direct/gateway/wants.go
+++ b/internal/direct/gateway/wants.go
@@ -78,10 +78,10 @@
 	}
 	now := core.now()
 	if request.Absent {
-		worker.planner.Absent(now, request.Adapter)
+		worker.planner.MarkMissing(now, request.Adapter)
 		gateway.publishTable(request.Server, worker)
 	}
-	worker.planner.Want(now, request.Adapter, request.Version, request.Rank, now+request.Left)
+	worker.planner.RequestAdapter(now, request.Adapter, request.Version, request.Rank, now+request.Left)
 	gateway.publishTable(request.Server, worker)
 	worker.wakeUp()
 }
--- a/internal/direct/gateway/warnings.go
+++ b/internal/direct/gateway/warnings.go
@@ -30,14 +30,14 @@
 // currentWarnings is the state of a peer that has been sent every warning. The mutex must be
 // held.
 func (core *core) currentWarnings() warningsSent {
-	return warningsSent{quarantine: core.quarantine.Revision(), limits: core.serverLimits.Revision(), drainNotices: core.fleet.DeparturesHeard()}
+	return warningsSent{quarantine: core.quarantine.Revision(), limits: core.serverLimits.Revision(), drainNotices: core.fleet.DrainNoticeCount()}
 }
 
 // unsentWarnings returns the warnings that a peer has not been sent. The mutex must be held.
 func (core *core) unsentWarnings(now clock.Millis, since warningsSent) peers.Warnings {
 	return peers.Warnings{
 		Quarantine: core.quarantine.ChangedSince(now, since.quarantine), Limits: core.serverLimits.ChangedSince(since.limits),
-		Leaving: core.fleet.DeparturesSince(since.drainNotices),
+		Leaving: core.fleet.DrainNoticesSince(since.drainNotices),
 	}
 }
 
--- a/internal/direct/tally/tracker.go
+++ b/internal/direct/inflight/tracker.go
@@ -1,7 +1,7 @@
-// Package tally counts the requests in progress at backend servers: this daemon's own
+// Package inflight counts the requests in progress at backend servers: this daemon's own
 // requests immediately, and those of other daemons as these report them, either directly
 // or as aggregated counts from a hub. It does no I/O.
-package tally
+package inflight
 
 import (
 	"maps"
@@ -42,9 +42,9 @@
 	return Share{Loads: make(map[string]Load), Uses: make(map[Use]int)}
 }
 
-// Tally adds up the shares of all daemons. Other daemons are counted either by their own
+// Tracker adds up the shares of all daemons. Other daemons are counted either by their own
 // shares or by the aggregated counts from a hub, never by both.
-type Tally struct {
+type Tracker struct {
 	own     Share
 	peers   map[string]Share
 	loads   map[string]Load // of this daemon and its peers, by server
@@ -77,47 +77,47 @@
 }
 
 // New returns an instance that counts no requests yet.
-func New() *Tally {
-	return &Tally{
+func New() *Tracker {
+	return &Tracker{
 		own: newShare(), peers: make(map[string]Share), loads: make(map[string]Load), uses: make(serverUses),
 		hubSums: make(map[string]Sum), hubUses: make(serverUses),
 	}
 }
 
 // Begin counts a request of this daemon and the tokens of its prompt.
-func (tally *Tally) Begin(use Use, prompt int) {
-	tally.change(use, Load{Runs: 1, Reading: prompt}, 1)
+func (tracker *Tracker) Begin(use Use, prompt int) {
+	tracker.change(use, Load{Runs: 1, Reading: prompt}, 1)
 }
 
-// Read counts the prompt of a request that was begun without one, when reading starts.
-func (tally *Tally) Read(use Use, prompt int) {
-	tally.change(use, Load{Reading: prompt}, 0)
+// StartReading counts the prompt of a request that was begun without one, when reading starts.
+func (tracker *Tracker) StartReading(use Use, prompt int) {
+	tracker.change(use, Load{Reading: prompt}, 0)
 }
 
-// First discounts the prompt of a request at the first event of its answer.
-func (tally *Tally) First(use Use, prompt int) {
-	tally.change(use, Load{Reading: -prompt}, 0)
+// FirstEvent discounts the prompt of a request at the first event of its answer.
+func (tracker *Tracker) FirstEvent(use Use, prompt int) {
+	tracker.change(use, Load{Reading: -prompt}, 0)
 }
 
 // End discounts a request that has ended. Prompt is the tokens of its prompt that have not
 // been discounted yet.
-func (tally *Tally) End(use Use, prompt int) {
-	tally.change(use, Load{Runs: -1, Reading: -prompt}, -1)
+func (tracker *Tracker) End(use Use, prompt int) {
+	tracker.change(use, Load{Runs: -1, Reading: -prompt}, -1)
 }
 
-func (tally *Tally) change(use Use, load Load, uses int) {
-	addLoad(tally.own.Loads, use.Server, load)
-	addLoad(tally.loads, use.Server, load)
+func (tracker *Tracker) change(use Use, load Load, uses int) {
+	addLoad(tracker.own.Loads, use.Server, load)
+	addLoad(tracker.loads, use.Server, load)
 	if uses != 0 {
-		addUse(tally.own, use, uses)
-		tally.uses.add(use, uses)
+		addUse(tracker.own, use, uses)
+		tracker.uses.add(use, uses)
 	}
 }
 
-// Distinct returns how many adapters requests use or wait for at a server. It is the larger
+// AdapterCount returns how many adapters requests use or wait for at a server. It is the larger
 // of the directly known number and the hub's, as most adapters are counted in both.
-func (tally *Tally) Distinct(server string) int {
-	return max(len(tally.uses[server]), tally.hubSums[server].Adapters)
+func (tracker *Tracker) AdapterCount(server string) int {
+	return max(len(tracker.uses[server]), tracker.hubSums[server].Adapters)
 }
 
 func addLoad(loads map[string]Load, server string, load Load) {
@@ -139,15 +139,15 @@
 }
 
 // Own returns the requests that this daemon has in progress. They must not be modified.
-func (tally *Tally) Own() Share {
-	return tally.own
+func (tracker *Tracker) Own() Share {
+	return tracker.own
 }
 
-// Peer replaces the share of another daemon. It returns the uses that have increased, with
+// SetPeer replaces the share of another daemon. It returns the uses that have increased, with
 // the difference, and those that have ended, with 0.
-func (tally *Tally) Peer(name string, share Share) map[Use]int {
+func (tracker *Tracker) SetPeer(name string, share Share) map[Use]int {
 	changed := make(map[Use]int)
-	before := tally.peers[name].Uses
+	before := tracker.peers[name].Uses
 	for use, uses := range share.Uses {
 		if more := uses - before[use]; more > 0 {
 			changed[use] = more
@@ -158,86 +158,86 @@
 			changed[use] = 0
 		}
 	}
-	tally.Forget(name)
-	tally.peers[name] = share
-	tally.addShare(share, 1)
+	tracker.RemovePeer(name)
+	tracker.peers[name] = share
+	tracker.addShare(share, 1)
 	return changed
 }
 
-// PeerLoads replaces the loads of another daemon at some servers. The uses of its share
+// SetPeerLoads replaces the loads of another daemon at some servers. The uses of its share
 // stay as they are.
-func (tally *Tally) PeerLoads(name string, loads map[string]Load) {
-	share, ok := tally.peers[name]
+func (tracker *Tracker) SetPeerLoads(name string, loads map[string]Load) {
+	share, ok := tracker.peers[name]
 	if !ok {
 		return // its full share follows soon
 	}
 	share.Loads = maps.Clone(share.Loads) // the map belongs to the caller that passed the share
 	for server, load := range loads {
 		before := share.Loads[server]
-		addLoad(tally.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
+		addLoad(tracker.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
 		share.Loads[server] = load
 	}
-	tally.peers[name] = share
+	tracker.peers[name] = share
 }
 
-// Forget removes the share of a daemon that has gone.
-func (tally *Tally) Forget(name string) {
-	tally.addShare(tally.peers[name], -1)
-	delete(tally.peers, name)
+// RemovePeer removes the share of a daemon that has gone.
+func (tracker *Tracker) RemovePeer(name string) {
+	tracker.addShare(tracker.peers[name], -1)
+	delete(tracker.peers, name)
 }
 
-func (tally *Tally) addShare(share Share, sign int) {
+func (tracker *Tracker) addShare(share Share, sign int) {
 	for server, load := range share.Loads {
-		addLoad(tally.loads, server, Load{Runs: sign * load.Runs, Reading: sign * load.Reading})
+		addLoad(tracker.loads, server, Load{Runs: sign * load.Runs, Reading: sign * load.Reading})
 	}
 	for use, uses := range share.Uses {
-		tally.uses.add(use, sign*uses)
+		tracker.uses.add(use, sign*uses)
 	}
 }
 
 // Load returns the work of all daemons in progress at a server.
-func (tally *Tally) Load(server string) Load {
-	own, others := tally.loads[server], tally.hubSums[server]
+func (tracker *Tracker) Load(server string) Load {
+	own, others := tracker.loads[server], tracker.hubSums[server]
 	return Load{Runs: own.Runs + others.Runs, Reading: own.Reading + others.Reading}
 }
 
 // Uses returns how many requests of all daemons use or wait for an adapter at a server.
-func (tally *Tally) Uses(use Use) int {
-	return tally.uses[use.Server][use.Adapter] + tally.hubUses[use.Server][use.Adapter]
+func (tracker *Tracker) Uses(use Use) int {
+	return tracker.uses[use.Server][use.Adapter] + tracker.hubUses[use.Server][use.Adapter]
 }
 
 // UsesAt returns how many requests of all daemons use or wait for each adapter at a server.
-func (tally *Tally) UsesAt(server string) map[platformapi.Adapter]int {
-	uses := maps.Clone(tally.uses[server])
+func (tracker *Tracker) UsesAt(server string) map[platformapi.Adapter]int {
+	uses := maps.Clone(tracker.uses[server])
 	if uses == nil {
 		uses = make(map[platformapi.Adapter]int)
 	}
-	for adapter, count := range tally.hubUses[server] {
+	for adapter, count := range tracker.hubUses[server] {
 		uses[adapter] += count
 	}
 	return uses
 }
 
-// Others returns the aggregated counts of all daemons but one, by server.
-func (tally *Tally) Others(except string) map[string]Sum {
-	excluded := tally.peers[except]
-	sums := make(map[string]Sum, len(tally.loads))
-	for server, load := range tally.loads {
+// SumsExcept returns the aggregated counts of all daemons but one, by server.
+func (tracker *Tracker) SumsExcept(except string) map[string]Sum {
+	excluded := tracker.peers[except]
+	sums := make(map[string]Sum, len(tracker.loads))
+	for server, load := range tracker.loads {
 		without := excluded.Loads[server]
 		sums[server] = Sum{
 			Load:     Load{Runs: load.Runs - without.Runs, Reading: load.Reading - without.Reading},
-			Adapters: len(tally.uses[server]),
+			Adapters: len(tracker.uses[server]),
 		}
 	}
 	return sums
 }
 
-// UsesBut returns how many requests of all daemons but one use or wait for each adapter at
+// UsesExcept returns how many requests of all daemons but one use or wait for each adapter at
 // a server.
-func (tally *Tally) UsesBut(except, server string) map[platformapi.Adapter]int {
-	excluded := tally.peers[except].Uses
+func (tracker *Tracker) UsesExcept(except, server string) map[platformapi.Adapter]int {
+	excluded := tracker.peers[except].Uses
 	uses := make(map[platformapi.Adapter]int)
-	for adapter, count := range tally.uses[server] {
+	for adapter, count := range tracker.uses[server] {
 		if more := count - excluded[Use{Server: server, Adapter: adapter}]; more > 0 {
 			uses[adapter] = more
 		}
@@ -245,28 +245,28 @@
 	return uses
 }
 
-// SetOthers replaces the aggregated counts from a hub, and removes the shares of peers,
+// SetHubSums replaces the aggregated counts from a hub, and removes the shares of peers,
 // which those include.
-func (tally *Tally) SetOthers(sums map[string]Sum) {
-	for name := range tally.peers {
-		tally.Forget(name)
+func (tracker *Tracker) SetHubSums(sums map[string]Sum) {
+	for name := range tracker.peers {
+		tracker.RemovePeer(name)
 	}
-	tally.hubSums = sums
+	tracker.hubSums = sums
 }
 
-// ClearOthers removes the aggregated counts from a hub, as each daemon reports its own share
+// ClearHubSums removes the aggregated counts from a hub, as each daemon reports its own share
 // from now on.
-func (tally *Tally) ClearOthers() {
-	tally.hubSums = make(map[string]Sum)
-	clear(tally.hubUses)
+func (tracker *Tracker) ClearHubSums() {
+	tracker.hubSums = make(map[string]Sum)
+	clear(tracker.hubUses)
 }
 
-// SetUses replaces the uses, from a hub, of adapters by other daemons at a server that this
+// SetHubUses replaces the uses, from a hub, of adapters by other daemons at a server that this
 // daemon owns. It returns the uses that have increased, with the difference, and those that
 // have ended, with 0.
-func (tally *Tally) SetUses(server string, uses map[platformapi.Adapter]int) map[Use]int {
+func (tracker *Tracker) SetHubUses(server string, uses map[platformapi.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
-	before := tally.hubUses[server]
+	before := tracker.hubUses[server]
 	for adapter, count := range uses {
 		if more := count - before[adapter]; more > 0 {
 			changed[Use{Server: server, Adapter: adapter}] = more
@@ -277,6 +277,6 @@
 			changed[Use{Server: server, Adapter: adapter}] = 0
 		}
 	}
-	tally.hubUses[server] = uses
+	tracker.hubUses[server] = uses
 	return changed
 }
--- a/internal/direct/loading/modelrate.go
+++ b/internal/direct/loading/modelrate.go
@@ -22,13 +22,13 @@
 	return &ModelRate{fullSpeedLoads: 1}
 }
 
-// AtOnce returns how many base model loads have run at full speed at the same time.
-func (rate *ModelRate) AtOnce() int {
+// FullSpeedLoads returns how many base model loads have run at full speed at the same time.
+func (rate *ModelRate) FullSpeedLoads() int {
 	return rate.fullSpeedLoads
 }
 
-// Trial returns how many loads may be tried at the same time.
-func (rate *ModelRate) Trial() int {
+// TrialLoads returns how many loads may be tried at the same time.
+func (rate *ModelRate) TrialLoads() int {
 	if rate.limitFound {
 		return rate.fullSpeedLoads
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	implied := max(1, int(float64(inFlight)/slowdown+0.5))
-	if inFlight > 1 && implied <= rate.Trial() {
+	if inFlight > 1 && implied <= rate.TrialLoads() {
 		rate.fullSpeedLoads, rate.limitFound = implied, true
 	}
 }
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -14,17 +14,17 @@
 
 // Traffic is the number of loads from the weight store in progress.
 type Traffic struct {
-	OnWay   int // adapters being loaded by all servers
-	Servers int // servers that load adapters
+	InFlight int // adapters being loaded by all servers
+	Servers  int // servers that load adapters
 }
 
 // Uses returns how many requests of all daemons use an adapter at the server.
 type Uses func(platformapi.Adapter) int
 
-// Next returns the order to send to the server now, if there is one. Otherwise it returns
+// NextOrder returns the order to send to the server now, if there is one. Otherwise it returns
 // when to call it again; 0 means not before something changes. Turn reports whether a base
 // model may be loaded if the server holds none.
-func (planner *Planner) Next(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
+func (planner *Planner) NextOrder(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
 	if now < planner.waitUntil {
 		return platformapi.Order{}, false, planner.waitUntil
 	}
@@ -126,7 +126,7 @@
 // nextWant loads the most urgently wanted adapter, or unloads another one to make room.
 func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
 	limit := planner.options.MostIncoming
-	if traffic.OnWay >= planner.rate.AtOnce(traffic.Servers) {
+	if traffic.InFlight >= planner.rate.FullSpeedLoads(traffic.Servers) {
 		limit = planner.options.CrowdedIncoming
 	}
 	if planner.loadCount() >= limit {
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -82,7 +82,7 @@
 type Planner struct {
 	options      Options
 	limits       Limits
-	rate         *Rate                          // shared by all planners of the daemon
+	rate         *LoadRate                      // shared by all planners of the daemon
 	recentlyHeld func(platformapi.Adapter) bool // whether the server held an adapter recently
 	fenceKnown   bool                           // the server has seen this daemon's fencing number
 	reportValid  bool                           // a report was read since then, and is still valid
@@ -104,7 +104,7 @@
 
 // New returns a planner that does not know yet what its server holds. Rate is shared by all
 // planners of the daemon. RecentlyHeld reports whether the server held an adapter recently.
-func New(options Options, limits Limits, rate *Rate, recentlyHeld func(platformapi.Adapter) bool) *Planner {
+func New(options Options, limits Limits, rate *LoadRate, recentlyHeld func(platformapi.Adapter) bool) *Planner {
 	return &Planner{
 		options: options, limits: limits, rate: rate, recentlyHeld: recentlyHeld, models: make(map[string]bool),
 		modelLoads: make(map[string]modelLoad),
@@ -120,14 +120,14 @@
 	return planner.fenceKnown && !planner.reportValid, planner.lastOrderAt + planner.options.ReportLag
 }
 
-// Knows reports whether the planner knows what its server holds: it has read the report, or
+// HoldingsKnown reports whether the planner knows what its server holds: it has read the report, or
 // the server has accepted the load of its base model and so holds nothing yet.
-func (planner *Planner) Knows() bool {
+func (planner *Planner) HoldingsKnown() bool {
 	return planner.reportValid || len(planner.modelLoads) > 0
 }
 
-// Forget makes the planner read the report again, as the server may have restarted.
-func (planner *Planner) Forget() {
+// InvalidateReport makes the planner read the report again, as the server may have restarted.
+func (planner *Planner) InvalidateReport() {
 	planner.reportValid = false
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// Want requests an adapter for a request that gives up at until.
-func (planner *Planner) Want(now clock.Millis, adapter platformapi.Adapter, version, rank int, until clock.Millis) {
+// RequestAdapter requests an adapter for a request that gives up at until.
+func (planner *Planner) RequestAdapter(now clock.Millis, adapter platformapi.Adapter, version, rank int, until clock.Millis) {
 	wanted, ok := planner.wants[adapter]
 	if !ok {
 		planner.wants[adapter] = &want{version: version, rank: rank, since: now, until: until}
@@ -178,8 +178,8 @@
 	wanted.until = max(wanted.until, until)
 }
 
-// Used adds to the count of an adapter's uses.
-func (planner *Planner) Used(now clock.Millis, adapter platformapi.Adapter, uses int) {
+// RecordUse adds to the count of an adapter's uses.
+func (planner *Planner) RecordUse(now clock.Millis, adapter platformapi.Adapter, uses int) {
 	entry, ok := planner.slots[adapter]
 	if !ok {
 		return
@@ -193,11 +193,11 @@
 	return entry.score * math.Exp2(-float64(now-entry.usedAt)/float64(planner.options.HalfLife))
 }
 
-// Absent records that the server refused a request because it does not hold the adapter or
+// MarkMissing records that the server refused a request because it does not hold the adapter or
 // holds another version of it. The adapter keeps its adapter slot, as if being loaded, until
 // its load has been ordered again and answered. Were the slot reused too early, the server
 // could be ordered to load one adapter too many and crash.
-func (planner *Planner) Absent(now clock.Millis, adapter platformapi.Adapter) {
+func (planner *Planner) MarkMissing(now clock.Millis, adapter platformapi.Adapter) {
 	if entry, ok := planner.slots[adapter]; ok && !entry.loading && !entry.unloading {
 		entry.loading = true
 		entry.checks = 0
--- a/internal/direct/loading/planner_test.go
+++ b/internal/direct/loading/planner_test.go
@@ -31,7 +31,7 @@
 func adapter(name string) platformapi.Adapter { return platformapi.Adapter{Model: "m", Name: name} }
 
 func newPlanner(now clock.Millis, adapters ...string) *loading.Planner {
-	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
+	planner := loading.New(loading.DefaultOptions(), limits, loading.NewLoadRate(), never)
 	confirmFence(planner, now)
 	held := make(map[string]int)
 	for _, name := range adapters {
@@ -43,38 +43,38 @@
 
 // confirmFence makes the planner's fencing number known to the server.
 func confirmFence(planner *loading.Planner, now clock.Millis) {
-	order, _, _ := planner.Next(now, noUses, noVersion, idleStore, true)
-	planner.Done(now, order, platformapi.NothingToDo, idleStore)
+	order, _, _ := planner.NextOrder(now, noUses, noVersion, idleStore, true)
+	planner.HandleResult(now, order, platformapi.NothingToDo, idleStore)
 }
 
 // TestReportIsReadAfterFencingNumberIsKnown: until the server has seen the new fencing
 // number, it may accept a load from its former owner that no report shows.
 func TestReportIsReadAfterFencingNumberIsKnown(t *testing.T) {
-	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
+	planner := loading.New(loading.DefaultOptions(), limits, loading.NewLoadRate(), never)
 	needed, _ := planner.NeedsReport()
 	require.False(t, needed)
-	order, ok, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
+	order, ok, _ := planner.NextOrder(1000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, platformapi.Unknown, idleStore)
+	planner.HandleResult(1000, order, platformapi.Unknown, idleStore)
 	needed, _ = planner.NeedsReport()
 	require.False(t, needed)
-	order, _, _ = planner.Next(1200, noUses, noVersion, idleStore, true)
-	planner.Done(1200, order, platformapi.NothingToDo, idleStore)
+	order, _, _ = planner.NextOrder(1200, noUses, noVersion, idleStore, true)
+	planner.HandleResult(1200, order, platformapi.NothingToDo, idleStore)
 	needed, from := planner.NeedsReport()
 	require.True(t, needed)
 	require.Equal(t, 1200+loading.DefaultOptions().ReportLag, from)
 }
 
 func TestEmptyServerLoadsBaseModel(t *testing.T) {
-	planner := loading.New(loading.DefaultOptions(), limits, loading.NewRate(), never)
+	planner := loading.New(loading.DefaultOptions(), limits, loading.NewLoadRate(), never)
 	confirmFence(planner, 500)
 	planner.SetReport(1000, platformapi.Report{})
-	order, ok, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
+	order, ok, _ := planner.NextOrder(1000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: "m"}}, order)
-	planner.Done(1000, order, platformapi.Accepted, idleStore)
-	_, ok, at := planner.Next(1010, noUses, noVersion, idleStore, true)
+	planner.HandleResult(1000, order, platformapi.Accepted, idleStore)
+	_, ok, at := planner.NextOrder(1010, noUses, noVersion, idleStore, true)
 	require.False(t, ok, "the base model is being loaded")
 	require.Positive(t, at)
 }
@@ -83,39 +83,39 @@
 // evicted.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c", "d")
-	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
+	planner.RequestAdapter(10_000, adapter("e"), 0, 1, 20_000)
 	inUse := func(used platformapi.Adapter) int {
 		if used.Name == "c" {
 			return 0
 		}
 		return 1
 	}
-	_, ok, at := planner.Next(10_000, func(platformapi.Adapter) int { return 1 }, noVersion, idleStore, true)
+	_, ok, at := planner.NextOrder(10_000, func(platformapi.Adapter) int { return 1 }, noVersion, idleStore, true)
 	require.False(t, ok)
 	require.Greater(t, at, clock.Millis(10_000), "it retries")
-	order, ok, _ := planner.Next(10_100, inUse, noVersion, idleStore, true)
+	order, ok, _ := planner.NextOrder(10_100, inUse, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
-	planner.Done(10_100, order, platformapi.NothingToDo, idleStore)
-	order, _, _ = planner.Next(10_110, inUse, noVersion, idleStore, true)
+	planner.HandleResult(10_100, order, platformapi.NothingToDo, idleStore)
+	order, _, _ = planner.NextOrder(10_110, inUse, noVersion, idleStore, true)
 	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("e")}, order)
 }
 
 func TestLeastUsedAdapterIsEvicted(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c", "d")
 	for i, name := range []string{"a", "b", "c", "d"} {
-		planner.Used(2000, adapter(name), 1+(i+2)%4)
+		planner.RecordUse(2000, adapter(name), 1+(i+2)%4)
 	}
-	planner.Want(10_000, adapter("e"), 0, 1, 20_000)
-	order, _, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
+	planner.RequestAdapter(10_000, adapter("e"), 0, 1, 20_000)
+	order, _, _ := planner.NextOrder(10_000, noUses, noVersion, idleStore, true)
 	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
 }
 
 func TestMostUrgentWantGoesFirst(t *testing.T) {
 	planner := newPlanner(1000)
-	planner.Want(1000, adapter("a"), 0, 2, 9000)
-	planner.Want(1001, adapter("b"), 0, 0, 9000)
-	order, _, _ := planner.Next(1002, noUses, noVersion, idleStore, true)
+	planner.RequestAdapter(1000, adapter("a"), 0, 2, 9000)
+	planner.RequestAdapter(1001, adapter("b"), 0, 0, 9000)
+	order, _, _ := planner.NextOrder(1002, noUses, noVersion, idleStore, true)
 	require.Equal(t, adapter("b"), order.Adapter)
 }
 
@@ -123,19 +123,19 @@
 // adapter at a time.
 func TestOneLoadAtATimeWhileStoreIsSaturated(t *testing.T) {
 	for inFlight, most := range map[int]int{4: 4, 16: 1} {
-		crowded := loading.Traffic{OnWay: inFlight, Servers: 8}
+		crowded := loading.Traffic{InFlight: inFlight, Servers: 8}
 		planner := newPlanner(1000)
 		for _, name := range []string{"a", "b", "c", "d"} {
-			planner.Want(1000, adapter(name), 0, 0, 9000)
+			planner.RequestAdapter(1000, adapter(name), 0, 0, 9000)
 		}
 		loads := 0
 		for {
-			order, ok, _ := planner.Next(1000, noUses, noVersion, crowded, true)
+			order, ok, _ := planner.NextOrder(1000, noUses, noVersion, crowded, true)
 			if !ok {
 				break
 			}
 			loads++
-			planner.Done(1000, order, platformapi.Accepted, crowded)
+			planner.HandleResult(1000, order, platformapi.Accepted, crowded)
 		}
 		require.Equal(t, most, loads, "loads in flight: %d", inFlight)
 	}
@@ -145,15 +145,15 @@
 // load more than the adapter slots would crash the server.
 func TestUnansweredLoadKeepsItsSlot(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c")
-	planner.Want(1000, adapter("d"), 0, 0, 9000)
-	order, _, _ := planner.Next(1000, noUses, noVersion, idleStore, true)
-	planner.Done(1000, order, platformapi.Unknown, idleStore)
-	planner.Want(1100, adapter("e"), 0, 0, 9000)
-	order, ok, _ := planner.Next(1200, noUses, noVersion, idleStore, true)
+	planner.RequestAdapter(1000, adapter("d"), 0, 0, 9000)
+	order, _, _ := planner.NextOrder(1000, noUses, noVersion, idleStore, true)
+	planner.HandleResult(1000, order, platformapi.Unknown, idleStore)
+	planner.RequestAdapter(1100, adapter("e"), 0, 0, 9000)
+	order, ok, _ := planner.NextOrder(1200, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, adapter("d"), order.Adapter, "the order is repeated")
-	planner.Done(1200, order, platformapi.NothingToDo, idleStore)
-	order, ok, _ = planner.Next(2000, noUses, noVersion, idleStore, true)
+	planner.HandleResult(1200, order, platformapi.NothingToDo, idleStore)
+	order, ok, _ = planner.NextOrder(2000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "there is no room for e: %v", order)
 }
@@ -161,16 +161,16 @@
 // TestUnloadInProgressKeepsItsSlot: the server counts an adapter until its requests end.
 func TestUnloadInProgressKeepsItsSlot(t *testing.T) {
 	planner := newPlanner(1000, "a", "b", "c", "d")
-	planner.Want(10_000, adapter("e"), 0, 0, 20_000)
-	order, _, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
+	planner.RequestAdapter(10_000, adapter("e"), 0, 0, 20_000)
+	order, _, _ := planner.NextOrder(10_000, noUses, noVersion, idleStore, true)
 	require.False(t, order.Load)
-	planner.Done(10_000, order, platformapi.Accepted, idleStore)
-	next, ok, at := planner.Next(10_001, noUses, noVersion, idleStore, true)
+	planner.HandleResult(10_000, order, platformapi.Accepted, idleStore)
+	next, ok, at := planner.NextOrder(10_001, noUses, noVersion, idleStore, true)
 	for range 5 { // it also wakes up to retry the want
 		if ok {
 			break
 		}
-		next, ok, at = planner.Next(at, noUses, noVersion, idleStore, true)
+		next, ok, at = planner.NextOrder(at, noUses, noVersion, idleStore, true)
 	}
 	require.Equal(t, order, next, "the unload is checked, and nothing else is ordered")
 }
@@ -181,10 +181,10 @@
 	inUse := func(used platformapi.Adapter) int { return map[string]int{"a": 1}[used.Name] }
 	orders := make(map[string]platformapi.Order)
 	for range 2 {
-		order, ok, _ := planner.Next(2000, inUse, newest, idleStore, true)
+		order, ok, _ := planner.NextOrder(2000, inUse, newest, idleStore, true)
 		require.True(t, ok)
 		orders[order.Adapter.Name] = order
-		planner.Done(2000, order, platformapi.NothingToDo, idleStore)
+		planner.HandleResult(2000, order, platformapi.NothingToDo, idleStore)
 	}
 	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 2}, orders["a"])
 	require.Equal(t, platformapi.Order{Adapter: adapter("b")}, orders["b"], "an adapter that is not in use is unloaded")
@@ -226,16 +226,16 @@
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "adapter"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				planner.Want(now, adapter(name), 0, rapid.IntRange(0, 2).Draw(t, "rank"), now+2000)
+				planner.RequestAdapter(now, adapter(name), 0, rapid.IntRange(0, 2).Draw(t, "rank"), now+2000)
 			case 1:
 				if at, ok := engine.held[name]; ok && now >= at {
 					engine.runs[name]++
-					planner.Used(now, adapter(name), 1)
+					planner.RecordUse(now, adapter(name), 1)
 				}
 			case 2:
 				engine.runs[name] = 0
 			}
-			order, ok, _ := planner.Next(now, uses, noVersion, idleStore, true)
+			order, ok, _ := planner.NextOrder(now, uses, noVersion, idleStore, true)
 			if !ok {
 				continue
 			}
@@ -247,7 +247,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "answered") < 2 {
 				result = platformapi.Unknown
 			}
-			planner.Done(now, order, result, idleStore)
+			planner.HandleResult(now, order, result, idleStore)
 			require.LessOrEqual(t, len(engine.held), adapterSlots)
 		}
 	})
@@ -260,13 +260,13 @@
 	held := []string{"a", "b", "c", "e"}
 	require.Len(t, held, limits.AdapterSlots)
 	planner := newPlanner(1000, held...)
-	planner.Absent(10_000, adapter("a"))
-	planner.Want(10_000, adapter("d"), 0, 0, 20_000)
-	order, ok, _ := planner.Next(10_000, noUses, noVersion, idleStore, true)
+	planner.MarkMissing(10_000, adapter("a"))
+	planner.RequestAdapter(10_000, adapter("d"), 0, 0, 20_000)
+	order, ok, _ := planner.NextOrder(10_000, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.Equal(t, platformapi.Order{Load: true, Adapter: adapter("a"), Version: 1}, order, "the refused adapter is checked first")
-	planner.Done(10_000, order, platformapi.NothingToDo, idleStore)
-	order, ok, _ = planner.Next(20_000-1, noUses, noVersion, idleStore, true)
+	planner.HandleResult(10_000, order, platformapi.NothingToDo, idleStore)
+	order, ok, _ = planner.NextOrder(20_000-1, noUses, noVersion, idleStore, true)
 	require.True(t, ok)
 	require.False(t, order.Load, "one of the four has to be unloaded")
 }
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -5,8 +5,8 @@
 	"teaselmoor/internal/direct/platformapi"
 )
 
-// Done applies the result of an order.
-func (planner *Planner) Done(now clock.Millis, order platformapi.Order, result platformapi.Result, traffic Traffic) {
+// HandleResult applies the result of an order.
+func (planner *Planner) HandleResult(now clock.Millis, order platformapi.Order, result platformapi.Result, traffic Traffic) {
 	if result != platformapi.Conflict && result != platformapi.Fenced && result != platformapi.WrongServer {
 		planner.lastOrderAt = now
 	}
@@ -131,12 +131,12 @@
 func (planner *Planner) loadStarted(now clock.Millis, adapter platformapi.Adapter, entry *slot, traffic Traffic) {
 	if planner.recentlyHeld(adapter) {
 		entry.began = 0 // its duration says nothing about the weight store
-		entry.checkAt = now + planner.rate.RecentTime()
+		entry.checkAt = now + planner.rate.RecentLoadTime()
 		return
 	}
 	entry.began = now
 	entry.lastSeenAfter = 0
-	entry.inFlight = traffic.OnWay + 1
+	entry.inFlight = traffic.InFlight + 1
 	entry.checkAt = now + planner.rate.FirstCheck(entry.inFlight, traffic.Servers)
 }
 
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -44,29 +44,29 @@
 	return &Turns{rate: NewModelRate(), starts: make(map[string]modelStart), ends: make(map[string]clock.Millis)}
 }
 
-// AtOnce returns how many base models have been loaded at full speed at the same time.
-func (turns *Turns) AtOnce() int {
-	return turns.rate.AtOnce()
+// FullSpeedLoads returns how many base models have been loaded at full speed at the same time.
+func (turns *Turns) FullSpeedLoads() int {
+	return turns.rate.FullSpeedLoads()
 }
 
-// Trial returns how many loads may start together to find out whether they run at full speed.
-func (turns *Turns) Trial() int {
-	return turns.rate.Trial()
+// TrialLoads returns how many loads may start together to find out whether they run at full speed.
+func (turns *Turns) TrialLoads() int {
+	return turns.rate.TrialLoads()
 }
 
 // Models is the state of the base models of a service's servers.
 type Models struct {
-	Loading  []string     // servers that are loading their base model
-	Holding  []string     // servers that hold it
-	Waiting  []string     // servers that have yet to load it, the next one first
-	AtOnce   int          // loads that the weight store sends at full speed at the same time
-	Trial    int          // loads that may start together to find out whether it sends more
-	LoadTime clock.Millis // of a load at full speed
+	Loading        []string     // servers that are loading their base model
+	Holding        []string     // servers that hold it
+	Waiting        []string     // servers that have yet to load it, the next one first
+	FullSpeedLoads int          // loads that the weight store sends at full speed at the same time
+	TrialLoads     int          // loads that may start together to find out whether it sends more
+	LoadTime       clock.Millis // of a load at full speed
 }
 
-// May reports whether a server may load its base model now.
-func (turns *Turns) May(now clock.Millis, server string, models Models) bool {
-	turns.Note(now, models)
+// MayLoad reports whether a server may load its base model now.
+func (turns *Turns) MayLoad(now clock.Millis, server string, models Models) bool {
+	turns.Update(now, models)
 	if !turns.worthStarting(now, models) {
 		turns.turnSince = 0
 		return false
@@ -78,8 +78,8 @@
 	return position >= 0 && now-turns.turnSince >= clock.Millis(position)*turnTimeout
 }
 
-// Ends returns the expected remaining time of the loads in flight, by server.
-func (turns *Turns) Ends(now clock.Millis) map[string]clock.Millis {
+// RemainingTimes returns the expected remaining time of the loads in flight, by server.
+func (turns *Turns) RemainingTimes(now clock.Millis) map[string]clock.Millis {
 	remaining := make(map[string]clock.Millis, len(turns.ends))
 	for server, endAt := range turns.ends {
 		remaining[server] = endAt - now
@@ -87,10 +87,10 @@
 	return remaining
 }
 
-// Note records loads that have started or ended. It must be called often, as the duration
+// Update records loads that have started or ended. It must be called often, as the duration
 // of a load counts from its start. The load of a server that has left counts until its
 // expected end.
-func (turns *Turns) Note(now clock.Millis, models Models) {
+func (turns *Turns) Update(now clock.Millis, models Models) {
 	turns.observe(now, models)
 	for server, endAt := range turns.ends {
 		loading := slices.Contains(models.Loading, server)
@@ -121,7 +121,7 @@
 
 // loadDuration returns the duration of a load that starts while others are in flight.
 func (models Models) loadDuration(others int) clock.Millis {
-	return models.LoadTime * clock.Millis(max(models.AtOnce, others+1)) / clock.Millis(models.AtOnce)
+	return models.LoadTime * clock.Millis(max(models.FullSpeedLoads, others+1)) / clock.Millis(models.FullSpeedLoads)
 }
 
 // trialShare is the share of a load's duration within which other loads count as started
@@ -142,7 +142,7 @@
 // worthStarting reports whether a load that starts now ends earlier, by minGain at least, than one
 // that waits for the next load in flight to end.
 func (turns *Turns) worthStarting(now clock.Millis, models Models) bool {
-	if len(turns.ends) < models.AtOnce || len(turns.ends) < models.Trial && turns.startedTogether(now, models) {
+	if len(turns.ends) < models.FullSpeedLoads || len(turns.ends) < models.TrialLoads && turns.startedTogether(now, models) {
 		return true
 	}
 	next := clock.Millis(0)
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -7,12 +7,12 @@
 import (
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/throttle"
 )
@@ -42,14 +42,14 @@
 type GroupShare struct {
 	Number int64 // rises by one with each
 	Whole  bool  // else the share holds what has changed since the number before, 0 for what has ended
-	Share  tally.Share
+	Share  inflight.Share
 }
 
 // Owners are the daemons that give orders to servers, by server, and what those have
 // learned of the weight store.
 type Owners struct {
 	By      map[string]string
-	Learned loading.Learned
+	Learned loading.RateEstimate
 }
 
 // Reported is what a server itself says that it holds.
@@ -62,15 +62,15 @@
 // Work is what a daemon has in progress at a server, and what it has sent there since it
 // told last.
 type Work struct {
-	tally.Load
+	inflight.Load
 	Sent int // prompt tokens
 }
 
 // Sums is what all daemons but the receiver have in progress.
 type Sums struct {
-	Whole   bool                 // servers that are not named have no work; else nothing has changed there
-	Servers map[string]tally.Sum // those whose sums have changed
-	Uses    []ServerUses         // at servers that the receiver orders
+	Whole   bool                    // servers that are not named have no work; else nothing has changed there
+	Servers map[string]inflight.Sum // those whose sums have changed
+	Uses    []ServerUses            // at servers that the receiver orders
 }
 
 // ServerUses is how many requests use each adapter of a server.
@@ -85,7 +85,7 @@
 	Name        string
 	Incarnation int64
 	Number      int64
-	Share       tally.Share
+	Share       inflight.Share
 }
 
 // StoreItems are items of the store, as of a revision of one of its eras.
@@ -137,7 +137,7 @@
 type Warnings struct {
 	Quarantine []quarantine.Record
 	Limits     []throttle.ServerLimit
-	Leaving    []fleet.Departure
+	Leaving    []fleet.DrainNotice
 }
 
 // Empty reports whether there is nothing to tell.
--- a/internal/direct/peers/warnings.go
+++ b/internal/direct/peers/warnings.go
@@ -48,7 +48,7 @@
 		wire.Limits = append(wire.Limits, wireLimit{Server: word.Server, Born: word.StartedAt, Number: word.Number, Limited: word.Limited, Rate: word.Rate})
 	}
 	for _, word := range warnings.Leaving {
-		wire.Leaving = append(wire.Leaving, wireLeaving{Server: word.Server, Born: word.Born})
+		wire.Leaving = append(wire.Leaving, wireLeaving{Server: word.Server, Born: word.StartedAt})
 	}
 	return wire
 }
@@ -71,7 +71,7 @@
 		warnings.Limits = append(warnings.Limits, throttle.ServerLimit{Server: each.Server, StartedAt: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
 	}
 	for _, each := range wire.Leaving {
-		warnings.Leaving = append(warnings.Leaving, fleet.Departure{Server: each.Server, Born: each.Born})
+		warnings.Leaving = append(warnings.Leaving, fleet.DrainNotice{Server: each.Server, StartedAt: each.Born})
 	}
 	return warnings
 }
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -9,11 +9,11 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
@@ -284,7 +284,7 @@
 func decodeOwners(wire *wireOwners) *Owners {
 	owners := &Owners{
 		By:      make(map[string]string),
-		Learned: loading.Learned{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
+		Learned: loading.RateEstimate{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
 	}
 	for _, owned := range wire.Owned {
 		for _, server := range owned.Servers {
@@ -312,9 +312,9 @@
 }
 
 func decodeSums(wire *wireSums) *Sums {
-	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]tally.Sum, len(wire.Servers))}
+	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]inflight.Sum, len(wire.Servers))}
 	for _, sum := range wire.Servers {
-		sums.Servers[sum.Server] = tally.Sum{Load: tally.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
+		sums.Servers[sum.Server] = inflight.Sum{Load: inflight.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
 	}
 	for _, uses := range wire.Uses {
 		decoded := ServerUses{Server: uses.Server, Uses: make(map[platformapi.Adapter]int, len(uses.Uses))}
@@ -343,7 +343,7 @@
 		digest.Loads = make(map[string]Work, len(wire.Loads))
 	}
 	for _, work := range wire.Loads {
-		digest.Loads[work.Server] = Work{Load: tally.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
+		digest.Loads[work.Server] = Work{Load: inflight.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
 	}
 	if group := wire.Group; group != nil {
 		digest.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
@@ -381,7 +381,7 @@
 	return list[index]
 }
 
-func encodeShare(share tally.Share) ([]wireLoad, []string) {
+func encodeShare(share inflight.Share) ([]wireLoad, []string) {
 	models := names{}
 	at := make(map[string]int, len(share.Loads))
 	loads := make([]wireLoad, 0, len(share.Loads))
@@ -399,13 +399,13 @@
 	return loads, models.list
 }
 
-func decodeShare(loads []wireLoad, models []string) tally.Share {
-	share := tally.Share{Loads: make(map[string]tally.Load, len(loads)), Uses: make(map[tally.Use]int)}
+func decodeShare(loads []wireLoad, models []string) inflight.Share {
+	share := inflight.Share{Loads: make(map[string]inflight.Load, len(loads)), Uses: make(map[inflight.Use]int)}
 	for _, load := range loads {
-		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
+		share.Loads[load.Server] = inflight.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
 			adapter := platformapi.Adapter{Model: named(models, use.Model), Name: use.Named}
-			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
+			share.Uses[inflight.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
 	return share
