--- a/internal/direct/tenure/promote.go
+++ b/internal/direct/tenure/promote.go
@@ -2,27 +2,28 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Promoted notes that this daemon may claim servers from now on, after a time in which
-// it heard of claims only in part. It claims nothing before orders that it has not heard
-// of are older than the quiet span: the daemon that gave them may run on, unheard.
+// Promoted records that this daemon may claim servers from now on, after a period in
+// which it received only some of the claims of other daemons. It claims nothing for
+// Options.Quiet: a daemon whose claims it did not receive may have sent orders until now.
 func (tenure *Tenure) Promoted(now clock.Millis) {
 	tenure.started = now
-	tenure.leastWait = tenure.options.Quiet
-	clear(tenure.first)
-	for _, known := range tenure.holders {
-		if known.owner != tenure.self {
-			known.orderAt = now
+	tenure.minStartWait = tenure.options.Quiet
+	clear(tenure.firstHeard)
+	for _, state := range tenure.servers {
+		if state.owner != tenure.self {
+			state.lastOrderAt = now
 		}
 	}
 }
 
-// announceLead is the least time between the word that a daemon may claim servers and its
-// first claims: others say the same in an update or less, on a connection that may have
-// to be made anew.
+// announceLead is the minimum time between the announcement that a daemon may claim
+// servers and its first claim. Within it peers answer with their own claims, possibly
+// after a reconnect.
 const announceLead = 400 * clock.Millisecond
 
-// Announced notes that peers are told from now on that this daemon may claim servers. One
-// that found its peers late after its start claims later.
+// Announced records that from now on peers are informed that this daemon may claim
+// servers. It delays the first claim of a daemon that discovered its peers late after
+// its start.
 func (tenure *Tenure) Announced(now clock.Millis) {
 	tenure.started = max(tenure.started, now+announceLead-tenure.options.StartWait)
 }
--- a/internal/direct/tenure/promote_test.go
+++ b/internal/direct/tenure/promote_test.go
@@ -9,11 +9,11 @@
 	"teaselmoor/internal/direct/tenure"
 )
 
-// TestPromotedDaemonWaitsForTheQuietSpan: it has not heard every claim until now, and a
-// daemon that it never heard may have given orders up to then.
-func TestPromotedDaemonWaitsForTheQuietSpan(t *testing.T) {
+// TestPromotedDaemonWaitsForQuiet checks that a promoted daemon claims nothing for Quiet: it
+// did not receive every claim before, so a daemon that it never heard may have sent orders.
+func TestPromotedDaemonWaitsForQuiet(t *testing.T) {
 	now := clock.Millis(1_000_000)
-	daemon, options := begun(&now)
+	daemon, options := startedDaemon(&now)
 	now += 20 * clock.Second
 	daemon.Tick(now)
 	daemon.Promoted(now)
@@ -26,9 +26,9 @@
 	require.NotEmpty(t, daemon.Claim(now, []string{"s1", "s2", "s3", "s4"}))
 }
 
-// TestLateMeeting: a daemon that found others late says that it may claim servers before it
-// does.
-func TestLateMeeting(t *testing.T) {
+// TestLateDiscovery checks that a daemon that discovers its peers late announces that it may
+// claim servers 400 ms before it does.
+func TestLateDiscovery(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := tenure.DefaultOptions(lease, true)
 	daemon := tenure.New(options, "a", now, wallAt(&now))
@@ -46,11 +46,11 @@
 	require.NotEmpty(t, daemon.Claim(now, []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"}))
 }
 
-// TestIdleDaemonIsPassedOver: a free server does not wait for a daemon that keeps what
-// it has and claims no more; what that one has stays its own.
-func TestIdleDaemonIsPassedOver(t *testing.T) {
+// TestIdleDaemonIsNotChosen checks that a daemon that claims no more servers is not chosen
+// for free ones, and keeps those that it owns.
+func TestIdleDaemonIsNotChosen(t *testing.T) {
 	now := clock.Millis(1_000_000)
-	daemon, options := begun(&now)
+	daemon, options := startedDaemon(&now)
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"}
 	idle := tenure.Word{Peer: "b", Interval: 500, Claims: []tenure.Claim{{Server: "s1", Fence: 7}}, Idle: true}
 	for range options.Quiet/100 + 10 {
@@ -67,8 +67,9 @@
 	require.False(t, held)
 }
 
-// TestNamedNoMore: a daemon that starts does not wait for one that nobody names any more.
-func TestNamedNoMore(t *testing.T) {
+// TestOrdererNoLongerReported checks that a starting daemon stops waiting for a daemon that
+// no peer reports as an owner of servers any more.
+func TestOrdererNoLongerReported(t *testing.T) {
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"}
 	now := clock.Millis(1_000_000)
 	options := tenure.DefaultOptions(lease, true)
--- a/internal/direct/tenure/tenure_test.go
+++ b/internal/direct/tenure/tenure_test.go
@@ -16,8 +16,8 @@
 
 func wallAt(now *clock.Millis) clock.Source { return func() clock.Millis { return *now } }
 
-// begun returns a daemon whose wait after its start is over at now.
-func begun(now *clock.Millis) (*tenure.Tenure, tenure.Options) {
+// startedDaemon returns a daemon, and advances now to the end of its StartWait.
+func startedDaemon(now *clock.Millis) (*tenure.Tenure, tenure.Options) {
 	options := tenure.DefaultOptions(lease, true)
 	daemon := tenure.New(options, "a", *now, wallAt(now))
 	*now += options.StartWait
@@ -39,7 +39,7 @@
 		daemon.Tick(now)
 		require.Equal(t, []string{"s"}, daemon.Claim(now, []string{"s"}))
 		_, ok := daemon.MayOrder(now, "s")
-		require.False(t, ok, "peers do not know of the claim yet")
+		require.False(t, ok, "peers have not received the claim yet")
 		now += options.Announce
 		daemon.Tick(now)
 		fence, ok := daemon.MayOrder(now, "s")
@@ -48,9 +48,9 @@
 	}
 }
 
-func TestSilentOwnerIsReplacedAfterTheQuietSpan(t *testing.T) {
+func TestSilentOwnerIsReplacedAfterQuiet(t *testing.T) {
 	now := clock.Millis(1_000_000)
-	daemon, options := begun(&now)
+	daemon, options := startedDaemon(&now)
 	daemon.Heard(now, tenure.Word{Peer: "b", Interval: 500, Claims: []tenure.Claim{{Server: "s", Fence: 7}}})
 	heard := now
 	for now < heard+options.Quiet {
@@ -66,14 +66,14 @@
 
 func TestPausedDaemonDoesNotOrder(t *testing.T) {
 	now := clock.Millis(1_000_000)
-	daemon, _ := begun(&now)
+	daemon, _ := startedDaemon(&now)
 	daemon.Claim(now, []string{"s"})
 	now += 5 * clock.Second
 	_, ok := daemon.MayOrder(now, "s")
 	require.False(t, ok, "before the first tick after the pause")
 	daemon.Tick(now)
 	_, ok = daemon.MayOrder(now, "s")
-	require.False(t, ok, "before peers could tell")
+	require.False(t, ok, "before peers had time to report")
 	daemon.Heard(now, tenure.Word{Peer: "b", Interval: 500, Claims: []tenure.Claim{{Server: "s", Fence: 1 << 60}}})
 	for range 20 {
 		now += 100
@@ -84,9 +84,9 @@
 	require.False(t, ok, "b has taken over")
 }
 
-func TestFencedDaemonGivesUp(t *testing.T) {
+func TestFencedDaemonGivesUpClaim(t *testing.T) {
 	now := clock.Millis(1_000_000)
-	daemon, options := begun(&now)
+	daemon, options := startedDaemon(&now)
 	daemon.Claim(now, []string{"s"})
 	before, _ := daemon.Holds("s")
 	daemon.Fenced(now, "s")
@@ -102,9 +102,9 @@
 	require.Greater(t, after, before+10_000)
 }
 
-// TestLeavingDaemonIsPassedOver: a free server does not wait for a daemon that
-// claims nothing any more.
-func TestLeavingDaemonIsPassedOver(t *testing.T) {
+// TestLeavingDaemonIsNotChosen checks that a daemon that no longer claims servers is not
+// chosen for free ones.
+func TestLeavingDaemonIsNotChosen(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := tenure.DefaultOptions(lease, true)
 	daemon := tenure.New(options, "a", now, wallAt(&now))
@@ -126,8 +126,9 @@
 	}
 }
 
-// TestGoneServersAreForgotten, but not while an order may be on its way.
-func TestGoneServersAreForgotten(t *testing.T) {
+// TestPrune checks that the state of removed servers is dropped, but not while an order may
+// be in transit.
+func TestPrune(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	daemon := tenure.New(tenure.DefaultOptions(lease, true), "a", now, wallAt(&now))
 	daemon.Heard(now, tenure.Word{Peer: "b", Interval: 500, Claims: []tenure.Claim{{Server: "s", Fence: 7}}})
@@ -140,28 +141,28 @@
 	require.Empty(t, owner)
 }
 
-// member is a daemon of a drawn history.
+// member is a daemon of a random run.
 type member struct {
 	*tenure.Tenure
 	name    string
-	asleep  clock.Millis // until
+	asleep  clock.Millis // suspended until then
 	stopped bool
 }
 
-// TestNoTurnsWithinTheLease draws kills, starts and pauses of daemons that hear
-// each other. Every daemon orders whenever it may. Two daemons that have both run
-// for a lease never order one server within a lease of each other, and no two use
-// one number.
-func TestNoTurnsWithinTheLease(t *testing.T) {
+// TestNoTwoOrderersWithinLease draws random kills, starts and pauses of daemons that are
+// connected with each other. Every daemon sends orders whenever it may. Two daemons that
+// have both run undisturbed for a lease must never send orders to the same server within a
+// lease of each other, and no two daemons may use the same fencing number.
+func TestNoTwoOrderersWithinLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := clock.Millis(1_000_000)
 		options := tenure.DefaultOptions(lease, rapid.Bool().Draw(t, "fenced"))
 		servers := []string{"s1", "s2", "s3"}
 		daemons := make([]*member, rapid.IntRange(2, 5).Draw(t, "daemons"))
-		began := make([]clock.Millis, len(daemons)) // undisturbed since
+		undisturbedSince := make([]clock.Millis, len(daemons))
 		for i := range daemons {
 			daemons[i] = &member{Tenure: tenure.New(options, fmt.Sprint(i), now, wallAt(&now)), name: fmt.Sprint(i)}
-			began[i] = now
+			undisturbedSince[i] = now
 		}
 		type order struct {
 			daemon int
@@ -169,10 +170,10 @@
 			steady bool // the daemon had run undisturbed for a lease
 		}
 		last := make(map[string]order)
-		numbers := make(map[int64]int)
-		var history []string
+		daemonByFence := make(map[int64]int)
+		var events []string
 		note := func(format string, arguments ...any) {
-			history = append(history, fmt.Sprintf("%d ", now-1_000_000)+fmt.Sprintf(format, arguments...))
+			events = append(events, fmt.Sprintf("%d ", now-1_000_000)+fmt.Sprintf(format, arguments...))
 		}
 		for step := range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now += 100
@@ -195,16 +196,16 @@
 			}
 			for at, daemon := range daemons {
 				if daemon.stopped || now < daemon.asleep {
-					began[at] = now
+					undisturbedSince[at] = now
 					continue
 				}
 				daemon.Tick(now)
 				if step%3 == 0 {
-					tell(now, daemon, daemons)
+					sendHeartbeat(now, daemon, daemons)
 				}
 				if taken := daemon.Claim(now, servers); len(taken) > 0 {
 					note("%d claims %v", at, taken)
-					tell(now, daemon, daemons)
+					sendHeartbeat(now, daemon, daemons)
 				}
 				for _, server := range servers {
 					fence, ok := daemon.MayOrder(now, server)
@@ -212,14 +213,14 @@
 						continue
 					}
 					daemon.Ordered(now, server)
-					former, known := numbers[fence]
-					require.True(t, !known || former == at, "one number of two daemons")
-					numbers[fence] = at
+					former, used := daemonByFence[fence]
+					require.True(t, !used || former == at, "fencing number used by two daemons")
+					daemonByFence[fence] = at
 					before, ordered := last[server]
-					steady := now-began[at] >= lease
+					steady := now-undisturbedSince[at] >= lease
 					if ordered && before.daemon != at && steady && before.steady {
 						require.GreaterOrEqual(t, now-before.at, lease, "daemons %d and %d order %s\n%s", before.daemon, at, server,
-							strings.Join(history[max(0, len(history)-20):], "\n"))
+							strings.Join(events[max(0, len(events)-20):], "\n"))
 					}
 					last[server] = order{daemon: at, at: now, steady: steady}
 				}
@@ -228,7 +229,7 @@
 	})
 }
 
-func tell(now clock.Millis, from *member, all []*member) {
+func sendHeartbeat(now clock.Millis, from *member, all []*member) {
 	var names []string
 	for _, daemon := range all {
 		names = append(names, daemon.name)
@@ -240,8 +241,9 @@
 	}
 }
 
-// TestSomeStartTogether: daemons that restart together hear each other before they hear
-// those that have run on and give orders; they claim nothing until those had time to tell.
+// TestSomeStartTogether checks that daemons that restart together, and so hear each other
+// before the daemons that kept running and own servers, claim nothing until those had time
+// to send their claims.
 func TestSomeStartTogether(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := tenure.DefaultOptions(lease, true)
