--- a/internal/direct/mirror/mirror_test.go
+++ b/internal/direct/mirror/mirror_test.go
@@ -11,7 +11,7 @@
 	"teaselmoor/internal/direct/port"
 )
 
-// scriptedStore answers each call with the next page of a script; then it ends the mirror.
+// scriptedStore answers each call with the next scripted page, and then stops the mirror.
 type scriptedStore struct {
 	pages []port.Page
 	calls []string
@@ -37,23 +37,23 @@
 	return store.next("watch")
 }
 
-// recorder notes what a mirror tells.
+// recorder records what a mirror reads.
 type recorder struct {
-	known          mirror.Known
+	position       mirror.Known
 	whole, changed []port.Page
 }
 
 func (recorder *recorder) Whole(page port.Page) { recorder.whole = append(recorder.whole, page) }
 
 func (recorder *recorder) Changed(page port.Page)     { recorder.changed = append(recorder.changed, page) }
-func (recorder *recorder) Turn() (bool, mirror.Known) { return true, recorder.known }
+func (recorder *recorder) Turn() (bool, mirror.Known) { return true, recorder.position }
 func (recorder *recorder) Contact(error)              {}
 
-// play has a mirror read a script from a state that is known.
-func play(t *testing.T, known mirror.Known, pages ...port.Page) (*scriptedStore, *recorder) {
+// play runs a mirror that starts at a position on scripted pages.
+func play(t *testing.T, position mirror.Known, pages ...port.Page) (*scriptedStore, *recorder) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	store, sink := &scriptedStore{pages: pages, end: cancel}, &recorder{known: known}
+	store, sink := &scriptedStore{pages: pages, end: cancel}, &recorder{position: position}
 	options := mirror.DefaultOptions()
 	options.Pause, options.FirstBackoff, options.MostBackoff = 1, 2, 2
 	require.NoError(t, mirror.New(options, store, "", sink).Run(ctx))
@@ -68,9 +68,10 @@
 	return listed
 }
 
-// TestStoreOfAnotherEraIsReadAnew: a watch from a revision that has been given out again is
-// answered as if nothing were missing.
-func TestStoreOfAnotherEraIsReadAnew(t *testing.T) {
+// TestNewEraIsReadInFull checks that a mirror reads all items again after the era has changed.
+// A restored store assigns the same revisions again, so it answers a watch from an old
+// revision as if no change were missing.
+func TestNewEraIsReadInFull(t *testing.T) {
 	later := port.Page{Items: items("c"), AsOf: 12, Era: 2}
 	whole := port.Page{Items: items("a", "b", "c"), AsOf: 13, Era: 2}
 	store, sink := play(t, mirror.Known{Era: 1, Revision: 10}, later, whole, port.Page{AsOf: 13, Era: 2})
@@ -79,8 +80,8 @@
 	require.Equal(t, []port.Page{whole}, sink.whole)
 }
 
-// TestStoreIsRestoredBetweenTwoPages: pages of two eras make no list.
-func TestStoreIsRestoredBetweenTwoPages(t *testing.T) {
+// TestRestoreBetweenTwoPages checks that pages of two eras are not combined.
+func TestRestoreBetweenTwoPages(t *testing.T) {
 	first := port.Page{Items: items("a"), AsOf: 20, Era: 1, More: true}
 	second := port.Page{Items: items("b"), AsOf: 15, Era: 2}
 	whole := port.Page{Items: items("a", "b"), AsOf: 15, Era: 2}
@@ -89,8 +90,8 @@
 	require.Equal(t, []port.Page{whole}, sink.whole)
 }
 
-// TestPagesMakeAList: the revision is that of the first page.
-func TestPagesMakeAList(t *testing.T) {
+// TestPagesAreCombined checks that pages are combined under the revision of the first one.
+func TestPagesAreCombined(t *testing.T) {
 	first := port.Page{Items: items("a"), AsOf: 20, Era: 1, More: true}
 	second := port.Page{Items: items("b"), AsOf: 22, Era: 1}
 	_, sink := play(t, mirror.Known{}, first, second)
--- a/internal/direct/mirror/turn_test.go
+++ b/internal/direct/mirror/turn_test.go
@@ -18,21 +18,22 @@
 		reads bool
 	}{
 		{"a reader", mirror.Turn{Reader: true}, true},
-		{"a start", mirror.Turn{Hub: true}, true},
-		{"covered", mirror.Turn{Knows: true, Hub: true, Covered: 300}, false},
-		{"the reader is cut off", mirror.Turn{Knows: true, Hub: true, Covered: late}, true},
-		{"the reader falls silent", mirror.Turn{Knows: true, Hub: true, Covered: 300, Unheard: options.UnheardLimit + 1}, true},
-		{"the store is down for both", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: 500}, false},
-		{"the same, some time later", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: options.CoveredRetry}, true},
-		{"no reader is heard", mirror.Turn{Knows: true, Covered: late, Lost: true, Tried: 500}, true},
+		{"started without data", mirror.Turn{Hub: true}, true},
+		{"hub reads the store", mirror.Turn{Knows: true, Hub: true, Covered: 300}, false},
+		{"store does not answer the hub", mirror.Turn{Knows: true, Hub: true, Covered: late}, true},
+		{"hub is silent", mirror.Turn{Knows: true, Hub: true, Covered: 300, Unheard: options.UnheardLimit + 1}, true},
+		{"store does not answer either", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: 500}, false},
+		{"store does not answer either, after the retry interval", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: options.CoveredRetry}, true},
+		{"no hub", mirror.Turn{Knows: true, Covered: late, Lost: true, Tried: 500}, true},
 	} {
 		require.Equal(t, each.reads, options.ReadsNow(each.turn), each.name)
 	}
 }
 
-// TestStoreIsDownForAll: in an outage the daemons of a data centre together call the store
-// little more often than those that read for them.
-func TestStoreIsDownForAll(t *testing.T) {
+// TestStoreOutage checks that in an outage of the store each member calls it at most once per
+// CoveredRetry, so that all members of a data centre together add few calls to those of the
+// hubs.
+func TestStoreOutage(t *testing.T) {
 	const members, outage = 32, 14 * clock.Second
 	options := mirror.DefaultOptions()
 	calls := 0
