--- a/internal/direct/peers/mesh.go
+++ b/internal/direct/peers/mesh.go
@@ -16,27 +16,28 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// Path is where daemons accept the connections of their peers.
+// Path is the HTTP path at which daemons accept connections of their peers.
 const Path = "/peer"
 
-// Options are the limits of connections between daemons.
+// Options holds the limits of connections between daemons.
 type Options struct {
-	DialTimeout  clock.Millis // a VM that has no power does not answer at all
+	DialTimeout  clock.Millis // a VM without power does not answer at all
 	WriteTimeout clock.Millis
-	Ping         clock.Millis // between two pings at first; SetPing changes it
-	Redial       clock.Millis // between two tries to connect
-	// Daemons that start together, as after a loss of all VMs, call seeds that have no
-	// power yet: a call that gets no answer is given up after QuickDial, and made again
-	// after QuickRedial, for QuickSpan from when the daemon became known. With the usual times
-	// daemons heard the first other one 0.8 s after they had started.
+	Ping         clock.Millis // initial interval between pings; SetPing changes it
+	Redial       clock.Millis // interval between attempts to connect
+	// Daemons that start together, for example after a loss of all VMs, dial seeds that
+	// have no power yet. For QuickSpan after a daemon became known, an attempt to connect
+	// to it times out after QuickDial and is repeated after QuickRedial. With DialTimeout
+	// and Redial, daemons received the first report of another one only 0.8 s after their
+	// start.
 	QuickDial, QuickRedial, QuickSpan clock.Millis
-	GiveUp                            clock.Millis // after which a daemon that cannot be reached is forgotten, unless it is a seed
-	QueueLength                       int          // messages waiting for one peer; beyond it the connection is given up
-	BufferBytes                       int          // of a connection, for reading and writing each
-	MessageBytes                      int64        // most bytes of one message
+	GiveUp                            clock.Millis // time after which an unreachable daemon is forgotten, unless it is a seed
+	QueueLength                       int          // maximum number of messages queued for a peer; beyond it the connection is closed
+	BufferBytes                       int          // size of the read buffer and of the write buffer of a connection
+	MessageBytes                      int64        // maximum size of a message
 }
 
-// DefaultOptions returns limits for daemons a few milliseconds apart.
+// DefaultOptions returns options for daemons with round-trip times of a few milliseconds.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout: 500, WriteTimeout: 500, Ping: 500, Redial: 300, GiveUp: clock.Minute,
@@ -45,36 +46,38 @@
 	}
 }
 
-// Handler takes what peers say. It must be quick.
+// Handler receives the messages and connection events of peers. Its methods must return
+// quickly.
 type Handler interface {
-	// Received takes a message; it comes from the daemon that Update named last
-	// on the same connection.
+	// Received handles a message. Its sender is the daemon named by the last Update on the
+	// same connection.
 	Received(from string, message Message)
-	// Connected tells that what is sent to a peer arrives at a new connection.
+	// Connected reports that a new connection to a peer is open, over which nothing has been
+	// sent yet.
 	Connected(peer string)
-	// Refused tells that a connection was ended for a message that is not understood.
+	// Refused reports that a connection was closed because of an invalid message.
 	Refused(from string, err error)
 }
 
-// Mesh holds the connections to all peers.
+// Mesh holds the connections to all peers, in small and large sites.
 type Mesh struct {
 	options Options
 	self    string
 	handler Handler
 	group   *task.Group
-	ping    atomic.Int64 // milliseconds between two pings, which show connections that went silent
+	ping    atomic.Int64 // ping interval in milliseconds; pings detect dead connections
 	mutex   sync.Mutex   // guards peers
 	peers   map[string]*peer
 }
 
-// silentPings is how many pings may stay without an answer before a connection
-// is given up; pongMargin is left for the last answer.
+// maxUnansweredPings is the number of unanswered pings after which a connection is closed;
+// pongMargin is additional time for the last pong to arrive.
 const (
-	silentPings = 2
-	pongMargin  = 200 * time.Millisecond
+	maxUnansweredPings = 2
+	pongMargin         = 200 * time.Millisecond
 )
 
-// SetPing sets the time between two pings on each connection.
+// SetPing sets the interval between pings on each connection.
 func (mesh *Mesh) SetPing(interval clock.Millis) {
 	mesh.ping.Store(int64(interval))
 }
@@ -83,11 +86,12 @@
 	return clock.Millis(mesh.ping.Load()).Duration()
 }
 
+// peer is a daemon that a connection is kept or attempted to.
 type peer struct {
-	member topology.Daemon
-	stop   context.CancelFunc // ends the goroutine that keeps the connection
-	queue  chan []byte        // nil while not connected
-	broken context.CancelFunc // ends the connection
+	daemon          topology.Daemon
+	stop            context.CancelFunc // stops the goroutine that maintains the connection
+	queue           chan []byte        // nil while not connected
+	closeConnection context.CancelFunc // closes the current connection; nil while not connected
 }
 
 // New returns a mesh whose goroutines belong to group.
@@ -97,71 +101,72 @@
 	return mesh
 }
 
-// Learn starts to keep a connection to a daemon, unless there is one. A daemon that is
-// known by its address only is a seed, which is never forgotten; others are known
-// again as soon as a peer names them.
-func (mesh *Mesh) Learn(member topology.Daemon) {
+// Learn starts to maintain a connection to a daemon, unless it is known already. A daemon
+// without a name is a seed, which is never forgotten. Others are forgotten when they cannot
+// be reached for Options.GiveUp, and become known again when a peer names them.
+func (mesh *Mesh) Learn(daemon topology.Daemon) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	if _, known := mesh.peers[member.Address]; known || member.Name == mesh.self {
+	if _, known := mesh.peers[daemon.Address]; known || daemon.Name == mesh.self {
 		return
 	}
 	stopped, stop := context.WithCancel(mesh.group.Context())
-	added := &peer{member: member, stop: stop}
-	mesh.peers[member.Address] = added
-	mesh.group.Go("peer "+member.Address, func(context.Context) error {
+	added := &peer{daemon: daemon, stop: stop}
+	mesh.peers[daemon.Address] = added
+	mesh.group.Go("peer "+daemon.Address, func(context.Context) error {
 		defer stop()
-		return mesh.keep(stopped, added)
+		return mesh.maintain(stopped, added)
 	})
 }
 
-// Retain keeps a connection to each of some daemons, and ends those to others.
-func (mesh *Mesh) Retain(members []topology.Daemon) {
-	kept := make(map[string]bool, len(members))
-	for _, member := range members {
-		kept[member.Address] = true
-		mesh.Learn(member)
+// Retain maintains connections to the given daemons only, and closes all others.
+func (mesh *Mesh) Retain(daemons []topology.Daemon) {
+	kept := make(map[string]bool, len(daemons))
+	for _, daemon := range daemons {
+		kept[daemon.Address] = true
+		mesh.Learn(daemon)
 	}
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	for address, known := range mesh.peers {
+	for address, peer := range mesh.peers {
 		if !kept[address] {
-			known.stop()
+			peer.stop()
 			delete(mesh.peers, address)
 		}
 	}
 }
 
-// Known returns how many daemons connections are kept or tried to.
+// Known returns the number of daemons that connections are maintained or attempted to.
 func (mesh *Mesh) Known() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return len(mesh.peers)
 }
 
-func (mesh *Mesh) forget(gone *peer) {
+// remove drops a peer, unless another one has replaced it under the same address.
+func (mesh *Mesh) remove(gone *peer) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	if mesh.peers[gone.member.Address] == gone {
-		delete(mesh.peers, gone.member.Address)
+	if mesh.peers[gone.daemon.Address] == gone {
+		delete(mesh.peers, gone.daemon.Address)
 	}
 }
 
-// Addresses returns the addresses that there is a connection to.
+// Addresses returns the addresses of the connected peers.
 func (mesh *Mesh) Addresses() []string {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	var addresses []string
-	for address, known := range mesh.peers {
-		if known.queue != nil {
+	for address, peer := range mesh.peers {
+		if peer.queue != nil {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-// Send queues a message for the daemon at an address. It reports false when
-// there is no connection; a message may also be lost with its connection.
+// Send queues a message for the daemon at an address. It reports false if there is no
+// connection. A queued message may still be lost with its connection.
 func (mesh *Mesh) Send(address string, message Message) (bool, error) {
 	encoded, err := Encode(message)
 	if err != nil {
@@ -170,25 +175,27 @@
 	return mesh.SendEncoded(address, encoded), nil
 }
 
-// SendEncoded is Send for a message that was encoded before.
+// SendEncoded is like Send, for a message that is already encoded. If the queue is full, it
+// closes the connection and reports false.
 func (mesh *Mesh) SendEncoded(address string, encoded []byte) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	known, ok := mesh.peers[address]
-	if !ok || known.queue == nil {
+	peer, ok := mesh.peers[address]
+	if !ok || peer.queue == nil {
 		return false
 	}
 	select {
-	case known.queue <- encoded:
+	case peer.queue <- encoded:
 		return true
 	default:
-		known.broken() // what was not told must be told anew
+		peer.closeConnection() // the state is sent again over the next connection
 		return false
 	}
 }
 
-// keep connects again and again, until the peer could not be reached for long.
-func (mesh *Mesh) keep(ctx context.Context, to *peer) error {
+// maintain reconnects to a peer until the context is cancelled or, unless the peer is a seed,
+// it could not be reached for Options.GiveUp.
+func (mesh *Mesh) maintain(ctx context.Context, to *peer) error {
 	knownAt := time.Now()
 	reachedAt := knownAt
 	for ctx.Err() == nil {
@@ -199,8 +206,8 @@
 		if mesh.connect(ctx, to, dial) {
 			reachedAt = time.Now()
 		}
-		if to.member.Name != "" && time.Since(reachedAt) >= mesh.options.GiveUp.Duration() {
-			mesh.forget(to)
+		if to.daemon.Name != "" && time.Since(reachedAt) >= mesh.options.GiveUp.Duration() {
+			mesh.remove(to)
 			return nil
 		}
 		select {
@@ -211,15 +218,16 @@
 	return nil
 }
 
-// connect runs one connection until it breaks, and reports whether there was one.
-// Errors need no line: the peer's silence is logged where it changes a belief.
+// connect opens a connection, uses it until it fails, and reports whether it was opened.
+// Errors are not logged here: a silent peer is logged where it changes the state of the
+// daemon.
 func (mesh *Mesh) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
 	dialer := websocket.Dialer{
 		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
 		ReadBufferSize:   mesh.options.BufferBytes, WriteBufferSize: mesh.options.BufferBytes,
 		NetDialContext: (&net.Dialer{Timeout: dial.Duration()}).DialContext,
 	}
-	conn, response, err := dialer.DialContext(ctx, "ws://"+to.member.Address+Path, nil)
+	conn, response, err := dialer.DialContext(ctx, "ws://"+to.daemon.Address+Path, nil)
 	if err != nil {
 		return false
 	}
@@ -229,27 +237,29 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	queue := make(chan []byte, mesh.options.QueueLength)
-	mesh.attach(to, queue, cancel)
-	defer mesh.attach(to, nil, nil)
-	mesh.group.Go("pongs "+to.member.Address, func(context.Context) error { return mesh.pongs(conn, cancel) })
-	mesh.handler.Connected(to.member.Address)
+	mesh.setQueue(to, queue, cancel)
+	defer mesh.setQueue(to, nil, nil)
+	mesh.group.Go("pongs "+to.daemon.Address, func(context.Context) error { return mesh.readPongs(conn, cancel) })
+	mesh.handler.Connected(to.daemon.Address)
 	mesh.write(ctx, conn, queue)
 	_ = conn.Close()
 	return true
 }
 
-func (mesh *Mesh) attach(to *peer, queue chan []byte, broken context.CancelFunc) {
+// setQueue sets the queue of a peer and the function that closes its connection; both are nil
+// while it is not connected.
+func (mesh *Mesh) setQueue(to *peer, queue chan []byte, closeConnection context.CancelFunc) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	to.queue = queue
-	to.broken = broken
+	to.closeConnection = closeConnection
 }
 
-// pongs reads until the connection breaks or falls silent.
-func (mesh *Mesh) pongs(conn *websocket.Conn, broken context.CancelFunc) error {
-	defer broken()
+// readPongs reads pongs until the connection fails or pongs are overdue.
+func (mesh *Mesh) readPongs(conn *websocket.Conn, closeConnection context.CancelFunc) error {
+	defer closeConnection()
 	alive := func(string) error {
-		return conn.SetReadDeadline(time.Now().Add(silentPings*mesh.pingInterval() + pongMargin))
+		return conn.SetReadDeadline(time.Now().Add(maxUnansweredPings*mesh.pingInterval() + pongMargin))
 	}
 	conn.SetPongHandler(alive)
 	if err := alive(""); err != nil {
@@ -262,6 +272,7 @@
 	}
 }
 
+// write sends pings and queued messages until the connection fails or is closed.
 func (mesh *Mesh) write(ctx context.Context, conn *websocket.Conn, queue chan []byte) {
 	ping := time.NewTimer(mesh.pingInterval())
 	defer ping.Stop()
@@ -286,10 +297,10 @@
 	}
 }
 
-// errMessage is a message that cannot be understood.
-var errMessage = errors.New("message refused")
+// errInvalidMessage is the cause of a connection closed for a message that cannot be decoded.
+var errInvalidMessage = errors.New("message refused")
 
-// ServeHTTP accepts the connection of a peer and reads from it.
+// ServeHTTP accepts a connection of a peer and reads messages from it until it fails.
 func (mesh *Mesh) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	upgrader := websocket.Upgrader{
 		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
@@ -297,17 +308,19 @@
 	}
 	conn, err := upgrader.Upgrade(writer, request, nil)
 	if err != nil {
-		return // the upgrader has answered
+		return // the upgrader has sent the error response
 	}
 	stop := context.AfterFunc(mesh.group.Context(), func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
 	conn.SetReadLimit(mesh.options.MessageBytes)
-	if err := mesh.read(conn); errors.Is(err, errMessage) {
+	if err := mesh.read(conn); errors.Is(err, errInvalidMessage) {
 		mesh.handler.Refused(request.RemoteAddr, err)
-	} // a broken connection is made anew by the peer
+	} // after other errors, the peer reconnects
 }
 
+// read passes the messages of a connection to the handler, once an Update has named its
+// sender.
 func (mesh *Mesh) read(conn *websocket.Conn) error {
 	from := ""
 	for {
@@ -317,7 +330,7 @@
 		}
 		message, err := Decode(encoded)
 		if err != nil {
-			return errors.Wrap(errMessage, err.Error())
+			return errors.Wrap(errInvalidMessage, err.Error())
 		}
 		if message.Update != nil {
 			from = message.Update.Name
--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -19,6 +19,7 @@
 	"teaselmoor/internal/direct/topology"
 )
 
+// messages returns example messages of every kind.
 func messages() []peers.Message {
 	adapter := port.Adapter{Model: "m", Name: "a"}
 	return []peers.Message{
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestMessagesArriveAsSent(t *testing.T) {
+func TestEncodeAndDecode(t *testing.T) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
 		require.NoError(t, err)
@@ -88,7 +89,7 @@
 	}
 }
 
-// FuzzDecode: whatever arrives is a message or an error.
+// FuzzDecode checks that any bytes are decoded to a message that can be encoded, or to an error.
 func FuzzDecode(f *testing.F) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -18,9 +18,9 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// The wire types are arrays, so that names of fields cost no bytes, and name each
-// server and model once. Fields are added at the end only: old and new daemons
-// meet during a replacement.
+// The wire types within wireMessage are encoded as arrays, so that field names take no space,
+// and contain each server and model name only once. New fields may be added only at the end, as daemons of two versions
+// are connected with each other during an upgrade.
 type (
 	wireMessage struct {
 		Update *wireUpdate `cbor:",omitempty"`
@@ -28,10 +28,10 @@
 		Want   *wireWant   `cbor:",omitempty"`
 		Pull   *Pull       `cbor:",omitempty"`
 		Items  *StoreItems `cbor:",omitempty"`
-		// Era is that of an update's revision. It stands outside of the update, an array
-		// whose length daemons of other versions know.
+		// Era is the era of the update's revision. It is not part of wireUpdate because
+		// daemons of other versions expect that array to have a fixed length.
 		Era int64 `cbor:",omitempty"`
-		// Warnings are passed over by daemons that do not know of them.
+		// Warnings is ignored by daemons that do not support it.
 		Warnings *wireWarnings `cbor:",omitempty"`
 	}
 	wireUpdate struct {
@@ -60,7 +60,7 @@
 		Tables   []wireTable
 		Store    *StoreNews
 		Sums     *wireSums
-		Loads    []wireWork
+		Loads    []wireServerLoad
 		Group    *wireGroup
 		Owners   *wireOwners
 		Reported []wireReported
@@ -76,7 +76,7 @@
 	wireReading struct {
 		_                     struct{} `cbor:",toarray"`
 		Account               string
-		Number, Total, Recent int64 // units are whole
+		Number, Total, Recent int64 // units, rounded to integers
 	}
 	wireGroup struct {
 		_      struct{} `cbor:",toarray"`
@@ -101,7 +101,7 @@
 		Born     int64
 		Holdings []port.Holding
 	}
-	wireWork struct {
+	wireServerLoad struct {
 		_                   struct{} `cbor:",toarray"`
 		Server              string
 		Runs, Reading, Sent int
@@ -109,11 +109,11 @@
 	wireSums struct {
 		_       struct{} `cbor:",toarray"`
 		Whole   bool
-		Servers []wireSum
+		Servers []wireServerSum
 		Models  []string
 		Uses    []wireServerUses
 	}
-	wireSum struct {
+	wireServerSum struct {
 		_                       struct{} `cbor:",toarray"`
 		Server                  string
 		Runs, Reading, Adapters int
@@ -138,7 +138,7 @@
 	}
 	wireUse struct {
 		_     struct{} `cbor:",toarray"`
-		Model int      // index in the update's models
+		Model int      // index in the models of the message
 		Named string
 		Count int
 	}
@@ -151,13 +151,13 @@
 		_                   struct{} `cbor:",toarray"`
 		Server              string
 		Born, Fence, Number int64
-		Held                int // the first of Models that the server holds; the rest are named by slots only
+		Held                int // the number of Models, from the first, that the server holds; slots refer to the others
 		Models              []string
 		Slots               []wireSlot
 	}
 	wireSlot struct {
 		_              struct{} `cbor:",toarray"`
-		Model          int      // index in the table's models
+		Model          int      // index in the models of the table
 		Named          string
 		Version        int
 		Coming, Queued bool
@@ -171,7 +171,7 @@
 	}
 )
 
-// Encode returns the bytes of a message.
+// Encode encodes a message.
 func Encode(message Message) ([]byte, error) {
 	wire := wireMessage{Pull: message.Pull, Items: message.Items, Warnings: encodeWarnings(message.Warnings)}
 	if message.Update != nil {
@@ -227,7 +227,7 @@
 		wire.Sums = encodeSums(digest.Sums)
 	}
 	for server, load := range digest.Loads {
-		wire.Loads = append(wire.Loads, wireWork{Server: server, Runs: load.Runs, Reading: load.Reading, Sent: load.Sent})
+		wire.Loads = append(wire.Loads, wireServerLoad{Server: server, Runs: load.Runs, Reading: load.Reading, Sent: load.Sent})
 	}
 	if group := digest.Group; group != nil {
 		wire.Group = &wireGroup{Number: group.Number, Whole: group.Whole}
@@ -297,9 +297,9 @@
 func encodeSums(sums *Sums) *wireSums {
 	wire := &wireSums{Whole: sums.Whole}
 	for server, sum := range sums.Servers {
-		wire.Servers = append(wire.Servers, wireSum{Server: server, Runs: sum.Runs, Reading: sum.Reading, Adapters: sum.Adapters})
+		wire.Servers = append(wire.Servers, wireServerSum{Server: server, Runs: sum.Runs, Reading: sum.Reading, Adapters: sum.Adapters})
 	}
-	models := names{}
+	models := stringTable{}
 	for _, uses := range sums.Uses {
 		encoded := wireServerUses{Server: uses.Server}
 		for adapter, count := range uses.Uses {
@@ -319,7 +319,7 @@
 	for _, uses := range wire.Uses {
 		decoded := ServerUses{Server: uses.Server, Uses: make(map[port.Adapter]int, len(uses.Uses))}
 		for _, use := range uses.Uses {
-			decoded.Uses[port.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
+			decoded.Uses[port.Adapter{Model: nameAt(wire.Models, use.Model), Name: use.Named}] = use.Count
 		}
 		sums.Uses = append(sums.Uses, decoded)
 	}
@@ -360,21 +360,21 @@
 	return digest
 }
 
-// names gives each name a number.
-type names struct {
+// stringTable assigns an index to each distinct name.
+type stringTable struct {
 	list []string
 }
 
-func (names *names) index(name string) int {
-	if at := slices.Index(names.list, name); at >= 0 {
+func (stringTable *stringTable) index(name string) int {
+	if at := slices.Index(stringTable.list, name); at >= 0 {
 		return at
 	}
-	names.list = append(names.list, name)
-	return len(names.list) - 1
+	stringTable.list = append(stringTable.list, name)
+	return len(stringTable.list) - 1
 }
 
-// named returns the name of a number, or none for a number that was not given.
-func named(list []string, index int) string {
+// nameAt returns the name with an index, or "" if the index is out of range.
+func nameAt(list []string, index int) string {
 	if index < 0 || index >= len(list) {
 		return ""
 	}
@@ -382,7 +382,7 @@
 }
 
 func encodeShare(share tally.Share) ([]wireLoad, []string) {
-	models := names{}
+	models := stringTable{}
 	at := make(map[string]int, len(share.Loads))
 	loads := make([]wireLoad, 0, len(share.Loads))
 	for server, load := range share.Loads {
@@ -392,7 +392,7 @@
 	for use, count := range share.Uses {
 		index, ok := at[use.Server]
 		if !ok {
-			continue // a use without work: no share has one
+			continue // a use at a server without load; shares contain none
 		}
 		loads[index].Uses = append(loads[index].Uses, wireUse{Model: models.index(use.Adapter.Model), Named: use.Adapter.Name, Count: count})
 	}
@@ -404,7 +404,7 @@
 	for _, load := range loads {
 		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
-			adapter := port.Adapter{Model: named(models, use.Model), Name: use.Named}
+			adapter := port.Adapter{Model: nameAt(models, use.Model), Name: use.Named}
 			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
@@ -412,7 +412,7 @@
 }
 
 func encodeTable(table fleet.Table) wireTable {
-	models := names{list: slices.Clone(table.Models)}
+	models := stringTable{list: slices.Clone(table.Models)}
 	wire := wireTable{Server: table.Server, Born: table.Born, Fence: table.Fence, Number: table.Number, Held: len(table.Models)}
 	for _, slot := range table.Slots {
 		wire.Slots = append(wire.Slots, wireSlot{
@@ -424,7 +424,7 @@
 	return wire
 }
 
-// Decode reads the bytes of a message.
+// Decode decodes a message.
 func Decode(encoded []byte) (Message, error) {
 	var wire wireMessage
 	if err := cbor.Unmarshal(encoded, &wire); err != nil {
@@ -475,7 +475,7 @@
 	held := min(max(wire.Held, 0), len(wire.Models))
 	table := fleet.Table{Server: wire.Server, Born: wire.Born, Fence: wire.Fence, Number: wire.Number, Models: wire.Models[:held]}
 	for _, slot := range wire.Slots {
-		adapter := port.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
+		adapter := port.Adapter{Model: nameAt(wire.Models, slot.Model), Name: slot.Named}
 		table.Slots = append(table.Slots, fleet.Slot{Adapter: adapter, Version: slot.Version, Coming: slot.Coming, Queued: slot.Queued})
 	}
 	return table
