--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -435,8 +435,8 @@
 
 // SetRole applies the role of the plan. The parameter orders reports whether this daemon
 // sends orders to any server: if so, a former candidate becomes Retired and keeps its
-// servers, so that the start of another daemon moves no server to a new owner. SetRole
-// reports whether the role has changed, and whether a member has become a candidate, which
+// servers, so that the start of another daemon moves no server to a new owner. The results
+// report whether the role has changed, and whether a member has become a candidate, which
 // until then received only some of the claims.
 func (membership *Membership) SetRole(now clock.Millis, orders bool) (changed, promoted bool) {
 	before := membership.role
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -23,11 +23,11 @@
 // are connected with each other during an upgrade.
 type (
 	wireMessage struct {
-		Update *wireUpdate `cbor:",omitempty"`
-		Digest *wireDigest `cbor:",omitempty"`
-		Want   *wireWant   `cbor:",omitempty"`
-		Pull   *Pull       `cbor:",omitempty"`
-		Items  *StoreItems `cbor:",omitempty"`
+		Update *wireUpdate         `cbor:",omitempty"`
+		Digest *wireDelta          `cbor:",omitempty"`
+		Want   *wireAdapterRequest `cbor:",omitempty"`
+		Pull   *Pull               `cbor:",omitempty"`
+		Items  *StoreItems         `cbor:",omitempty"`
 		// Era is the era of the update's revision. It is not part of wireUpdate because
 		// daemons of other versions expect that array to have a fixed length.
 		Era int64 `cbor:",omitempty"`
@@ -54,7 +54,7 @@
 		Incarnation, Number       int64
 		State                     int
 	}
-	wireDigest struct {
+	wireDelta struct {
 		_        struct{} `cbor:",toarray"`
 		Shares   []wireShare
 		Tables   []wireTable
@@ -63,7 +63,7 @@
 		Loads    []wireServerLoad
 		Group    *wireGroup
 		Owners   *wireOwners
-		Reported []wireReported
+		Reported []wireServerReport
 		Usage    *wireUsage
 	}
 	wireUsage struct {
@@ -95,7 +95,7 @@
 		Owner   string
 		Servers []string
 	}
-	wireReported struct {
+	wireServerReport struct {
 		_        struct{} `cbor:",toarray"`
 		Server   string
 		Born     int64
@@ -162,7 +162,7 @@
 		Version        int
 		Coming, Queued bool
 	}
-	wireWant struct {
+	wireAdapterRequest struct {
 		_                    struct{} `cbor:",toarray"`
 		Server, Model, Named string
 		Version, Rank        int
@@ -179,12 +179,12 @@
 		wire.Era = message.Update.Era
 	}
 	if message.Digest != nil {
-		wire.Digest = encodeDigest(message.Digest)
+		wire.Digest = encodeDelta(message.Digest)
 	}
-	if want := message.Want; want != nil {
-		wire.Want = &wireWant{
-			Server: want.Server, Model: want.Adapter.Model, Named: want.Adapter.Name, Version: want.Version,
-			Rank: want.Rank, Left: int64(want.Left), Absent: want.Absent,
+	if request := message.Want; request != nil {
+		wire.Want = &wireAdapterRequest{
+			Server: request.Server, Model: request.Adapter.Model, Named: request.Adapter.Name, Version: request.Version,
+			Rank: request.Rank, Left: int64(request.Left), Absent: request.Absent,
 		}
 	}
 	encoded, err := cbor.Marshal(wire)
@@ -213,34 +213,34 @@
 	}
 }
 
-func encodeDigest(digest *Digest) *wireDigest {
-	wire := &wireDigest{Store: digest.Store}
-	for _, share := range digest.Shares {
+func encodeDelta(delta *Digest) *wireDelta {
+	wire := &wireDelta{Store: delta.Store}
+	for _, share := range delta.Shares {
 		encoded := wireShare{Name: share.Name, Incarnation: share.Incarnation, Number: share.Number}
 		encoded.Loads, encoded.Models = encodeShare(share.Share)
 		wire.Shares = append(wire.Shares, encoded)
 	}
-	for _, table := range digest.Tables {
+	for _, table := range delta.Tables {
 		wire.Tables = append(wire.Tables, encodeTable(table))
 	}
-	if digest.Sums != nil {
-		wire.Sums = encodeSums(digest.Sums)
+	if delta.Sums != nil {
+		wire.Sums = encodeSums(delta.Sums)
 	}
-	for server, load := range digest.Loads {
+	for server, load := range delta.Loads {
 		wire.Loads = append(wire.Loads, wireServerLoad{Server: server, Runs: load.Runs, Reading: load.Reading, Sent: load.Sent})
 	}
-	if group := digest.Group; group != nil {
+	if group := delta.Group; group != nil {
 		wire.Group = &wireGroup{Number: group.Number, Whole: group.Whole}
 		wire.Group.Loads, wire.Group.Models = encodeShare(group.Share)
 	}
-	if digest.Owners != nil {
-		wire.Owners = encodeOwners(digest.Owners)
+	if delta.Owners != nil {
+		wire.Owners = encodeOwners(delta.Owners)
 	}
-	for _, reported := range digest.Reported {
-		wire.Reported = append(wire.Reported, wireReported{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
+	for _, report := range delta.Reported {
+		wire.Reported = append(wire.Reported, wireServerReport{Server: report.Server, Born: report.Born, Holdings: report.Holdings})
 	}
-	if digest.Usage != nil {
-		wire.Usage = encodeUsage(digest.Usage)
+	if delta.Usage != nil {
+		wire.Usage = encodeUsage(delta.Usage)
 	}
 	return wire
 }
@@ -326,38 +326,38 @@
 	return sums
 }
 
-func decodeDigest(wire *wireDigest) *Digest {
-	digest := &Digest{Store: wire.Store}
+func decodeDelta(wire *wireDelta) *Digest {
+	delta := &Digest{Store: wire.Store}
 	for _, share := range wire.Shares {
-		digest.Shares = append(digest.Shares, DaemonShare{
+		delta.Shares = append(delta.Shares, DaemonShare{
 			Name: share.Name, Incarnation: share.Incarnation, Number: share.Number, Share: decodeShare(share.Loads, share.Models),
 		})
 	}
 	for _, table := range wire.Tables {
-		digest.Tables = append(digest.Tables, decodeTable(table))
+		delta.Tables = append(delta.Tables, decodeTable(table))
 	}
 	if wire.Sums != nil {
-		digest.Sums = decodeSums(wire.Sums)
+		delta.Sums = decodeSums(wire.Sums)
 	}
 	if len(wire.Loads) > 0 {
-		digest.Loads = make(map[string]Work, len(wire.Loads))
+		delta.Loads = make(map[string]Work, len(wire.Loads))
 	}
-	for _, work := range wire.Loads {
-		digest.Loads[work.Server] = Work{Load: tally.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
+	for _, load := range wire.Loads {
+		delta.Loads[load.Server] = Work{Load: tally.Load{Runs: load.Runs, Reading: load.Reading}, Sent: load.Sent}
 	}
 	if group := wire.Group; group != nil {
-		digest.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
+		delta.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
 	}
 	if wire.Owners != nil {
-		digest.Owners = decodeOwners(wire.Owners)
+		delta.Owners = decodeOwners(wire.Owners)
 	}
-	for _, reported := range wire.Reported {
-		digest.Reported = append(digest.Reported, Reported{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
+	for _, report := range wire.Reported {
+		delta.Reported = append(delta.Reported, Reported{Server: report.Server, Born: report.Born, Holdings: report.Holdings})
 	}
 	if wire.Usage != nil {
-		digest.Usage = decodeUsage(wire.Usage)
+		delta.Usage = decodeUsage(wire.Usage)
 	}
-	return digest
+	return delta
 }
 
 // stringTable assigns an index to each distinct name.
@@ -436,12 +436,12 @@
 		message.Update.Era = wire.Era
 	}
 	if wire.Digest != nil {
-		message.Digest = decodeDigest(wire.Digest)
+		message.Digest = decodeDelta(wire.Digest)
 	}
-	if want := wire.Want; want != nil {
+	if request := wire.Want; request != nil {
 		message.Want = &Want{
-			Server: want.Server, Adapter: port.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
-			Rank: want.Rank, Left: clock.Millis(want.Left), Absent: want.Absent,
+			Server: request.Server, Adapter: port.Adapter{Model: request.Model, Name: request.Named}, Version: request.Version,
+			Rank: request.Rank, Left: clock.Millis(request.Left), Absent: request.Absent,
 		}
 	}
 	return message, nil
--- a/internal/direct/tenure/tenure_test.go
+++ b/internal/direct/tenure/tenure_test.go
@@ -255,11 +255,11 @@
 		daemon.Heard(now, tenure.Word{Peer: "b", Interval: 500, Named: []string{"a", "b"}})
 		require.Empty(t, daemon.Claim(now, servers))
 	}
-	var claims []tenure.Claim
+	var peerClaims []tenure.Claim
 	for _, server := range servers {
-		claims = append(claims, tenure.Claim{Server: server, Fence: 7})
+		peerClaims = append(peerClaims, tenure.Claim{Server: server, Fence: 7})
 	}
-	daemon.Heard(now, tenure.Word{Peer: "c", Interval: 500, Claims: claims})
+	daemon.Heard(now, tenure.Word{Peer: "c", Interval: 500, Claims: peerClaims})
 	now += 100
 	daemon.Tick(now)
 	require.Empty(t, daemon.Claim(now, servers))
