--- a/internal/direct/membership/membership_test.go
+++ b/internal/direct/membership/membership_test.go
@@ -307,8 +307,8 @@
 	require.False(t, members.Live(resumed+options.Silence, "after"))
 }
 
-// TestHeard checks what the report of a daemon changes for its receivers.
-func TestHeard(t *testing.T) {
+// TestStatusChanges checks what the report of a daemon changes for its receivers.
+func TestStatusChanges(t *testing.T) {
 	t.Parallel()
 	members := membership.New(membership.DefaultOptions(), topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
 	status := membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: "e", DataCentre: "z"}, Incarnation: 3}, Role: topology.Candidate}
--- a/internal/direct/mirror/turn.go
+++ b/internal/direct/mirror/turn.go
@@ -17,14 +17,14 @@
 // if the store has not answered the hub for CoverLimit, or the hub has been silent for
 // UnheardLimit. If its own calls fail too, it reads only every CoveredRetry, so that a store
 // that is down is called mostly by the hubs.
-func (options Options) ReadsNow(turn Turn) bool {
+func (options Options) ReadsNow(state Turn) bool {
 	switch {
-	case turn.Reader:
+	case state.Reader:
 		return true
-	case turn.Knows && turn.Covered <= options.CoverLimit && turn.Unheard <= options.UnheardLimit:
+	case state.Knows && state.Covered <= options.CoverLimit && state.Unheard <= options.UnheardLimit:
 		return false
-	case turn.Hub && turn.Lost:
-		return turn.Tried >= options.CoveredRetry
+	case state.Hub && state.Lost:
+		return state.Tried >= options.CoveredRetry
 	default:
 		return true
 	}
--- a/internal/direct/mirror/turn_test.go
+++ b/internal/direct/mirror/turn_test.go
@@ -14,7 +14,7 @@
 	late := options.CoverLimit + 1
 	for _, each := range []struct {
 		name  string
-		turn  mirror.Turn
+		state mirror.Turn
 		reads bool
 	}{
 		{"a reader", mirror.Turn{Reader: true}, true},
@@ -26,7 +26,7 @@
 		{"store does not answer either, after the retry interval", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: options.CoveredRetry}, true},
 		{"no hub", mirror.Turn{Knows: true, Covered: late, Lost: true, Tried: 500}, true},
 	} {
-		require.Equal(t, each.reads, options.ReadsNow(each.turn), each.name)
+		require.Equal(t, each.reads, options.ReadsNow(each.state), each.name)
 	}
 }
 
--- a/internal/direct/peers/mesh.go
+++ b/internal/direct/peers/mesh.go
@@ -94,11 +94,11 @@
 	closeConnection context.CancelFunc // closes the current connection; nil while not connected
 }
 
-// New returns a mesh whose goroutines belong to group.
+// New returns the connections of a daemon. Their goroutines belong to group.
 func New(options Options, self string, handler Handler, group *task.Group) *Mesh {
-	mesh := &Mesh{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
-	mesh.SetPing(options.Ping)
-	return mesh
+	network := &Mesh{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
+	network.SetPing(options.Ping)
+	return network
 }
 
 // Learn starts to maintain a connection to a daemon, unless it is known already. A daemon
--- a/internal/direct/tenure/tenure.go
+++ b/internal/direct/tenure/tenure.go
@@ -91,7 +91,7 @@
 	owner        string
 	fence        int64
 	ownerHeardAt clock.Millis // when the owner was last heard, or until when its heartbeat interval lets it be silent
-	lastOrderAt  clock.Millis // the last known order; none is known after this time
+	lastOrderAt  clock.Millis // latest time at which the owner may have sent an order, as far as known
 	claimedAt    clock.Millis // when this daemon claimed the server
 }
 
--- a/internal/direct/tenure/tenure_test.go
+++ b/internal/direct/tenure/tenure_test.go
@@ -144,9 +144,9 @@
 // member is a daemon of a random run.
 type member struct {
 	*tenure.Tenure
-	name    string
-	asleep  clock.Millis // suspended until then
-	stopped bool
+	name           string
+	suspendedUntil clock.Millis
+	stopped        bool
 }
 
 // TestNoTwoOrderersWithinLease draws random kills, starts and pauses of daemons that are
@@ -185,7 +185,7 @@
 			case 1:
 				at := rapid.IntRange(0, len(daemons)-1).Draw(t, "paused")
 				note("%d pauses", at)
-				daemons[at].asleep = now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*100
+				daemons[at].suspendedUntil = now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*100
 			case 2:
 				for at, daemon := range daemons {
 					if daemon.stopped {
@@ -195,7 +195,7 @@
 				}
 			}
 			for at, daemon := range daemons {
-				if daemon.stopped || now < daemon.asleep {
+				if daemon.stopped || now < daemon.suspendedUntil {
 					undisturbedSince[at] = now
 					continue
 				}
@@ -235,7 +235,7 @@
 		names = append(names, daemon.name)
 	}
 	for _, to := range all {
-		if to != from && !to.stopped && now >= to.asleep {
+		if to != from && !to.stopped && now >= to.suspendedUntil {
 			to.Heard(now, tenure.Word{Peer: from.name, Interval: 500, Claims: from.Claims(now), Named: names})
 		}
 	}
