--- a/internal/decide/effect/effect.go
+++ b/internal/decide/effect/effect.go
@@ -28,8 +28,8 @@
 	Stored *message.StoredAnswer
 }
 
-// Open lets the answer of an attempt through to the caller.
-type Open struct {
+// ForwardAnswer lets the answer of an attempt through to the caller.
+type ForwardAnswer struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
 	Lane        message.Lane
@@ -52,8 +52,8 @@
 	Request  message.Request
 	Resume   bool
 	Received uint64
-	// Until is when the leave to begin this run ends; a resume has no such end.
-	Until clock.Millis
+	// ExpiresAt is when the leave to begin this run ends; a resume has no such end.
+	ExpiresAt clock.Millis
 }
 
 // CancelRun asks the engine to end a run and to confirm it.
@@ -68,8 +68,8 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is when the leave to give this order ends.
-	Until clock.Millis
+	// ExpiresAt is when the leave to give this order ends.
+	ExpiresAt clock.Millis
 }
 
 // Unload orders an engine to unload an adapter.
@@ -77,8 +77,8 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// Until is when the leave to give this order ends.
-	Until clock.Millis
+	// ExpiresAt is when the leave to give this order ends.
+	ExpiresAt clock.Millis
 }
 
 // ReadEngine asks for the engine's state report.
@@ -89,8 +89,8 @@
 	At clock.Millis
 }
 
-// ReadVMs asks for the VM list at once.
-type ReadVMs struct{}
+// ReadVMList asks for the VM list at once.
+type ReadVMList struct{}
 
 // CallService sends a request to a plain service.
 type CallService struct {
@@ -129,15 +129,15 @@
 	ShutdownStarted   AuditKind = "ShutdownStarted"
 )
 
-func (Send) effect()        {}
-func (Answer) effect()      {}
-func (Open) effect()        {}
-func (Rebind) effect()      {}
-func (StartRun) effect()    {}
-func (CancelRun) effect()   {}
-func (Load) effect()        {}
-func (Unload) effect()      {}
-func (ReadEngine) effect()  {}
-func (ReadVMs) effect()     {}
-func (CallService) effect() {}
-func (Audit) effect()       {}
+func (Send) effect()          {}
+func (Answer) effect()        {}
+func (ForwardAnswer) effect() {}
+func (Rebind) effect()        {}
+func (StartRun) effect()      {}
+func (CancelRun) effect()     {}
+func (Load) effect()          {}
+func (Unload) effect()        {}
+func (ReadEngine) effect()    {}
+func (ReadVMList) effect()    {}
+func (CallService) effect()   {}
+func (Audit) effect()         {}
--- a/internal/decide/home/bench_test.go
+++ b/internal/decide/home/bench_test.go
@@ -83,12 +83,12 @@
 	require.Equal(t, outcome.KeyConflict, verdictOf(t, keeper.Begin(now, again)).Outcome.Reason)
 }
 
-func verdictOf(t *testing.T, effects []effect.Effect) message.HomeVerdict {
+func verdictOf(t *testing.T, effects []effect.Effect) message.HomeDecision {
 	t.Helper()
 	require.Len(t, effects, 1)
 	sent, isSend := effects[0].(effect.Send)
 	require.True(t, isSend)
-	verdict, isVerdict := sent.Message.(message.HomeVerdict)
+	verdict, isVerdict := sent.Message.(message.HomeDecision)
 	require.True(t, isVerdict)
 	return verdict
 }
--- a/internal/decide/home/copy.go
+++ b/internal/decide/home/copy.go
@@ -128,7 +128,7 @@
 }
 
 // Forgotten frees the copy of a key whose attempt did not run.
-func (home *Home) Forgotten(forget message.HomeForget) []effect.Effect {
+func (home *Home) Forgotten(forget message.HomeCopyDelete) []effect.Effect {
 	known, found := home.records[forget.Key]
 	if found && known.stream == forget.Stream && known.state != recordFinished {
 		home.drop(known)
--- a/internal/decide/home/home.go
+++ b/internal/decide/home/home.go
@@ -196,13 +196,13 @@
 	if granted.state == recordCopying {
 		recordTable.Must(&granted.state, grantRecord)
 	}
-	home.send(granted.stream.Daemon, message.HomeVerdict{
+	home.send(granted.stream.Daemon, message.HomeDecision{
 		Key: granted.key.Key, Stream: granted.stream, Granted: true, Copied: len(granted.copied) > 0,
 	})
 }
 
 func (home *Home) deny(begin message.HomeBegin, told outcome.Outcome, stored *message.StoredAnswer) {
-	home.send(begin.Stream.Daemon, message.HomeVerdict{Key: begin.Key, Stream: begin.Stream, Outcome: told, Stored: stored})
+	home.send(begin.Stream.Daemon, message.HomeDecision{Key: begin.Key, Stream: begin.Stream, Outcome: told, Stored: stored})
 }
 
 // Finish records how a granted attempt ended. A true not-run frees the key,
@@ -244,7 +244,7 @@
 // forget frees a key whose attempt is known not to have run.
 func (home *Home) forget(now clock.Millis, freed *record) {
 	for _, peer := range home.history.others(freed.key, home.self, maxCopies) {
-		home.send(peer, message.HomeForget{Key: freed.key.Key, Stream: freed.stream})
+		home.send(peer, message.HomeCopyDelete{Key: freed.key.Key, Stream: freed.stream})
 	}
 	home.drop(freed)
 }
--- a/internal/decide/home/home_test.go
+++ b/internal/decide/home/home_test.go
@@ -52,7 +52,7 @@
 	}
 	network, err := nodetest.New(nodetest.Options{
 		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(), VMs: vms,
-		Engine: nodetest.EngineOptions{RunSpan: 300, LoadSpan: 400}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 300, LoadDuration: 400}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
@@ -68,7 +68,7 @@
 
 func (sent *attempts) send(network *nodetest.Network, daemon ident.DaemonID, body string) string {
 	sent.count++
-	arrived := node.Arrived{
+	arrived := node.RequestArrived{
 		RequestID: fmt.Sprintf("%s/%d", sent.key, sent.count), APIKey: apiKey, BodyHash: body,
 		Key: sent.key, KeyIssuedAt: sent.issuedAt,
 	}
@@ -77,7 +77,7 @@
 	} else {
 		arrived.Model, arrived.Path = "quote@1", "/v1/completions"
 	}
-	network.Arrive(daemon, arrived)
+	network.SendRequest(daemon, arrived)
 	return arrived.RequestID
 }
 
@@ -86,13 +86,13 @@
 	count := 0
 	matches := func(id string) bool { return id == prefix || !whole && strings.HasPrefix(id, prefix+"/") }
 	for _, engine := range network.Engines {
-		for id, runs := range engine.Ran {
+		for id, runs := range engine.RunsStarted {
 			if matches(id) {
 				count += runs
 			}
 		}
 	}
-	for id, runs := range network.Ledger {
+	for id, runs := range network.ServiceCalls {
 		if matches(strings.TrimPrefix(id, "records/")) {
 			count += runs
 		}
@@ -121,7 +121,7 @@
 	answered, faulty, total := 0, 0, 0
 	nodetest.CheckHistories(t, 60, func(t *rapid.T) {
 		network := newNetwork(t, rapid.Uint64().Draw(t, "seed"), 5)
-		faults := &nodetest.Faults{Network: network, MaxListLag: node.DefaultOptions().Home.ListLag, Drawn: map[string]int{}}
+		faults := &nodetest.Faults{Network: network, MaxListLag: node.DefaultOptions().Home.ListLag, Counts: map[string]int{}}
 		network.Run(10 * clock.Second)
 		var keys []*attempts
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -146,7 +146,7 @@
 			}
 			requireOnce(t, network, keys)
 		}
-		faults.Heal()
+		faults.EndAll()
 		network.Run(70 * clock.Second)
 		requireOnce(t, network, keys)
 		for _, sent := range keys {
@@ -157,7 +157,7 @@
 				}
 			}
 		}
-		for _, count := range faults.Drawn {
+		for _, count := range faults.Counts {
 			faulty += count
 		}
 	})
@@ -183,7 +183,7 @@
 		},
 		"home leaves": {
 			between: func(network *nodetest.Network, _ *nodetest.Faults, keeper ident.DaemonID) {
-				network.Feed(network.Nodes[keeper], node.Shutdown{})
+				network.HandleEvent(network.Nodes[keeper], node.Shutdown{})
 				network.RunUntil(10*clock.Second, network.Nodes[keeper].Node.Idle)
 				network.Kill(keeper)
 				dropFromList(network, keeper)
@@ -192,7 +192,7 @@
 		},
 		"whole fleet replaced": {
 			between: func(_ *nodetest.Network, faults *nodetest.Faults, _ ident.DaemonID) {
-				faults.Heal()
+				faults.EndAll()
 				faults.ReplaceAll()
 			},
 			reasons: []outcome.Reason{outcome.KeyNotVouched, outcome.HomeUnreachable},
@@ -208,7 +208,7 @@
 			require.Equal(t, outcome.Complete, network.Answers[first][0].Outcome.Reason)
 			keeper := network.Answers[first][0].Record.Home
 			require.True(t, network.Answers[first][0].Record.HomeCopied)
-			test.between(network, &nodetest.Faults{Network: network, Drawn: map[string]int{}}, keeper)
+			test.between(network, &nodetest.Faults{Network: network, Counts: map[string]int{}}, keeper)
 			network.Run(10 * clock.Second)
 			again := sent.send(network, liveEntry(network), "a")
 			network.Run(5 * clock.Second)
@@ -252,7 +252,7 @@
 	network := newNetwork(t, 1, 5)
 	network.Run(10 * clock.Second)
 	former := homeUnder(network, "k")
-	network.ListDown[former] = true
+	network.VMListUnavailable[former] = true
 	dropFromList(network, former)
 	network.Run(20 * clock.Second)
 	sent := &attempts{key: "k", issuedAt: network.Now, service: true}
--- a/internal/decide/loads/broker.go
+++ b/internal/decide/loads/broker.go
@@ -79,7 +79,7 @@
 }
 
 type wait struct {
-	ask      message.LoadAsk
+	ask      message.LoadRequest
 	from     ident.DaemonID
 	deadline clock.Millis
 }
@@ -97,7 +97,7 @@
 
 // Ask takes in, replaces or withdraws a waiting load. Every ask but a
 // withdrawal is answered, by a verdict at least.
-func (broker *Broker) Ask(now clock.Millis, from ident.DaemonID, ask message.LoadAsk) []Reply {
+func (broker *Broker) Ask(now clock.Millis, from ident.DaemonID, ask message.LoadRequest) []Reply {
 	key := load{engine: ask.Engine, adapter: ask.Adapter}
 	if at := broker.find(key); at >= 0 {
 		broker.waiting = slices.Delete(broker.waiting, at, at+1)
--- a/internal/decide/loads/broker_test.go
+++ b/internal/decide/loads/broker_test.go
@@ -17,8 +17,8 @@
 
 const span = 500 * clock.Millisecond
 
-func askOf(adapter int, class config.Class, budget clock.Millis, waiters int) message.LoadAsk {
-	return message.LoadAsk{
+func askOf(adapter int, class config.Class, budget clock.Millis, waiters int) message.LoadRequest {
+	return message.LoadRequest{
 		Store: "weights", Engine: "engine", Adapter: ident.Adapter{Name: fmt.Sprint(adapter), Version: "1"},
 		Class: class, Budget: budget, Waiters: waiters,
 	}
@@ -40,7 +40,7 @@
 	return &store{t: t, broker: loads.New(options), now: clock.Hour, due: map[string]clock.Millis{}, refused: map[string]bool{}}
 }
 
-func (store *store) ask(ask message.LoadAsk) {
+func (store *store) ask(ask message.LoadRequest) {
 	store.due[ask.Adapter.Name] = store.now + ask.Budget
 	delete(store.refused, ask.Adapter.Name)
 	store.take(store.broker.Ask(store.now, "daemon", ask))
@@ -49,7 +49,7 @@
 func (store *store) take(replies []loads.Reply) {
 	for _, reply := range replies {
 		switch reply := reply.Message.(type) {
-		case message.LoadVerdict:
+		case message.LoadDecision:
 			if reply.Refused {
 				store.refused[reply.Adapter.Name] = true
 				delete(store.due, reply.Adapter.Name)
--- a/internal/decide/loads/schedule.go
+++ b/internal/decide/loads/schedule.go
@@ -49,7 +49,7 @@
 }
 
 // lessValuable reports whether a serves less than b.
-func lessValuable(a, b *message.LoadAsk) bool {
+func lessValuable(a, b *message.LoadRequest) bool {
 	if a.Class != b.Class {
 		return a.Class > b.Class
 	}
@@ -57,7 +57,7 @@
 }
 
 func verdict(waiting *wait, refused bool, wait clock.Millis) Reply {
-	return Reply{To: waiting.from, Message: message.LoadVerdict{
+	return Reply{To: waiting.from, Message: message.LoadDecision{
 		Store: waiting.ask.Store, Engine: waiting.ask.Engine, Adapter: waiting.ask.Adapter,
 		Refused: refused, Wait: wait,
 	}}
--- a/internal/decide/message/home.go
+++ b/internal/decide/message/home.go
@@ -21,8 +21,8 @@
 	EntryClass config.Class
 }
 
-// HomeVerdict is the home's answer.
-type HomeVerdict struct {
+// HomeDecision is the home's answer.
+type HomeDecision struct {
 	Key     string
 	Stream  ident.StreamID
 	Granted bool
@@ -77,17 +77,17 @@
 	Finished bool
 }
 
-// HomeForget withdraws the copy of a record whose attempt did not run.
-type HomeForget struct {
+// HomeCopyDelete withdraws the copy of a record whose attempt did not run.
+type HomeCopyDelete struct {
 	Key    string
 	Stream ident.StreamID
 }
 
 // Lane implementations.
 func (begin HomeBegin) Lane() Lane       { return ControlLane }
-func (verdict HomeVerdict) Lane() Lane   { return ControlLane }
+func (verdict HomeDecision) Lane() Lane  { return ControlLane }
 func (finish HomeFinish) Lane() Lane     { return ControlLane }
 func (finished HomeFinished) Lane() Lane { return ControlLane }
 func (copied HomeCopy) Lane() Lane       { return ControlLane }
 func (ack HomeCopyAck) Lane() Lane       { return ControlLane }
-func (forget HomeForget) Lane() Lane     { return ControlLane }
+func (forget HomeCopyDelete) Lane() Lane { return ControlLane }
--- a/internal/decide/message/membership.go
+++ b/internal/decide/message/membership.go
@@ -23,13 +23,13 @@
 	Full bool
 	// Digest sums up all engines owned, so that a receiver notices what it missed.
 	Digest  uint64
-	Engines []EngineNews
+	Engines []EngineDelta
 	// Departing names engines that the sender itself has read to be leaving.
 	Departing []ident.EngineID
 }
 
-// EngineNews is what is new at one engine.
-type EngineNews struct {
+// EngineDelta is what is new at one engine.
+type EngineDelta struct {
 	_       struct{} `cbor:",toarray"`
 	Engine  ident.EngineID
 	Fence   ident.Fence
@@ -42,18 +42,18 @@
 	// Spare is as in EngineState; its slow decay alone is no news.
 	Spare     float64
 	ReportAge clock.Millis
-	Flags     NewsFlags
+	Flags     EngineFlags
 	// Detail is left out while Residency is as in the update before.
 	Detail *EngineDetail
 }
 
-// NewsFlags are yes-or-no facts on an engine.
-type NewsFlags uint8
+// EngineFlags are yes-or-no facts on an engine.
+type EngineFlags uint8
 
 // Flags of EngineNews.
 const (
-	NewsQuarantined NewsFlags = 1 << iota
-	NewsLeaving
+	FlagQuarantined EngineFlags = 1 << iota
+	FlagLeaving
 )
 
 // EngineDetail is what seldom changes at an engine.
@@ -64,15 +64,15 @@
 	Boot     ident.BootID
 }
 
-// UpdateAsk asks a daemon for a full update, after a gap.
-type UpdateAsk struct {
+// FullUpdateRequest asks a daemon for a full update, after a gap.
+type FullUpdateRequest struct {
 	_    struct{} `cbor:",toarray"`
 	From ident.DaemonID
 }
 
-// Outbid tells a daemon that claims an engine of a claim with a higher number,
+// HigherClaim tells a daemon that claims an engine of a claim with a higher number,
 // which it may have missed.
-type Outbid struct {
+type HigherClaim struct {
 	_           struct{} `cbor:",toarray"`
 	Engine      ident.EngineID
 	Owner       ident.DaemonID
@@ -80,9 +80,9 @@
 	Fence       ident.Fence
 }
 
-// HandoverAsk asks an owner to pass an engine on: the sender has read a list
+// HandoverRequest asks an owner to pass an engine on: the sender has read a list
 // that makes it the first candidate.
-type HandoverAsk struct {
+type HandoverRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Engine ident.EngineID
 }
@@ -93,22 +93,22 @@
 	Fence  ident.Fence
 	// SentAt is the former owner's wall clock.
 	SentAt clock.Millis
-	Runs   []HandedRun
+	Runs   []UnfinishedRun
 	// Owner is the former owner, when another daemon passes its handover on.
 	Owner ident.DaemonID
 }
 
-// Moved tells an entry that its waiting request went on to another owner.
-type Moved struct {
+// RequestMoved tells an entry that its waiting request went on to another owner.
+type RequestMoved struct {
 	_      struct{} `cbor:",toarray"`
 	Stream ident.StreamID
 	Class  config.Class
 	Owner  ident.DaemonID
 }
 
-// HandedRun is an unfinished run, whose adapter stays pinned. The sender goes on
+// UnfinishedRun is an unfinished run, whose adapter stays pinned. The sender goes on
 // relaying its answer.
-type HandedRun struct {
+type UnfinishedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Stream  ident.StreamID
 	Entry   ident.DaemonID
@@ -116,9 +116,9 @@
 }
 
 // Lane implementations.
-func (update Update) Lane() Lane     { return ControlLane }
-func (ask UpdateAsk) Lane() Lane     { return ControlLane }
-func (ask HandoverAsk) Lane() Lane   { return ControlLane }
-func (outbid Outbid) Lane() Lane     { return ControlLane }
-func (moved Moved) Lane() Lane       { return LaneOf(moved.Class) }
-func (handover Handover) Lane() Lane { return ControlLane }
+func (update Update) Lane() Lane             { return ControlLane }
+func (ask FullUpdateRequest) Lane() Lane     { return ControlLane }
+func (ask HandoverRequest) Lane() Lane       { return ControlLane }
+func (higherClaim HigherClaim) Lane() Lane   { return ControlLane }
+func (requestMoved RequestMoved) Lane() Lane { return LaneOf(requestMoved.Class) }
+func (handover Handover) Lane() Lane         { return ControlLane }
--- a/internal/decide/message/message.go
+++ b/internal/decide/message/message.go
@@ -99,8 +99,8 @@
 	Class  config.Class
 }
 
-// LoadAsk asks the broker of a weight store for leave to load.
-type LoadAsk struct {
+// LoadRequest asks the broker of a weight store for leave to load.
+type LoadRequest struct {
 	Store    string
 	Engine   ident.EngineID
 	Adapter  ident.Adapter
@@ -118,8 +118,8 @@
 	Lease   clock.Millis // span
 }
 
-// LoadVerdict is the broker's answer to an ask.
-type LoadVerdict struct {
+// LoadDecision is the broker's answer to an ask.
+type LoadDecision struct {
 	Store   string
 	Engine  ident.EngineID
 	Adapter ident.Adapter
@@ -179,9 +179,9 @@
 func (dispatched Dispatched) Lane() Lane { return LaneOf(dispatched.Class) }
 func (ended Ended) Lane() Lane           { return LaneOf(ended.Class) }
 func (cancel Cancel) Lane() Lane         { return LaneOf(cancel.Class) }
-func (ask LoadAsk) Lane() Lane           { return ControlLane }
+func (ask LoadRequest) Lane() Lane       { return ControlLane }
 func (grant LoadGrant) Lane() Lane       { return ControlLane }
-func (verdict LoadVerdict) Lane() Lane   { return ControlLane }
+func (verdict LoadDecision) Lane() Lane  { return ControlLane }
 func (done LoadDone) Lane() Lane         { return ControlLane }
 func (heartbeat Heartbeat) Lane() Lane   { return ControlLane }
 func (state EngineState) Lane() Lane     { return ControlLane }
--- a/internal/decide/node/answer.go
+++ b/internal/decide/node/answer.go
@@ -34,7 +34,7 @@
 	return outcome.Lost(outcome.OwnerLost)
 }
 
-func (node *Node) callerGone(stream ident.StreamID) {
+func (node *Node) callerDisconnected(stream ident.StreamID) {
 	found, known := node.requests[stream]
 	if !known {
 		return
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -94,16 +94,16 @@
 	found.lastAttempt().Dispatched = true
 }
 
-// headArrived lets an answer through to the caller; from then on no other
+// answerStarted lets an answer through to the caller; from then on no other
 // attempt may take its place.
-func (node *Node) headArrived(event HeadArrived) {
+func (node *Node) answerStarted(event AnswerStarted) {
 	found, known := node.requests[event.Stream]
 	if !known || !found.handedOn() {
 		return
 	}
 	found.delivering = true
 	found.mayHaveRun = true
-	node.emit(effect.Open{
+	node.emit(effect.ForwardAnswer{
 		Stream: event.Stream, From: event.From, Lane: message.LaneOf(found.rule.Class),
 		Status: event.Status, ContentType: event.ContentType,
 	})
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -24,7 +24,7 @@
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
 		Cause: "two steps were too far apart", Before: versionText(uint64(before)), After: versionText(uint64(node.now)),
 	})
-	node.emit(effect.ReadVMs{})
+	node.emit(effect.ReadVMList{})
 	for _, name := range node.ownedInOrder() {
 		node.owning.owned[name].readAt = 0
 	}
@@ -62,15 +62,15 @@
 			return next // begins nothing
 		}
 		node.checkOrder(next.Engine, held)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	case effect.Load:
 		node.checkOrder(next.Engine, held)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	case effect.Unload:
 		node.checkOrder(next.Engine, held)
-		next.Until = until
+		next.ExpiresAt = until
 		return next
 	}
 	return next
--- a/internal/decide/node/bench_test.go
+++ b/internal/decide/node/bench_test.go
@@ -102,7 +102,7 @@
 	}
 	for i := range engines {
 		name := ident.EngineID(fmt.Sprintf("engine-%d", i))
-		bench.step(node.Received{From: "daemon-1", Message: message.EngineState{
+		bench.step(node.MessageReceived{From: "daemon-1", Message: message.EngineState{
 			Engine: name, Owner: "daemon-1", Fence: 1, Version: 1, Queued: 1000,
 			Resident: []ident.Adapter{{Name: fmt.Sprintf("adapter-%d", i), Version: "1"}},
 		}})
@@ -136,7 +136,7 @@
 const ticksEvery = 20
 
 func (bench *benchNode) request(b *testing.B) {
-	effects := bench.step(node.Arrived{
+	effects := bench.step(node.RequestArrived{
 		Stream: bench.node.NewStream(), RequestID: "r", APIKey: callerKey, Model: "adapter-0@1", Path: "/v1/completions",
 	})
 	for _, next := range effects {
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -59,7 +59,7 @@
 	return options
 }
 
-func (node *Node) loadAsk(from ident.DaemonID, ask message.LoadAsk) {
+func (node *Node) loadAsk(from ident.DaemonID, ask message.LoadRequest) {
 	node.sendReplies(node.broker(ask.Store).Ask(node.now, from, ask))
 }
 
@@ -117,7 +117,7 @@
 }
 
 // loadVerdict passes the broker's answer on to the engine's machine.
-func (node *Node) loadVerdict(verdict message.LoadVerdict) {
+func (node *Node) loadVerdict(verdict message.LoadDecision) {
 	if held, known := node.owning.owned[verdict.Engine]; known {
 		node.ownerEffects(held, held.owner.Judged(node.now, verdict))
 	}
--- a/internal/decide/node/brokering_test.go
+++ b/internal/decide/node/brokering_test.go
@@ -31,7 +31,7 @@
 }
 
 func arriveAt(network *nodetest.Network, daemon ident.DaemonID, request, model string) {
-	network.Arrive(daemon, node.Arrived{RequestID: request, APIKey: callerKey, Model: model, Path: "/v1/completions"})
+	network.SendRequest(daemon, node.RequestArrived{RequestID: request, APIKey: callerKey, Model: model, Path: "/v1/completions"})
 }
 
 func other(network *nodetest.Network, than ident.DaemonID) ident.DaemonID {
@@ -93,7 +93,7 @@
 
 // TestFailingLoadsEndInATrueRefusal lets every load fail.
 func TestFailingLoadsEndInATrueRefusal(t *testing.T) {
-	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500, FailLoadShare: 1})
+	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500, FailLoadShare: 1})
 	network.Run(5 * clock.Second)
 	arriveAt(network, "daemon-0", "r", "review-1@1")
 	network.RunUntil(25*clock.Second, func() bool { return len(network.Answers["r"]) > 0 })
@@ -108,7 +108,7 @@
 	}
 	require.NotEmpty(t, engines)
 	for _, engine := range network.Engines {
-		require.Empty(t, engine.Ran)
+		require.Empty(t, engine.RunsStarted)
 	}
 }
 
@@ -136,13 +136,13 @@
 	}
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 1, Delay: 1, Jitter: 2, TickInterval: 50, Config: published, VMs: vms,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	network.Run(6 * clock.Second)
 	for _, region := range regions {
 		for i := range 2 {
-			network.Arrive(ident.DaemonID(region+"-0"), node.Arrived{
+			network.SendRequest(ident.DaemonID(region+"-0"), node.RequestArrived{
 				RequestID: fmt.Sprintf("%s-%d", region, i), APIKey: region, Model: fmt.Sprintf("review-%d@1", i), Path: "/v1/completions",
 			})
 		}
--- a/internal/decide/node/configuration_test.go
+++ b/internal/decide/node/configuration_test.go
@@ -28,8 +28,8 @@
 		})
 	}
 	network, err := nodetest.New(nodetest.Options{
-		Seed: seed, Delay: 1, Jitter: 2, TickInterval: 50, Config: smallConfig(2), VMs: vms, Published: true,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500}, Node: node.DefaultOptions(),
+		Seed: seed, Delay: 1, Jitter: 2, TickInterval: 50, Config: smallConfig(2), VMs: vms, UseConfigService: true,
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
@@ -46,8 +46,8 @@
 func requireEverywhere(t testing.TB, network *nodetest.Network, version uint64, within clock.Millis) clock.Millis {
 	t.Helper()
 	start := network.Now
-	require.True(t, network.RunUntil(within, func() bool { return network.Everywhere(version) }),
-		"version %d within %d ms, in force: %v", version, within, network.InForce())
+	require.True(t, network.RunUntil(within, func() bool { return network.InForceEverywhere(version) }),
+		"version %d within %d ms, in force: %v", version, within, network.VersionsInForce())
 	return network.Now - start
 }
 
@@ -105,13 +105,13 @@
 func TestNewDaemonAsksPeers(t *testing.T) {
 	network := publishedNetwork(t, 1, 5, 2)
 	requireEverywhere(t, network, 1, 5*clock.Second)
-	network.Service.Remember()
+	network.Service.FixStaleValues()
 	require.NoError(t, network.Service.Publish(versioned(2)))
 	requireEverywhere(t, network, 2, configSpan)
 	network.Service.SetMode(nodetest.ServiceStale)
 	network.Kill("daemon-01")
 	network.Run(clock.Second)
-	network.SlowShare, network.SlowSpan = 1, 450
+	network.SlowShare, network.MaxSlowDelay = 1, 450
 	host := network.Boot(network.Nodes["daemon-01"].VM)
 	accepted := network.RunUntil(configSpan, func() bool { return host.Node.Config() != nil })
 	require.True(t, accepted)
@@ -126,7 +126,7 @@
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	require.NoError(t, network.Service.Publish(bad))
 	network.Run(configSpan)
-	require.Equal(t, map[uint64]int{1: 3}, network.InForce())
+	require.Equal(t, map[uint64]int{1: 3}, network.VersionsInForce())
 	require.NotEmpty(t, refusals(network))
 	require.NoError(t, network.Service.Publish(versioned(3)))
 	requireEverywhere(t, network, 3, configSpan)
@@ -144,7 +144,7 @@
 	require.NoError(t, err)
 	network.Service.PutManifest(text)
 	network.Run(5 * clock.Second)
-	require.Equal(t, map[uint64]int{1: 3}, network.InForce())
+	require.Equal(t, map[uint64]int{1: 3}, network.VersionsInForce())
 	require.NotEmpty(t, refusals(network))
 	for _, part := range parts {
 		network.Service.Put(part.Name, part.Body)
@@ -167,7 +167,7 @@
 	changed.Callers[0].RequestsPerSecond = 5
 	require.NoError(t, network.Service.Publish(changed))
 	network.Run(5 * clock.Second)
-	require.Equal(t, map[uint64]int{1: 3}, network.InForce())
+	require.Equal(t, map[uint64]int{1: 3}, network.VersionsInForce())
 	network.Service.Corrupt = nil
 	requireEverywhere(t, network, 2, 12*clock.Second)
 }
--- a/internal/decide/node/entry.go
+++ b/internal/decide/node/entry.go
@@ -13,7 +13,7 @@
 
 // arrived takes in a request: refused at once, or on its way to its key's home
 // or an engine.
-func (node *Node) arrived(event Arrived) {
+func (node *Node) arrived(event RequestArrived) {
 	arrived := &request{state: requestNew, arrived: event, stream: event.Stream}
 	arrived.record = outcome.Record{Request: event.RequestID, Daemon: node.options.Self, At: node.now, Target: event.Model + event.Service}
 	node.requests[event.Stream] = arrived
--- a/internal/decide/node/event.go
+++ b/internal/decide/node/event.go
@@ -13,8 +13,8 @@
 // Event is something that happened outside the decision machines.
 type Event interface{ event() }
 
-// Arrived is a caller's request.
-type Arrived struct {
+// RequestArrived is a caller's request.
+type RequestArrived struct {
 	Stream    ident.StreamID // from NewStream
 	RequestID string
 	APIKey    string
@@ -35,20 +35,20 @@
 	NotRepeatable bool
 }
 
-// CallerGone says that the caller's connection closed before the answer ended.
-type CallerGone struct{ Stream ident.StreamID }
+// CallerDisconnected says that the caller's connection closed before the answer ended.
+type CallerDisconnected struct{ Stream ident.StreamID }
 
-// HeadArrived says that an attempt's answer has begun. Only an Open effect lets
+// AnswerStarted says that an attempt's answer has begun. Only an Open effect lets
 // it through to the caller.
-type HeadArrived struct {
+type AnswerStarted struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
 	Status      int
 	ContentType string
 }
 
-// Received is a message from another daemon.
-type Received struct {
+// MessageReceived is a message from another daemon.
+type MessageReceived struct {
 	From    ident.DaemonID
 	Message message.Message
 }
@@ -121,18 +121,18 @@
 // Shutdown begins a graceful end.
 type Shutdown struct{}
 
-func (Arrived) event()        {}
-func (CallerGone) event()     {}
-func (HeadArrived) event()    {}
-func (Received) event()       {}
-func (PeerLost) event()       {}
-func (RunEnded) event()       {}
-func (LoadEnded) event()      {}
-func (UnloadEnded) event()    {}
-func (EngineReported) event() {}
-func (ServiceEnded) event()   {}
-func (AnswerReceived) event() {}
-func (ConfigRead) event()     {}
-func (VMListRead) event()     {}
-func (Tick) event()           {}
-func (Shutdown) event()       {}
+func (RequestArrived) event()     {}
+func (CallerDisconnected) event() {}
+func (AnswerStarted) event()      {}
+func (MessageReceived) event()    {}
+func (PeerLost) event()           {}
+func (RunEnded) event()           {}
+func (LoadEnded) event()          {}
+func (UnloadEnded) event()        {}
+func (EngineReported) event()     {}
+func (ServiceEnded) event()       {}
+func (AnswerReceived) event()     {}
+func (ConfigRead) event()         {}
+func (VMListRead) event()         {}
+func (Tick) event()               {}
+func (Shutdown) event()           {}
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -30,12 +30,12 @@
 		return
 	}
 	node.owning.asking[name] = node.now
-	node.send(claim.Owner, message.HandoverAsk{Engine: name})
+	node.send(claim.Owner, message.HandoverRequest{Engine: name})
 }
 
 // handoverAsked notes that another daemon asks for an engine; it gets it once
 // this daemon's own view agrees.
-func (node *Node) handoverAsked(from ident.DaemonID, ask message.HandoverAsk) {
+func (node *Node) handoverAsked(from ident.DaemonID, ask message.HandoverRequest) {
 	if _, known := node.owning.owned[ask.Engine]; !known || node.config == nil || node.vms == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // moved notes at the entry who has a waiting request now.
-func (node *Node) moved(moved message.Moved) {
+func (node *Node) moved(moved message.RequestMoved) {
 	if found, known := node.requests[moved.Stream]; known {
 		found.owner = moved.Owner
 	}
@@ -106,7 +106,7 @@
 	if handover.Owner == "" {
 		handover.Owner = from
 	}
-	node.outbidHeard(message.Outbid{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
+	node.outbidHeard(message.HigherClaim{Engine: handover.Engine, Owner: handover.Owner, Fence: handover.Fence})
 	claim, known := node.owning.claims[handover.Engine]
 	if known && (claim.Fence > handover.Fence || claim.Owner != handover.Owner && claim.Fence == handover.Fence) {
 		return
@@ -147,7 +147,7 @@
 
 // outbidHeard takes in word of a claim with a higher number. An owner that has
 // missed it, because it was paused or cut off, gives its engine up.
-func (node *Node) outbidHeard(outbid message.Outbid) {
+func (node *Node) outbidHeard(outbid message.HigherClaim) {
 	if outbid.Fence <= node.owning.claims[outbid.Engine].Fence {
 		return
 	}
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func (node *Node) homeVerdict(from ident.DaemonID, verdict message.HomeVerdict) {
+func (node *Node) homeVerdict(from ident.DaemonID, verdict message.HomeDecision) {
 	asked, known := node.requests[verdict.Stream]
 	if !known || asked.state != requestAtHome {
 		if verdict.Granted {
@@ -115,7 +115,7 @@
 // A verdict that merely came twice frees nothing: the request still runs, or its
 // outcome is on its way to the home. Nor does one for an earlier life of this
 // daemon, which alone knew what became of the request.
-func (node *Node) returnGrant(from ident.DaemonID, verdict message.HomeVerdict) {
+func (node *Node) returnGrant(from ident.DaemonID, verdict message.HomeDecision) {
 	if verdict.Stream.Incarnation != node.options.Incarnation || node.finishes[verdict.Stream] != nil || node.runs(verdict.Stream) {
 		return
 	}
--- a/internal/decide/node/limit_test.go
+++ b/internal/decide/node/limit_test.go
@@ -28,7 +28,7 @@
 	sequence := 0
 	ask := func(key string) outcome.Outcome {
 		sequence++
-		effects := entry.Step(now, node.Arrived{
+		effects := entry.Step(now, node.RequestArrived{
 			Stream: entry.NewStream(), RequestID: fmt.Sprint(sequence), APIKey: key, Model: "review-1@1",
 		})
 		for _, next := range effects {
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -81,7 +81,7 @@
 type channel struct {
 	sentAt clock.Millis
 	newsAt clock.Millis // last update that carried engines
-	told   map[ident.EngineID]message.EngineNews
+	told   map[ident.EngineID]message.EngineDelta
 }
 
 func newNews() news {
@@ -90,7 +90,7 @@
 
 // newsInterval is the span between two updates with news of engines.
 func (node *Node) newsInterval() clock.Millis {
-	return max(node.options.StateInterval, spanPerDaemon*clock.Millis(len(node.regionNames)))
+	return max(node.options.MinUpdateInterval, spanPerDaemon*clock.Millis(len(node.regionNames)))
 }
 
 // remoteInterval is the span between two updates to other data centres.
@@ -112,7 +112,7 @@
 	if node.vms == nil {
 		return
 	}
-	atOnce := node.news.due && node.now-node.news.local.sentAt >= node.options.StateInterval
+	atOnce := node.news.due && node.now-node.news.local.sentAt >= node.options.MinUpdateInterval
 	interval := node.newsInterval()
 	if withNews := atOnce || node.now-node.news.local.newsAt >= interval; withNews || node.now-node.news.local.sentAt >= beatInterval {
 		update := node.update(&node.news.local, withNews)
@@ -120,7 +120,7 @@
 			node.sendUpdate(peer, update)
 		}
 	}
-	if atOnce || node.now-node.news.remote.sentAt >= max(interval*2, node.options.StateInterval) {
+	if atOnce || node.now-node.news.remote.sentAt >= max(interval*2, node.options.MinUpdateInterval) {
 		update := node.update(&node.news.remote, true)
 		update.Relay = true
 		for _, relay := range node.relays() {
@@ -147,7 +147,7 @@
 		return update
 	}
 	channel.newsAt = node.now
-	told := make(map[ident.EngineID]message.EngineNews, len(node.owning.owned))
+	told := make(map[ident.EngineID]message.EngineDelta, len(node.owning.owned))
 	for _, name := range node.ownedInOrder() {
 		news := node.engineNews(node.owning.owned[name].owner)
 		if news.Engine == "" {
@@ -196,34 +196,34 @@
 	return departing
 }
 
-func changed(before, after message.EngineNews) bool {
+func changed(before, after message.EngineDelta) bool {
 	return before.Queued != after.Queued || before.Running != after.Running ||
 		before.LoadsWaiting != after.LoadsWaiting || before.Flags != after.Flags
 }
 
 // engineNews is the owner's word on an engine; empty before its first report.
-func (node *Node) engineNews(owner *owner.Owner) message.EngineNews {
+func (node *Node) engineNews(owner *owner.Owner) message.EngineDelta {
 	if !owner.Known() {
-		return message.EngineNews{}
+		return message.EngineDelta{}
 	}
 	state := owner.State(node.now)
-	news := message.EngineNews{
+	news := message.EngineDelta{
 		Engine: state.Engine, Fence: state.Fence, Version: state.Version, Residency: owner.Residency(state.Resident, state.Wanted),
 		Queued: state.Queued, Running: state.Running, LoadsWaiting: state.LoadsWaiting, ReportAge: state.ReportAge,
 		Spare:  state.Spare,
 		Detail: &message.EngineDetail{Resident: state.Resident, Wanted: state.Wanted, Boot: state.Boot},
 	}
 	if state.Quarantined {
-		news.Flags |= message.NewsQuarantined
+		news.Flags |= message.FlagQuarantined
 	}
 	if state.Leaving {
-		news.Flags |= message.NewsLeaving
+		news.Flags |= message.FlagLeaving
 	}
 	return news
 }
 
 // digestOf sums up which engines are owned and what is loaded there.
-func digestOf(told map[ident.EngineID]message.EngineNews) uint64 {
+func digestOf(told map[ident.EngineID]message.EngineDelta) uint64 {
 	digest := uint64(0)
 	for name, news := range told {
 		digest ^= digestEngine(name, news.Fence, news.Residency)
@@ -302,10 +302,10 @@
 
 // engineNewsReceived takes in a claim and what is new at its engine. Of two
 // claims the one with the higher number counts.
-func (node *Node) engineNewsReceived(update message.Update, news message.EngineNews) {
+func (node *Node) engineNewsReceived(update message.Update, news message.EngineDelta) {
 	claim, known := node.owning.claims[news.Engine]
 	if known && news.Fence < claim.Fence {
-		node.send(update.From, message.Outbid{
+		node.send(update.From, message.HigherClaim{
 			Engine: news.Engine, Owner: claim.Owner, Incarnation: claim.Incarnation, Fence: claim.Fence,
 		})
 		return
@@ -318,7 +318,7 @@
 	state := message.EngineState{
 		Engine: news.Engine, Owner: update.From, Fence: news.Fence, Version: news.Version,
 		Queued: news.Queued, Running: news.Running, LoadsWaiting: news.LoadsWaiting, ReportAge: news.ReportAge, Spare: news.Spare,
-		Quarantined: news.Flags&message.NewsQuarantined != 0, Leaving: news.Flags&message.NewsLeaving != 0,
+		Quarantined: news.Flags&message.FlagQuarantined != 0, Leaving: news.Flags&message.FlagLeaving != 0,
 	}
 	origin := node.news.origin(update.From)
 	told := toldEngine{fence: news.Fence, residency: origin.engines[news.Engine].residency}
@@ -347,7 +347,7 @@
 	origin.mismatches++
 	if origin.mismatches >= mismatchTries && node.now-origin.askedAt >= fullAskInterval {
 		origin.askedAt = node.now
-		node.send(update.From, message.UpdateAsk{From: node.options.Self})
+		node.send(update.From, message.FullUpdateRequest{From: node.options.Self})
 	}
 }
 
@@ -365,7 +365,7 @@
 // dropMissing forgets engines that their owner no longer lists.
 func (node *Node) dropMissing(origin *origin, update message.Update) {
 	for name := range origin.engines {
-		if !slices.ContainsFunc(update.Engines, func(news message.EngineNews) bool { return news.Engine == name }) {
+		if !slices.ContainsFunc(update.Engines, func(news message.EngineDelta) bool { return news.Engine == name }) {
 			origin.remove(name)
 			node.views.Drop(name)
 		}
@@ -373,17 +373,17 @@
 }
 
 // updateAsked answers with everything.
-func (node *Node) updateAsked(ask message.UpdateAsk) {
+func (node *Node) updateAsked(ask message.FullUpdateRequest) {
 	update := node.emptyUpdate()
 	update.Full = true
-	told := map[ident.EngineID]message.EngineNews{}
+	told := map[ident.EngineID]message.EngineDelta{}
 	for _, name := range node.ownedInOrder() {
 		if news := node.engineNews(node.owning.owned[name].owner); news.Engine != "" {
 			told[name] = news
 			update.Engines = append(update.Engines, news)
 		}
 	}
-	slices.SortFunc(update.Engines, func(a, b message.EngineNews) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(update.Engines, func(a, b message.EngineDelta) int { return cmp.Compare(a.Engine, b.Engine) })
 	update.Digest = digestOf(told)
 	node.sendUpdate(ask.From, update)
 }
@@ -392,7 +392,7 @@
 func (node *Node) viewOwn() {
 	for _, name := range node.ownedInOrder() {
 		held, view := node.owning.owned[name], node.views.View(name)
-		due := view == nil || view.State.Fence != held.owner.Fence || node.now-view.HeardAt >= node.options.StateInterval
+		due := view == nil || view.State.Fence != held.owner.Fence || node.now-view.HeardAt >= node.options.MinUpdateInterval
 		if held.owner.Known() && (due || node.news.due) {
 			node.engineState(held.owner.State(node.now))
 		}
--- a/internal/decide/node/membership_bench_test.go
+++ b/internal/decide/node/membership_bench_test.go
@@ -73,7 +73,7 @@
 func measureControl(b *testing.B, daemons, engines, rate int) {
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 1, Delay: 1, Jitter: 2, TickInterval: 50, Config: regionConfig(engines, 1000), VMs: regionView(daemons, 0).List.VMs,
-		Engine: nodetest.EngineOptions{RunSpan: 800, LoadSpan: 500}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 800, LoadDuration: 500}, Node: node.DefaultOptions(),
 	})
 	require.NoError(b, err)
 	network.Run(15 * clock.Second)
@@ -96,7 +96,7 @@
 	for sent := 0; network.Now < end; {
 		due := int((measuredSpan - (end - network.Now)).Seconds() * float64(rate))
 		for ; sent < due; sent++ {
-			network.Arrive(ident.DaemonID(fmt.Sprintf("daemon-%d", random.IntN(daemons))), node.Arrived{
+			network.SendRequest(ident.DaemonID(fmt.Sprintf("daemon-%d", random.IntN(daemons))), node.RequestArrived{
 				RequestID: fmt.Sprintf("r%d", sent), APIKey: callerKey, Path: "/v1/completions",
 				Model: fmt.Sprintf("adapter-%d@1", int(100*random.ExpFloat64())%1000),
 			})
@@ -145,7 +145,7 @@
 	published.Engines[0].ChecksFencing, published.Engines[0].DataCentre = checks, "centre-0"
 	network, err := nodetest.New(nodetest.Options{
 		Seed: seed, Delay: 1, Jitter: 2, TickInterval: 50, Config: published, VMs: regionView(9, 0).List.VMs,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500}, Node: node.DefaultOptions(),
 	})
 	require.NoError(b, err)
 	network.Run(10*clock.Second + clock.Millis(seed*37))
@@ -161,9 +161,9 @@
 		entry = "daemon-1"
 	}
 	for i := 0; network.Now-killed < clock.Minute; i++ {
-		network.Arrive(entry, node.Arrived{RequestID: fmt.Sprintf("r%d", i), APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1"})
+		network.SendRequest(entry, node.RequestArrived{RequestID: fmt.Sprintf("r%d", i), APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1"})
 		network.Run(50)
-		if len(network.Engines["engine-0"].Ran) > 0 {
+		if len(network.Engines["engine-0"].RunsStarted) > 0 {
 			return network.Now - killed, true
 		}
 	}
--- a/internal/decide/node/membership_test.go
+++ b/internal/decide/node/membership_test.go
@@ -40,7 +40,7 @@
 func TestMissedUpdatesAreAskedFor(t *testing.T) {
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 3, Delay: 1, Jitter: 2, TickInterval: 50, Config: regionConfig(6, 40), VMs: regionView(9, 0).List.VMs,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 100}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 100}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	network.Run(10 * clock.Second)
@@ -64,7 +64,7 @@
 	network.Run(6 * clock.Second)
 	owner := ownerOfEngine(network, "engine-0")
 	for _, name := range network.HostNames() {
-		network.ListDown[name] = name == owner
+		network.VMListUnavailable[name] = name == owner
 	}
 	network.SetVMs(append(network.VMs(), members.VM{
 		Name: "server-1", Address: "10.0.0.1", Role: members.BackendRole, DataCentre: "a", Region: "north", State: members.Leaving,
@@ -91,13 +91,13 @@
 			entry = "daemon-1"
 		}
 		for _, request := range []string{"0", "1", "2", "3", "4", "5", "6", "7"} {
-			network.Arrive(entry, node.Arrived{
+			network.SendRequest(entry, node.RequestArrived{
 				RequestID: request, APIKey: callerKey, Path: "/v1/completions", Model: "review-" + request + "@1",
 			})
 		}
 		network.Run(150)
 		leaving := network.Nodes[owner]
-		network.Feed(leaving, node.Shutdown{})
+		network.HandleEvent(leaving, node.Shutdown{})
 		if !checks { // the platform's list has to say it as well, within the time that a daemon's own word counts
 			vms := network.VMs()
 			vms[slices.IndexFunc(vms, func(vm members.VM) bool { return vm.Name == string(owner) })].State = members.Leaving
@@ -113,7 +113,7 @@
 		for _, request := range []string{"0", "1", "2", "3", "4", "5", "6", "7"} {
 			require.Len(t, network.Answers[request], 1)
 			require.Equal(t, outcome.Complete, network.Answers[request][0].Outcome.Reason, "request %s", request)
-			require.Equal(t, 1, network.Engines["engine-0"].Ran[request])
+			require.Equal(t, 1, network.Engines["engine-0"].RunsStarted[request])
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		network.Run(600)
 		for _, name := range network.HostNames() {
 			if name != owner {
-				network.Arrive(name, node.Arrived{RequestID: string(name), APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1"})
+				network.SendRequest(name, node.RequestArrived{RequestID: string(name), APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1"})
 			}
 		}
 		network.Run(100)
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, ownerOfEngine(network, "engine-1"))
 	for _, name := range network.HostNames() {
-		network.Feed(network.Nodes[name], node.ConfigRead{Snapshot: snapshot})
+		network.HandleEvent(network.Nodes[name], node.ConfigRead{Snapshot: snapshot})
 	}
 	require.Empty(t, ownerOfEngine(network, "engine-1"))
 	require.NotEmpty(t, ownerOfEngine(network, "engine-0"))
@@ -170,7 +170,7 @@
 	}
 	network, err := nodetest.New(nodetest.Options{
 		Seed: 1, Delay: 1, Jitter: 2, TickInterval: 50, Config: published, VMs: vms,
-		Engine: nodetest.EngineOptions{RunSpan: 200, LoadSpan: 100}, Node: node.DefaultOptions(),
+		Engine: nodetest.EngineOptions{RunDuration: 200, LoadDuration: 100}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
@@ -189,7 +189,7 @@
 
 func runsOf(engine *nodetest.Engine) int {
 	total := 0
-	for _, count := range engine.Ran {
+	for _, count := range engine.RunsStarted {
 		total += count
 	}
 	return total
@@ -197,7 +197,7 @@
 
 func arriveReviews(network *nodetest.Network, count int) {
 	for i := range count {
-		network.Arrive("daemon-1", node.Arrived{
+		network.SendRequest("daemon-1", node.RequestArrived{
 			RequestID: string(rune('A' + i)), APIKey: callerKey, Path: "/v1/completions",
 			Model: []string{"review-0@1", "review-1@1", "review-2@1", "review-3@1"}[i%4],
 		})
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -42,24 +42,24 @@
 	Ownership ownership.Options
 	// RetryShare is the number of repeated attempts allowed per first attempt.
 	RetryShare float64
-	// StateInterval is the shortest span between two updates to other daemons.
-	StateInterval clock.Millis
-	// ReadInterval is the span between two reads of an owned engine's report.
-	ReadInterval clock.Millis
+	// MinUpdateInterval is the shortest span between two updates to other daemons.
+	MinUpdateInterval clock.Millis
+	// EngineReadInterval is the span between two reads of an owned engine's report.
+	EngineReadInterval clock.Millis
 }
 
 // DefaultOptions returns options with every limit set, for a daemon to complete.
 func DefaultOptions() Options {
 	return Options{
-		Owner:         owner.DefaultOptions(),
-		Home:          home.DefaultOptions(),
-		Loads:         loads.DefaultOptions(),
-		Weights:       placement.DefaultWeights(),
-		Rollout:       rollout.DefaultOptions(),
-		Ownership:     ownership.DefaultOptions(),
-		RetryShare:    0.1,
-		StateInterval: 250 * clock.Millisecond,
-		ReadInterval:  clock.Second,
+		Owner:              owner.DefaultOptions(),
+		Home:               home.DefaultOptions(),
+		Loads:              loads.DefaultOptions(),
+		Weights:            placement.DefaultWeights(),
+		Rollout:            rollout.DefaultOptions(),
+		Ownership:          ownership.DefaultOptions(),
+		RetryShare:         0.1,
+		MinUpdateInterval:  250 * clock.Millisecond,
+		EngineReadInterval: clock.Second,
 	}
 }
 
@@ -159,17 +159,17 @@
 
 func (node *Node) handle(event Event) {
 	switch event := event.(type) {
-	case Arrived:
+	case RequestArrived:
 		node.arrived(event)
-	case CallerGone:
-		node.callerGone(event.Stream)
-	case HeadArrived:
-		node.headArrived(event)
+	case CallerDisconnected:
+		node.callerDisconnected(event.Stream)
+	case AnswerStarted:
+		node.answerStarted(event)
 	case ServiceEnded:
 		node.serviceEnded(event)
 	case AnswerReceived:
 		node.answerReceived(event)
-	case Received:
+	case MessageReceived:
 		node.received(event.From, event.Message)
 	case PeerLost:
 		node.peers.Lost(event.Peer)
@@ -214,7 +214,7 @@
 		node.attemptEnded(from, received)
 	case message.HomeBegin:
 		node.homeEffects(node.home.Begin(node.now, received))
-	case message.HomeVerdict:
+	case message.HomeDecision:
 		node.homeVerdict(from, received)
 	case message.HomeFinish:
 		node.homeEffects(node.home.Finish(node.now, received))
@@ -224,13 +224,13 @@
 		node.homeEffects(node.home.Copied(node.now, received))
 	case message.HomeCopyAck:
 		node.homeEffects(node.home.CopyConfirmed(received))
-	case message.HomeForget:
+	case message.HomeCopyDelete:
 		node.homeEffects(node.home.Forgotten(received))
-	case message.LoadAsk:
+	case message.LoadRequest:
 		node.loadAsk(from, received)
 	case message.LoadGrant:
 		node.loadGrant(received)
-	case message.LoadVerdict:
+	case message.LoadDecision:
 		node.loadVerdict(received)
 	case message.LoadDone:
 		node.loadDone(received)
@@ -244,13 +244,13 @@
 		node.configEffects(node.rollout.Part(node.now, received))
 	case message.Update:
 		node.updated(received)
-	case message.UpdateAsk:
+	case message.FullUpdateRequest:
 		node.updateAsked(received)
-	case message.HandoverAsk:
+	case message.HandoverRequest:
 		node.handoverAsked(from, received)
-	case message.Outbid:
+	case message.HigherClaim:
 		node.outbidHeard(received)
-	case message.Moved:
+	case message.RequestMoved:
 		node.moved(received)
 	case message.Handover:
 		node.handedOver(from, received)
--- a/internal/decide/node/node_test.go
+++ b/internal/decide/node/node_test.go
@@ -46,7 +46,7 @@
 
 func newNetwork(t testing.TB, daemons, engines int) *nodetest.Network {
 	t.Helper()
-	return newNetworkWith(t, daemons, engines, nodetest.EngineOptions{RunSpan: 200, LoadSpan: 500})
+	return newNetworkWith(t, daemons, engines, nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500})
 }
 
 func entryVMs(names ...string) []members.VM {
@@ -77,7 +77,7 @@
 func TestOneRequestOnVirtualTime(t *testing.T) {
 	network := newNetwork(t, 3, 2)
 	network.Run(5 * clock.Second)
-	network.Arrive("daemon-1", node.Arrived{RequestID: "r1", APIKey: callerKey, Model: "review-3@1", Path: "/v1/completions"})
+	network.SendRequest("daemon-1", node.RequestArrived{RequestID: "r1", APIKey: callerKey, Model: "review-3@1", Path: "/v1/completions"})
 	answered := network.RunUntil(20*clock.Second, func() bool { return len(network.Answers["r1"]) > 0 })
 	require.True(t, answered)
 	require.Equal(t, outcome.Done(), network.Answers["r1"][0].Outcome)
@@ -88,7 +88,7 @@
 	network := newNetwork(t, 3, 2)
 	network.Run(10 * clock.Second) // until homes vouch for fresh keys
 	for i, daemon := range network.HostNames() {
-		network.Arrive(daemon, node.Arrived{
+		network.SendRequest(daemon, node.RequestArrived{
 			RequestID: fmt.Sprintf("r%d", i), APIKey: callerKey, Model: "quote-1@1", Path: "/v1/completions",
 			Key: "k1", KeyIssuedAt: network.Now, BodyHash: "h",
 		})
@@ -96,7 +96,7 @@
 	network.Run(20 * clock.Second)
 	runs := 0
 	for _, engine := range network.Engines {
-		for _, count := range engine.Ran {
+		for _, count := range engine.RunsStarted {
 			runs += count
 		}
 	}
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -39,7 +39,7 @@
 	submit.Entry = entry
 	submit.Hops++
 	node.send(heir, submit)
-	node.send(entry, message.Moved{Stream: submit.Stream, Class: submit.Request.Class, Owner: heir})
+	node.send(entry, message.RequestMoved{Stream: submit.Stream, Class: submit.Request.Class, Owner: heir})
 }
 
 // submittedElsewhere refuses a request for an engine that this daemon does not
--- a/internal/decide/node/ownership_test.go
+++ b/internal/decide/node/ownership_test.go
@@ -55,9 +55,9 @@
 		Seed: rapid.Uint64Range(1, 1<<32).Draw(t, "seed"), Delay: 2, Jitter: 30, TickInterval: 50,
 		Config: published, VMs: vms,
 		Engine: nodetest.EngineOptions{
-			RunSpan:   rapid.SampledFrom([]clock.Millis{300, 1500, 4000, 9000}).Draw(t, "run span"),
-			LoadSpan:  200,
-			ReportLag: rapid.SampledFrom([]clock.Millis{0, 400, 1500}).Draw(t, "report lag"),
+			RunDuration:  rapid.SampledFrom([]clock.Millis{300, 1500, 4000, 9000}).Draw(t, "run span"),
+			LoadDuration: 200,
+			ReportLag:    rapid.SampledFrom([]clock.Millis{0, 400, 1500}).Draw(t, "report lag"),
 		},
 		Node: node.DefaultOptions(),
 	})
@@ -89,7 +89,7 @@
 	network := history.network
 	name := history.names[left%len(history.names)]
 	if host := network.Nodes[name]; !host.Dead && !host.Paused {
-		network.Arrive(name, node.Arrived{
+		network.SendRequest(name, node.RequestArrived{
 			RequestID: fmt.Sprintf("flow %d", left), APIKey: callerKey, Path: "/v1/completions",
 			Model: fmt.Sprintf("review-%d@1", left*7%8),
 		})
@@ -120,7 +120,7 @@
 			continue
 		}
 		history.request++
-		history.network.Arrive(name, node.Arrived{
+		history.network.SendRequest(name, node.RequestArrived{
 			RequestID: fmt.Sprintf("r%d", history.request), APIKey: callerKey, Path: "/v1/completions",
 			Model: fmt.Sprintf("review-%d@1", rapid.SampledFrom([]int{0, 1, 2, 3, 4, 5, 6, 7}).Draw(history.t, "adapter")),
 		})
@@ -133,7 +133,7 @@
 func (history *history) callerLeaves(name ident.DaemonID) {
 	gone := fmt.Sprintf("r%d", history.request)
 	host := history.network.Nodes[name]
-	history.network.After(history.span(2*clock.Second), func() { history.network.Leave(host, gone) })
+	history.network.After(history.span(2*clock.Second), func() { history.network.DisconnectCaller(host, gone) })
 }
 
 func (history *history) pause() {
@@ -171,7 +171,7 @@
 // with readings that lag differently at each daemon.
 func (history *history) relist() {
 	for _, name := range history.names {
-		history.network.ListLag[name] = history.span(longestList)
+		history.network.VMListLag[name] = history.span(longestList)
 	}
 	vms := history.network.VMs()
 	changed := history.daemon()
@@ -186,8 +186,8 @@
 
 func (history *history) listFails() {
 	name := history.daemon()
-	history.network.ListDown[name] = true
-	history.network.After(history.span(longestPause), func() { delete(history.network.ListDown, name) })
+	history.network.VMListUnavailable[name] = true
+	history.network.After(history.span(longestPause), func() { delete(history.network.VMListUnavailable, name) })
 }
 
 func (history *history) engineRestarts() {
@@ -197,7 +197,7 @@
 // lossy makes messages get lost, arrive twice, and overtake each other.
 func (history *history) lossy() {
 	network := history.network
-	network.DropShare, network.DuplicateShare, network.SlowShare, network.SlowSpan = 0.1, 0.1, 0.1, 5*clock.Second
+	network.DropShare, network.DuplicateShare, network.SlowShare, network.MaxSlowDelay = 0.1, 0.1, 0.1, 5*clock.Second
 	network.After(history.span(longestPause), func() {
 		network.DropShare, network.DuplicateShare, network.SlowShare = 0, 0, 0
 	})
@@ -210,7 +210,7 @@
 	if host.Dead || host.Paused {
 		return
 	}
-	history.network.Feed(host, node.Shutdown{})
+	history.network.HandleEvent(host, node.Shutdown{})
 	history.network.After(history.span(longestPause), func() {
 		if !host.Dead {
 			history.network.Kill(name)
@@ -247,8 +247,8 @@
 // recover ends every fault and requires that each daemon serves again.
 func (history *history) recover() {
 	network := history.network
-	clear(network.ListDown)
-	clear(network.ListLag)
+	clear(network.VMListUnavailable)
+	clear(network.VMListLag)
 	vms := network.VMs()
 	for i := range vms {
 		vms[i].State = members.Live
@@ -257,7 +257,7 @@
 	network.Run(3 * longestPause)
 	for i, name := range network.HostNames() {
 		request := fmt.Sprintf("last %d", i)
-		network.Arrive(name, node.Arrived{
+		network.SendRequest(name, node.RequestArrived{
 			RequestID: request, APIKey: callerKey, Path: "/v1/completions", Model: "review-0@1",
 		})
 		answered := network.RunUntil(longestPause+10*clock.Second, func() bool { return len(network.Answers[request]) > 0 })
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -292,7 +292,7 @@
 
 // tickOwned lets an owned engine's machine go on and reads its report when due.
 func (node *Node) tickOwned(name ident.EngineID, held *owned) {
-	if node.now-held.readAt >= node.options.ReadInterval {
+	if node.now-held.readAt >= node.options.EngineReadInterval {
 		held.readAt = node.now
 		node.showNumber(name, held)
 		node.emit(effect.ReadEngine{Engine: name, Fence: held.owner.Fence, At: node.now})
--- a/internal/decide/node/request.go
+++ b/internal/decide/node/request.go
@@ -57,7 +57,7 @@
 // request is one caller's request at its entry.
 type request struct {
 	state    requestState
-	arrived  Arrived
+	arrived  RequestArrived
 	stream   ident.StreamID // of the present attempt
 	adapter  ident.Adapter
 	rule     config.Decision
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -28,7 +28,7 @@
 func startCourse(t *testing.T, model string) *course {
 	t.Helper()
 	network := newNetwork(t, 4, 1)
-	network.Engines["engine-0"].SetRunSpan(4 * clock.Second)
+	network.Engines["engine-0"].SetRunDuration(4 * clock.Second)
 	started := &course{network: network}
 	network.OnSend = func(_, to ident.DaemonID, sent message.Message) {
 		switch sent := sent.(type) {
@@ -47,17 +47,17 @@
 			started.entry = name
 		}
 	}
-	network.Arrive(started.entry, node.Arrived{
+	network.SendRequest(started.entry, node.RequestArrived{
 		RequestID: "r", APIKey: callerKey, Model: model, Path: "/v1/completions",
 		Key: "k", KeyIssuedAt: network.Now, BodyHash: "h",
 	})
-	began := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].Ran["r"] == 1 })
+	began := network.RunUntil(5*clock.Second, func() bool { return network.Engines["engine-0"].RunsStarted["r"] == 1 })
 	require.True(t, began)
 	return started
 }
 
 func (course *course) feed(event node.Event) {
-	course.network.Feed(course.network.Nodes[course.entry], event)
+	course.network.HandleEvent(course.network.Nodes[course.entry], event)
 }
 
 // killOwner ends the engine's owner and takes it off the VM list.
@@ -77,7 +77,7 @@
 	course.network.Run(30 * clock.Second)
 	require.Len(t, course.network.Answers["r"], 1)
 	require.Equal(t, want, course.network.Answers["r"][0].Outcome)
-	require.Equal(t, 1, course.network.Engines["engine-0"].Ran["r"], "runs")
+	require.Equal(t, 1, course.network.Engines["engine-0"].RunsStarted["r"], "runs")
 }
 
 // TestLostRunIsResumed kills the owner of an engine in the middle of a run that
@@ -87,7 +87,7 @@
 		t.Run(name, func(t *testing.T) {
 			course := startCourse(t, model)
 			if model == "review-1@1" {
-				course.feed(node.HeadArrived{Stream: course.submit.Stream, From: course.owner, Status: 200})
+				course.feed(node.AnswerStarted{Stream: course.submit.Stream, From: course.owner, Status: 200})
 			}
 			course.killOwner()
 			course.requireAnswered(t, outcome.Done())
@@ -102,7 +102,7 @@
 // TestGapInAnswer lets an owner send more chunks than arrived.
 func TestGapInAnswer(t *testing.T) {
 	course := startCourse(t, "quote-1@1")
-	course.feed(node.HeadArrived{Stream: course.submit.Stream, From: course.owner, Status: 200})
+	course.feed(node.AnswerStarted{Stream: course.submit.Stream, From: course.owner, Status: 200})
 	course.feed(node.AnswerReceived{Stream: course.submit.Stream, Chunks: 2})
 	course.requireAnswered(t, outcome.Lost(outcome.Truncated))
 }
@@ -112,7 +112,7 @@
 	course := startCourse(t, "quote-1@1")
 	course.killOwner()
 	course.network.Run(10)
-	course.feed(node.CallerGone{Stream: course.submit.Stream})
+	course.feed(node.CallerDisconnected{Stream: course.submit.Stream})
 	require.Equal(t, outcome.Lost(outcome.CallerGone), course.network.Answers["r"][0].Outcome, "at once")
 	course.network.Run(20 * clock.Second)
 	require.NotEmpty(t, course.cancels)
--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -22,7 +22,7 @@
 	// Members are the daemons of the region, as listed and as heard of.
 	Members []Member
 	Owned   []message.EngineState
-	Known   []EngineKnowledge
+	Known   []KnownEngine
 }
 
 // Member is what a daemon knows of another of its region.
@@ -41,8 +41,8 @@
 	Lost    bool
 }
 
-// EngineKnowledge is what a daemon knows of one engine, and how old that is.
-type EngineKnowledge struct {
+// KnownEngine is what a daemon knows of one engine, and how old that is.
+type KnownEngine struct {
 	State message.EngineState
 	Age   clock.Millis
 }
@@ -65,7 +65,7 @@
 		status.Owned = append(status.Owned, node.owning.owned[name].owner.State(now))
 	}
 	for view := range node.views.All() {
-		status.Known = append(status.Known, EngineKnowledge{State: view.State, Age: now - view.HeardAt})
+		status.Known = append(status.Known, KnownEngine{State: view.State, Age: now - view.HeardAt})
 	}
 	return status
 }
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -100,8 +100,8 @@
 	service.wake()
 }
 
-// Remember makes the values of this moment the stale ones, for good.
-func (service *ConfigService) Remember() {
+// FixStaleValues makes the values of this moment the stale ones, for good.
+func (service *ConfigService) FixStaleValues() {
 	service.old = maps.Clone(service.values)
 	service.remembered = true
 }
@@ -165,7 +165,7 @@
 func (service *ConfigService) reply(host *Host, life uint64, event node.Event) {
 	service.network.after(service.network.options.Delay, func() {
 		if host.life == life {
-			service.network.Feed(host, event)
+			service.network.HandleEvent(host, event)
 		}
 	})
 }
@@ -210,7 +210,7 @@
 	life := host.life
 	service.network.after(assemblySpan, func() {
 		if host.life == life {
-			service.network.Feed(host, known)
+			service.network.HandleEvent(host, known)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 func (network *Network) performConfig(host *Host, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.WatchConfig:
-		if network.options.Published {
+		if network.options.UseConfigService {
 			network.Service.watch(host, next)
 		}
 	case effect.ReadConfigPart:
@@ -230,9 +230,9 @@
 	}
 }
 
-// InForce returns the versions in force and the number of live daemons that
+// VersionsInForce returns the versions in force and the number of live daemons that
 // have each; daemons without a configuration count under 0.
-func (network *Network) InForce() map[uint64]int {
+func (network *Network) VersionsInForce() map[uint64]int {
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
 		if !host.Dead {
@@ -249,8 +249,8 @@
 	return host.Node.Config().Version()
 }
 
-// Everywhere reports whether every live daemon that is not paused has a version in force.
-func (network *Network) Everywhere(wanted uint64) bool {
+// InForceEverywhere reports whether every live daemon that is not paused has a version in force.
+func (network *Network) InForceEverywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
 		return !host.Dead && !host.Paused && version(host) != wanted
 	})
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -16,9 +16,9 @@
 
 // EngineOptions describe the fake engines and the weight store behind them.
 type EngineOptions struct {
-	// RunSpan is how long a run takes; LoadSpan how long the store takes for a load.
-	RunSpan  clock.Millis
-	LoadSpan clock.Millis
+	// RunDuration is how long a run takes; LoadSpan how long the store takes for a load.
+	RunDuration  clock.Millis
+	LoadDuration clock.Millis
 	// ReportLag is the age of a state report.
 	ReportLag clock.Millis
 	// FailLoadShare is the share of loads that fail, from 0 to 1.
@@ -29,8 +29,8 @@
 
 // Engine is a fake model engine. Its ledger and violations are the judge.
 type Engine struct {
-	// Ran counts the runs begun, by request id.
-	Ran map[string]int
+	// RunsStarted counts the runs begun, by request id.
+	RunsStarted map[string]int
 	// Violations lists orders that broke a promise, such as an unload in use.
 	Violations []string
 
@@ -70,14 +70,14 @@
 }
 
 func newEngine(network *Network, engine config.Engine, options EngineOptions) *Engine {
-	fake := &Engine{Ran: map[string]int{}, network: network, config: engine, options: options}
+	fake := &Engine{RunsStarted: map[string]int{}, network: network, config: engine, options: options}
 	fake.Restart()
 	return fake
 }
 
-// SetRunSpan changes how long a run takes.
-func (engine *Engine) SetRunSpan(span clock.Millis) {
-	engine.options.RunSpan = span
+// SetRunDuration changes how long a run takes.
+func (engine *Engine) SetRunDuration(span clock.Millis) {
+	engine.options.RunDuration = span
 }
 
 // Restart voids slots and runs, as a cold start does.
@@ -120,7 +120,7 @@
 	life := host.life
 	engine.network.after(engine.network.options.Delay, func() {
 		if host.life == life {
-			engine.network.Feed(host, event)
+			engine.network.HandleEvent(host, event)
 		}
 	})
 }
@@ -156,8 +156,8 @@
 func (engine *Engine) begin(host *Host, start effect.StartRun) {
 	began := &run{adapter: start.Request.Adapter, request: start.Request.ID}
 	engine.runs[start.Stream] = began
-	engine.Ran[start.Request.ID]++
-	engine.network.options.Observer.began(engine.network.Now, start.Request.ID, engine.config.Name)
+	engine.RunsStarted[start.Request.ID]++
+	engine.network.options.Observer.runStarted(engine.network.Now, start.Request.ID, engine.config.Name)
 	if engine.options.Step.Base > 0 {
 		began.tokens = tokensOf(start.Request.Body)
 		engine.await(host, start.Stream, began)
@@ -165,7 +165,7 @@
 		return
 	}
 	boots := engine.boots
-	engine.network.after(engine.options.RunSpan, func() {
+	engine.network.after(engine.options.RunDuration, func() {
 		if engine.boots == boots {
 			began.ended = true
 		}
@@ -190,7 +190,7 @@
 		awaited.waiters = append(awaited.waiters, ended)
 		return
 	}
-	engine.network.after(engine.options.RunSpan, ended)
+	engine.network.after(engine.options.RunDuration, ended)
 }
 
 func (engine *Engine) cancel(host *Host, cancel effect.CancelRun) {
@@ -217,7 +217,7 @@
 			return
 		}
 		store := &engine.network.store
-		store.freeAt = max(store.freeAt, engine.network.Now) + engine.options.LoadSpan
+		store.freeAt = max(store.freeAt, engine.network.Now) + engine.options.LoadDuration
 		store.loads++
 		boots := engine.boots
 		engine.network.after(store.freeAt-engine.network.Now, func() {
@@ -227,7 +227,7 @@
 			if !failed {
 				engine.loaded[load.Adapter] = true
 			}
-			engine.network.options.Observer.loaded(engine.network.Now, engine.config.Name, load.Adapter, failed)
+			engine.network.options.Observer.loadEnded(engine.network.Now, engine.config.Name, load.Adapter, failed)
 			engine.reply(host, node.LoadEnded{Engine: engine.config.Name, Adapter: load.Adapter, Failed: failed})
 		})
 	})
@@ -239,7 +239,7 @@
 		if !failed {
 			engine.checkUnload(host, unload)
 			delete(engine.loaded, unload.Adapter)
-			engine.network.options.Observer.unloaded(engine.network.Now, engine.config.Name, unload.Adapter)
+			engine.network.options.Observer.adapterUnloaded(engine.network.Now, engine.config.Name, unload.Adapter)
 		}
 		engine.reply(host, node.UnloadEnded{Engine: engine.config.Name, Adapter: unload.Adapter, Failed: failed, Fenced: failed})
 	})
--- a/internal/decide/nodetest/history.go
+++ b/internal/decide/nodetest/history.go
@@ -59,8 +59,8 @@
 	Network *Network
 	// MaxListLag bounds how far a daemon's reading of the VM list lags.
 	MaxListLag clock.Millis
-	// Drawn counts the faults, by kind.
-	Drawn map[string]int
+	// Counts counts the faults, by kind.
+	Counts map[string]int
 
 	renamed int
 }
@@ -75,7 +75,7 @@
 func (faults *Faults) Draw(t *rapid.T) {
 	kind := rapid.SampledFrom(faultKinds).Draw(t, "fault")
 	name := rapid.SampledFrom(faults.Network.HostNames()).Draw(t, "daemon")
-	faults.Drawn[kind]++
+	faults.Counts[kind]++
 	faults.bringAbout(t, kind, name)
 }
 
@@ -104,19 +104,19 @@
 	case "drop":
 		network.DropShare = rapid.Float64Range(0, 0.4).Draw(t, "share")
 	case "slow":
-		network.SlowShare, network.SlowSpan = rapid.Float64Range(0, 0.3).Draw(t, "share"), 3*clock.Second
+		network.SlowShare, network.MaxSlowDelay = rapid.Float64Range(0, 0.3).Draw(t, "share"), 3*clock.Second
 	case "duplicate":
 		network.DuplicateShare = rapid.Float64Range(0, 0.5).Draw(t, "share")
 	case "list lag":
-		network.ListLag[name] = clock.Millis(rapid.Int64Range(0, int64(faults.MaxListLag)).Draw(t, "lag"))
+		network.VMListLag[name] = clock.Millis(rapid.Int64Range(0, int64(faults.MaxListLag)).Draw(t, "lag"))
 	case "list down":
-		network.ListDown[name] = !network.ListDown[name]
+		network.VMListUnavailable[name] = !network.VMListUnavailable[name]
 	case "leaving":
 		faults.setState(name, members.Leaving)
 	case "replace all":
 		faults.ReplaceAll()
 	case "shutdown":
-		network.Feed(host, node.Shutdown{})
+		network.HandleEvent(host, node.Shutdown{})
 	}
 }
 
@@ -158,12 +158,12 @@
 	}
 }
 
-// Heal ends every fault and starts what is dead or leaving anew.
-func (faults *Faults) Heal() {
+// EndAll ends every fault and starts what is dead or leaving anew.
+func (faults *Faults) EndAll() {
 	network := faults.Network
 	clear(network.Blocked)
-	clear(network.ListLag)
-	clear(network.ListDown)
+	clear(network.VMListLag)
+	clear(network.VMListUnavailable)
 	network.DropShare, network.SlowShare, network.DuplicateShare = 0, 0, 0
 	for _, name := range network.HostNames() {
 		network.Resume(name)
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -33,16 +33,16 @@
 	Config       config.Config
 	VMs          []members.VM
 	Engine       EngineOptions
-	// Published says that daemons learn the configuration from the network's
+	// UseConfigService says that daemons learn the configuration from the network's
 	// configuration service; otherwise it is handed to each at its start.
-	Published bool
+	UseConfigService bool
 	// Node completes the options of each node; identity is set by the network.
 	Node node.Options
 	// Observer is told what happens.
 	Observer Observer
-	// Instant gives every daemon the present state of every engine before each
+	// PerfectKnowledge gives every daemon the present state of every engine before each
 	// arrival: the perfect knowledge that baselines of a replay have.
-	Instant bool
+	PerfectKnowledge bool
 }
 
 // Network is a set of nodes with everything around them.
@@ -55,8 +55,8 @@
 	Answers map[string][]effect.Answer
 	// Audits holds every audited change, in order.
 	Audits []effect.Audit
-	// Ledger counts the calls that plain services ran, by stream.
-	Ledger map[string]int
+	// ServiceCalls counts the calls that plain services ran, by stream.
+	ServiceCalls map[string]int
 	// Blocked lists directions in which nothing arrives.
 	Blocked map[Direction]bool
 	// DropShare is the share of messages that are lost, from 0 to 1.
@@ -65,11 +65,11 @@
 	// share that takes up to SlowSpan longer, overtaken by later ones.
 	DuplicateShare float64
 	SlowShare      float64
-	SlowSpan       clock.Millis
-	// ListLag is how old the VM list is that a daemon reads; ListDown lists the
+	MaxSlowDelay   clock.Millis
+	// VMListLag is how old the VM list is that a daemon reads; ListDown lists the
 	// daemons that cannot read it.
-	ListLag  map[ident.DaemonID]clock.Millis
-	ListDown map[ident.DaemonID]bool
+	VMListLag         map[ident.DaemonID]clock.Millis
+	VMListUnavailable map[ident.DaemonID]bool
 	// Steps counts the events that nodes have taken in.
 	Steps int
 	// OnSend sees every message that one daemon sends to another.
@@ -114,8 +114,8 @@
 	}
 	network := &Network{
 		Now: Start, Nodes: map[ident.DaemonID]*Host{}, Engines: map[ident.EngineID]*Engine{},
-		Answers: map[string][]effect.Answer{}, Ledger: map[string]int{}, Blocked: map[Direction]bool{},
-		ListLag: map[ident.DaemonID]clock.Millis{}, ListDown: map[ident.DaemonID]bool{},
+		Answers: map[string][]effect.Answer{}, ServiceCalls: map[string]int{}, Blocked: map[Direction]bool{},
+		VMListLag: map[ident.DaemonID]clock.Millis{}, VMListUnavailable: map[ident.DaemonID]bool{},
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 0)), snapshot: snapshot,
 	}
 	network.Service = newConfigService(network)
@@ -143,8 +143,8 @@
 	network.sequence++
 	host := &Host{Name: name, Node: node.New(options), VM: vm, life: network.sequence, streams: map[ident.StreamID]string{}}
 	network.Nodes[name] = host
-	if !network.options.Published {
-		network.Feed(host, node.ConfigRead{Snapshot: network.snapshot})
+	if !network.options.UseConfigService {
+		network.HandleEvent(host, node.ConfigRead{Snapshot: network.snapshot})
 	}
 	network.readLists(host)
 	network.tick(host)
@@ -190,16 +190,16 @@
 // readList lets a daemon read the VM list, as old as its lag makes it. A paused
 // daemon reads nothing.
 func (network *Network) readList(host *Host) {
-	if host.Paused || host.Dead || network.ListDown[host.Name] {
+	if host.Paused || host.Dead || network.VMListUnavailable[host.Name] {
 		return
 	}
 	shown := network.lists[0].list
 	for _, version := range network.lists {
-		if network.Now-version.at >= network.ListLag[host.Name] {
+		if network.Now-version.at >= network.VMListLag[host.Name] {
 			shown = version.list
 		}
 	}
-	network.Feed(host, node.VMListRead{View: members.NewView(shown, network.Now)})
+	network.HandleEvent(host, node.VMListRead{View: members.NewView(shown, network.Now)})
 }
 
 // Kill ends a daemon without a word. Its peers notice the lost connections.
@@ -212,7 +212,7 @@
 
 func (network *Network) loseLanes(host *Host, peer ident.DaemonID) {
 	for lane := range message.LaneCount {
-		network.after(network.options.Delay, func() { network.Feed(host, node.PeerLost{Peer: peer, Lane: lane}) })
+		network.after(network.options.Delay, func() { network.HandleEvent(host, node.PeerLost{Peer: peer, Lane: lane}) })
 	}
 }
 
@@ -228,13 +228,13 @@
 	backlog := host.backlog
 	host.backlog = nil
 	for _, event := range backlog {
-		network.Feed(host, event)
+		network.HandleEvent(host, event)
 	}
 }
 
 func (network *Network) tick(host *Host) {
 	if !host.Paused {
-		network.Feed(host, node.Tick{})
+		network.HandleEvent(host, node.Tick{})
 	}
 	life := host.life
 	network.after(network.options.TickInterval, func() {
@@ -244,29 +244,29 @@
 	})
 }
 
-// Arrive brings a caller's request to a daemon.
-func (network *Network) Arrive(name ident.DaemonID, arrived node.Arrived) {
+// SendRequest brings a caller's request to a daemon.
+func (network *Network) SendRequest(name ident.DaemonID, arrived node.RequestArrived) {
 	host := network.Nodes[name]
-	if network.options.Instant {
+	if network.options.PerfectKnowledge {
 		network.refresh(host)
 	}
 	arrived.Stream = host.Node.NewStream()
 	host.streams[arrived.Stream] = arrived.RequestID
-	network.Feed(host, arrived)
+	network.HandleEvent(host, arrived)
 }
 
-// Leave closes the connection of the caller of a request.
-func (network *Network) Leave(host *Host, request string) {
+// DisconnectCaller closes the connection of the caller of a request.
+func (network *Network) DisconnectCaller(host *Host, request string) {
 	for stream, id := range host.streams {
 		if id == request {
-			network.Feed(host, node.CallerGone{Stream: stream})
+			network.HandleEvent(host, node.CallerDisconnected{Stream: stream})
 			return
 		}
 	}
 }
 
-// Feed steps a node with an event and carries out what follows.
-func (network *Network) Feed(host *Host, event node.Event) {
+// HandleEvent steps a node with an event and carries out what follows.
+func (network *Network) HandleEvent(host *Host, event node.Event) {
 	if host.Dead {
 		return
 	}
@@ -288,7 +288,7 @@
 		request := host.streams[next.Stream]
 		delete(host.streams, next.Stream)
 		network.Answers[request] = append(network.Answers[request], next)
-		network.options.Observer.answered(network.Now, request, next)
+		network.options.Observer.requestAnswered(network.Now, request, next)
 	case effect.Rebind:
 		host.streams[next.To] = host.streams[next.From]
 		delete(host.streams, next.From)
@@ -302,12 +302,12 @@
 		network.Engines[next.Engine].unload(host, next)
 	case effect.ReadEngine:
 		network.Engines[next.Engine].read(host, next)
-	case effect.ReadVMs:
+	case effect.ReadVMList:
 		network.after(network.options.Delay, func() { network.readList(host) })
 	case effect.CallService:
-		network.Ledger[next.Service+"/"+host.streams[next.Stream]]++
+		network.ServiceCalls[next.Service+"/"+host.streams[next.Stream]]++
 		network.after(network.options.Delay, func() {
-			network.Feed(host, node.ServiceEnded{
+			network.HandleEvent(host, node.ServiceEnded{
 				Stream: next.Stream, Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: 200},
 			})
 		})
@@ -330,7 +330,7 @@
 	}
 	deliver := func() {
 		if to, known := network.Nodes[sent.To]; known {
-			network.Feed(to, node.Received{From: from.Name, Message: sent.Message})
+			network.HandleEvent(to, node.MessageReceived{From: from.Name, Message: sent.Message})
 		}
 	}
 	network.after(network.transit(), deliver)
@@ -347,7 +347,7 @@
 
 func (network *Network) transit() clock.Millis {
 	if network.chance(network.SlowShare) {
-		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.SlowSpan)+1))
+		return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.MaxSlowDelay)+1))
 	}
 	if network.options.Jitter <= 0 {
 		return network.options.Delay
--- a/internal/decide/nodetest/observer.go
+++ b/internal/decide/nodetest/observer.go
@@ -11,44 +11,44 @@
 // not set are not called.
 type Observer struct {
 	// Began: an engine began a run of the request.
-	Began func(at clock.Millis, request string, engine ident.EngineID)
+	RunStarted func(at clock.Millis, request string, engine ident.EngineID)
 	// Answered: a caller was told the end of its request.
-	Answered func(at clock.Millis, request string, answer effect.Answer)
+	RequestAnswered func(at clock.Millis, request string, answer effect.Answer)
 	// Stepped: an engine made one step for a batch of this many runs.
-	Stepped func(engine ident.EngineID, batch, capacity int)
+	BatchStepped func(engine ident.EngineID, batch, capacity int)
 	// Loaded: a load ended.
-	Loaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool)
+	LoadEnded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool)
 	// Unloaded: an adapter left its slot.
-	Unloaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter)
+	AdapterUnloaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter)
 }
 
-func (observer *Observer) began(at clock.Millis, request string, engine ident.EngineID) {
-	if observer.Began != nil {
-		observer.Began(at, request, engine)
+func (observer *Observer) runStarted(at clock.Millis, request string, engine ident.EngineID) {
+	if observer.RunStarted != nil {
+		observer.RunStarted(at, request, engine)
 	}
 }
 
-func (observer *Observer) answered(at clock.Millis, request string, answer effect.Answer) {
-	if observer.Answered != nil {
-		observer.Answered(at, request, answer)
+func (observer *Observer) requestAnswered(at clock.Millis, request string, answer effect.Answer) {
+	if observer.RequestAnswered != nil {
+		observer.RequestAnswered(at, request, answer)
 	}
 }
 
-func (observer *Observer) stepped(engine ident.EngineID, batch, capacity int) {
-	if observer.Stepped != nil {
-		observer.Stepped(engine, batch, capacity)
+func (observer *Observer) batchStepped(engine ident.EngineID, batch, capacity int) {
+	if observer.BatchStepped != nil {
+		observer.BatchStepped(engine, batch, capacity)
 	}
 }
 
-func (observer *Observer) loaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool) {
-	if observer.Loaded != nil {
-		observer.Loaded(at, engine, adapter, failed)
+func (observer *Observer) loadEnded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool) {
+	if observer.LoadEnded != nil {
+		observer.LoadEnded(at, engine, adapter, failed)
 	}
 }
 
-func (observer *Observer) unloaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter) {
-	if observer.Unloaded != nil {
-		observer.Unloaded(at, engine, adapter)
+func (observer *Observer) adapterUnloaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter) {
+	if observer.AdapterUnloaded != nil {
+		observer.AdapterUnloaded(at, engine, adapter)
 	}
 }
 
@@ -59,7 +59,7 @@
 			continue
 		}
 		for _, state := range other.Node.Status(network.Now).Owned {
-			network.Feed(host, node.Received{From: other.Name, Message: state})
+			network.HandleEvent(host, node.MessageReceived{From: other.Name, Message: state})
 		}
 	}
 }
--- a/internal/decide/nodetest/steps.go
+++ b/internal/decide/nodetest/steps.go
@@ -54,7 +54,7 @@
 	for _, running := range engine.batch {
 		adapters[running.adapter] = true
 	}
-	engine.network.options.Observer.stepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
+	engine.network.options.Observer.batchStepped(engine.config.Name, len(engine.batch), engine.config.MaxRuns)
 	stepped := append([]*run(nil), engine.batch...)
 	boots := engine.boots
 	engine.network.after(engine.options.Step.span(len(stepped), len(adapters)), func() {
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -56,7 +56,7 @@
 	options.RetryShare = 1 // so that repeated attempts are common
 	network, err := nodetest.New(nodetest.Options{
 		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(), VMs: vms,
-		Engine: nodetest.EngineOptions{RunSpan: 800, LoadSpan: 300, ReportLag: 200, FailLoadShare: failLoads}, Node: options,
+		Engine: nodetest.EngineOptions{RunDuration: 800, LoadDuration: 300, ReportLag: 200, FailLoadShare: failLoads}, Node: options,
 	})
 	require.NoError(t, err)
 	return network
@@ -84,7 +84,7 @@
 		return
 	}
 	next := sent{id: fmt.Sprintf("r%d", len(history.sent)), host: host, repeatable: rapid.Bool().Draw(t, "repeatable")}
-	arrived := node.Arrived{RequestID: next.id, APIKey: apiKey, Path: "/v1/completions", BodyHash: "h"}
+	arrived := node.RequestArrived{RequestID: next.id, APIKey: apiKey, Path: "/v1/completions", BodyHash: "h"}
 	if next.repeatable {
 		arrived.Model = fmt.Sprintf("review-%d@1", rapid.IntRange(0, 3).Draw(t, "adapter"))
 	} else {
@@ -92,7 +92,7 @@
 		arrived.Key, arrived.KeyIssuedAt = "key-"+next.id, network.Now
 	}
 	history.sent = append(history.sent, next)
-	network.Arrive(name, arrived)
+	network.SendRequest(name, arrived)
 }
 
 func (history *history) restartEngine(t *rapid.T) {
@@ -105,7 +105,7 @@
 	for _, request := range history.sent {
 		runs := 0
 		for _, engine := range history.network.Engines {
-			runs += engine.Ran[request.id]
+			runs += engine.RunsStarted[request.id]
 		}
 		if !request.repeatable {
 			require.LessOrEqual(t, runs, 1, "request %s must not be repeated and ran %d times", request.id, runs)
@@ -154,7 +154,7 @@
 	}
 	network := newNetwork(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0, 0.3}).Draw(t, "failing loads"))
 	history := &history{network: network, faults: &nodetest.Faults{
-		Network: network, MaxListLag: node.DefaultOptions().Home.ListLag, Drawn: map[string]int{},
+		Network: network, MaxListLag: node.DefaultOptions().Home.ListLag, Counts: map[string]int{},
 	}}
 	network.Run(10 * clock.Second)
 	for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -170,7 +170,7 @@
 		}
 		history.check(t)
 	}
-	history.faults.Heal()
+	history.faults.EndAll()
 	network.Run(90 * clock.Second)
 	history.check(t)
 	for _, request := range history.sent {
@@ -183,7 +183,7 @@
 		}
 	}
 	tally.Requests += len(history.sent)
-	for _, count := range history.faults.Drawn {
+	for _, count := range history.faults.Counts {
 		tally.Faults += count
 	}
 }
--- a/internal/decide/outcome/shutdown_test.go
+++ b/internal/decide/outcome/shutdown_test.go
@@ -16,7 +16,7 @@
 
 // leave begins a graceful end; the VM list says so at once, or only after it.
 func leave(network *nodetest.Network, name ident.DaemonID, listed bool) {
-	network.Feed(network.Nodes[name], node.Shutdown{})
+	network.HandleEvent(network.Nodes[name], node.Shutdown{})
 	if listed {
 		vms := network.VMs()
 		for i := range vms {
--- a/internal/decide/owner/loading.go
+++ b/internal/decide/owner/loading.go
@@ -69,7 +69,7 @@
 	if wanted.silentSince == 0 {
 		wanted.silentSince = now
 	}
-	owner.emit(effect.Send{Message: message.LoadAsk{
+	owner.emit(effect.Send{Message: message.LoadRequest{
 		Store: owner.Engine.Store, Engine: owner.Engine.Name, Adapter: adapter,
 		Class: next.class, Budget: next.deadline - now, Waiters: next.waiters,
 	}})
@@ -81,7 +81,7 @@
 		return
 	}
 	wanted.asked = demand{}
-	owner.emit(effect.Send{Message: message.LoadAsk{
+	owner.emit(effect.Send{Message: message.LoadRequest{
 		Store: owner.Engine.Store, Engine: owner.Engine.Name, Adapter: adapter, Withdraw: true,
 	}})
 }
@@ -163,7 +163,7 @@
 // Judged takes in the broker's answer to an ask. After a refusal, the requests
 // that cannot be served in time are refused; the load is asked for again for
 // those with a later deadline.
-func (owner *Owner) Judged(now clock.Millis, verdict message.LoadVerdict) []effect.Effect {
+func (owner *Owner) Judged(now clock.Millis, verdict message.LoadDecision) []effect.Effect {
 	wanted := owner.backlog.wants[verdict.Adapter]
 	if wanted != nil {
 		wanted.silentSince = 0
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/owner/owner_test.go
@@ -25,7 +25,7 @@
 	now     clock.Millis
 	granted bool // grant loads at once
 	next    uint64
-	asks    []message.LoadAsk
+	asks    []message.LoadRequest
 	loads   []ident.Adapter
 	unloads []ident.Adapter
 	cancels []ident.StreamID
@@ -70,7 +70,7 @@
 	case message.Ended:
 		require.NotContains(bench.t, bench.ended, sent.Stream, "an attempt ends once")
 		bench.ended[sent.Stream] = sent.Outcome
-	case message.LoadAsk:
+	case message.LoadRequest:
 		bench.asks = append(bench.asks, sent)
 		if bench.granted && !sent.Withdraw {
 			bench.take(bench.owner.Granted(bench.now, sent.Adapter))
@@ -219,7 +219,7 @@
 	bench.pass(10 * clock.Second)
 	late := bench.submit(0, config.Routine, true)
 	ask := bench.asks[0]
-	bench.take(bench.owner.Judged(bench.now, message.LoadVerdict{
+	bench.take(bench.owner.Judged(bench.now, message.LoadDecision{
 		Store: ask.Store, Engine: ask.Engine, Adapter: ask.Adapter, Refused: true, Wait: 25 * clock.Second,
 	}))
 	require.Equal(t, outcome.Refused(outcome.DeadlineUnreachable, 25*clock.Second), bench.ended[early])
--- a/internal/decide/owner/takeover.go
+++ b/internal/decide/owner/takeover.go
@@ -51,7 +51,7 @@
 // TakeOver begins a quiet period: nothing is evicted until a report taken at
 // the given time or later shows what a former owner left. Runs that it handed
 // over are pinned at once.
-func (owner *Owner) TakeOver(quietUntil clock.Millis, runs []message.HandedRun) {
+func (owner *Owner) TakeOver(quietUntil clock.Millis, runs []message.UnfinishedRun) {
 	owner.takeover.quietUntil = max(owner.takeover.quietUntil, quietUntil)
 	for _, handed := range runs {
 		if _, known := owner.runs[handed.Stream]; !known {
@@ -95,18 +95,18 @@
 }
 
 // HandedRuns lists the unfinished runs, for the next owner.
-func (owner *Owner) HandedRuns() []message.HandedRun {
-	var handed []message.HandedRun
+func (owner *Owner) HandedRuns() []message.UnfinishedRun {
+	var handed []message.UnfinishedRun
 	for _, found := range owner.sortedRuns() {
 		if found.state != runWaiting {
-			handed = append(handed, message.HandedRun{
+			handed = append(handed, message.UnfinishedRun{
 				Stream: found.submit.Stream, Entry: found.entry, Adapter: found.submit.Request.Adapter,
 			})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(owner.takeover.foreign)) {
 		if stream, err := ident.ParseStreamID(id); err == nil {
-			handed = append(handed, message.HandedRun{
+			handed = append(handed, message.UnfinishedRun{
 				Stream: stream, Entry: stream.Daemon, Adapter: owner.takeover.foreign[id].adapter,
 			})
 		}
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -32,7 +32,7 @@
 		})
 	}
 	network, err := nodetest.New(nodetest.Options{
-		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(1, 0), VMs: vms, Published: true, Node: node.DefaultOptions(),
+		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(1, 0), VMs: vms, UseConfigService: true, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
@@ -117,7 +117,7 @@
 		network := newNetwork(t, rapid.Uint64().Draw(t, "seed"))
 		history := &history{
 			network: network, version: 1, seen: map[*nodetest.Host]config.Mark{}, bad: map[config.Mark]bool{},
-			faults: &nodetest.Faults{Network: network, MaxListLag: clock.Second, Drawn: map[string]int{}},
+			faults: &nodetest.Faults{Network: network, MaxListLag: clock.Second, Counts: map[string]int{}},
 		}
 		network.Run(rapid.SampledFrom([]clock.Millis{0, 500, 5000}).Draw(t, "start"))
 		for range rapid.IntRange(5, 50).Draw(t, "steps") {
@@ -141,7 +141,7 @@
 			}
 			history.check(t)
 		}
-		history.faults.Heal()
+		history.faults.EndAll()
 		network.Service.Corrupt = nil
 		clear(network.Service.Unreachable)
 		network.Service.SetMode(nodetest.ServiceUp)
@@ -149,8 +149,8 @@
 		history.check(t)
 		history.version++
 		history.put(t, site(history.version, 0))
-		require.True(t, network.RunUntil(3*clock.Second, func() bool { return network.Everywhere(history.version) }),
-			"version %d within 3 s, in force: %v", history.version, network.InForce())
+		require.True(t, network.RunUntil(3*clock.Second, func() bool { return network.InForceEverywhere(history.version) }),
+			"version %d within 3 s, in force: %v", history.version, network.VersionsInForce())
 		history.check(t)
 	})
 	t.Logf("%d publications, %d faults", publications, faults)
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -6,7 +6,7 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
@@ -70,7 +70,7 @@
 	}
 	if finding.Found || finding.Moved || finding.Ended {
 		// Its work counts in the group of its new hub, or it has started again.
-		core.work.Forget(update.Name)
+		core.work.RemovePeer(update.Name)
 		delete(core.shares, update.Name)
 		delete(core.groups, update.Name)
 	}
@@ -132,14 +132,14 @@
 	core.renewLimits(now)
 	gateway.addCopies(now)
 	maps.DeleteFunc(core.askers, func(server string, _ askers) bool { _, ok := core.fleet.Member(server); return !ok })
-	maps.DeleteFunc(core.copiesAsked, func(_ port.Adapter, asked askedCopies) bool { return now-asked.at >= copyNews })
+	maps.DeleteFunc(core.copiesAsked, func(_ platformapi.Adapter, asked askedCopies) bool { return now-asked.at >= copyNews })
 	core.noteModels(now)
 	for _, id := range core.fleet.Tick(now) {
 		core.log.Info("server gone", "Server", id, "Cause", "its entry did not come back")
 	}
 	core.tenure.Prune(now, func(server string) bool { _, ok := core.fleet.Member(server); return ok })
 	core.forgetRemoved()
-	maps.DeleteFunc(core.askedAt, func(_ port.Adapter, at clock.Millis) bool { return now-at >= frequentSpan })
+	maps.DeleteFunc(core.askedAt, func(_ platformapi.Adapter, at clock.Millis) bool { return now-at >= frequentSpan })
 	pull, address := core.pullFrom(now)
 	core.quarantine.Prune(now)
 	core.pruneLosses(now)
--- a/internal/direct/gateway/reading.go
+++ b/internal/direct/gateway/reading.go
@@ -2,8 +2,8 @@
 
 import (
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
 // idleReading is how often a daemon that has no word on prompts to tell looks whether it
@@ -90,12 +90,12 @@
 
 // takeWork takes over what a peer has in progress and has sent. The mutex is held.
 func (core *core) takeWork(now clock.Millis, from string, news map[string]peers.Work) {
-	loads := make(map[string]tally.Load, len(news))
+	loads := make(map[string]inflight.Load, len(news))
 	for server, work := range news {
 		loads[server] = work.Load
 		if work.Sent > 0 {
 			core.intake.Add(now, server, work.Sent, core.readRate.TokensPerMS())
 		}
 	}
-	core.work.PeerLoads(from, loads)
+	core.work.SetPeerLoads(from, loads)
 }
--- a/internal/direct/gateway/settings.go
+++ b/internal/direct/gateway/settings.go
@@ -99,7 +99,7 @@
 type Options struct {
 	Fleet      fleet.Options
 	Weights    choose.Weights
-	Hold       choose.Hold
+	Hold       choose.DelayPolicy
 	Loading    loading.Options
 	Mirror     mirror.Options
 	Peers      peers.Options
@@ -166,7 +166,7 @@
 // DefaultOptions returns the options for the settings' lease.
 func DefaultOptions(settings Settings) Options {
 	return Options{
-		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultHold(), Loading: loading.DefaultOptions(),
+		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultDelayPolicy(), Loading: loading.DefaultOptions(),
 		Mirror: mirror.DefaultOptions(), Peers: peers.DefaultOptions(), Membership: membership.DefaultOptions(), Tenure: tenure.DefaultOptions(settings.Lease, settings.Fenced),
 		Upstream: upstream.DefaultOptions(), Quarantine: quarantine.DefaultOptions(),
 
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -7,11 +7,11 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -27,21 +27,21 @@
 // toldState is what a peer has been told on the present connection to it, or has
 // told itself.
 type toldState struct {
-	members  int64                           // changes of the membership
-	orderers []string                        // nil: none yet
-	updateAt clock.Millis                    // when the last update was told
-	shares   map[string]stamp                // by daemon
-	group    int64                           // number of the last group share
-	owners   int64                           // number of the last owners
-	reported map[string]int64                // start of the servers' processes whose word was told, by server
-	tables   map[string]stamp                // by server
-	tablesAt int64                           // changes of tables when they were last looked at
-	reports  int64                           // reports of servers when they were last looked at
-	sums     map[string]tally.Sum            // by server; nil: none yet
-	uses     map[string]map[port.Adapter]int // by server
-	era      int64                           // of the store
-	revision int64                           // of that era
-	usage    quota.Told
+	members  int64                                  // changes of the membership
+	orderers []string                               // nil: none yet
+	updateAt clock.Millis                           // when the last update was told
+	shares   map[string]stamp                       // by daemon
+	group    int64                                  // number of the last group share
+	owners   int64                                  // number of the last owners
+	reported map[string]int64                       // start of the servers' processes whose word was told, by server
+	tables   map[string]stamp                       // by server
+	tablesAt int64                                  // changes of tables when they were last looked at
+	reports  int64                                  // reports of servers when they were last looked at
+	sums     map[string]inflight.Sum                // by server; nil: none yet
+	uses     map[string]map[platformapi.Adapter]int // by server
+	era      int64                                  // of the store
+	revision int64                                  // of that era
+	usage    quota.SentTotals
 	usageAt  clock.Millis // when usage was told last
 	warned   warned
 }
@@ -58,7 +58,7 @@
 
 func newTold() *toldState {
 	return &toldState{
-		usage: make(quota.Told), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[port.Adapter]int),
+		usage: make(quota.SentTotals), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[platformapi.Adapter]int),
 	}
 }
 
@@ -273,7 +273,7 @@
 		told.revision = max(told.revision, peer.Revision) // it has read that itself
 	}
 	news := &peers.StoreNews{StoreItems: core.store.itemsSince(told.revision), Age: now - core.store.readAt}
-	if backAt := core.fleet.BackAt(); backAt > 0 {
+	if backAt := core.fleet.OutageEnd(); backAt > 0 {
 		news.Back = now - backAt
 	}
 	told.revision = core.store.revision
@@ -304,7 +304,7 @@
 	if digest.Owners != nil && from == core.hub {
 		core.owners = digest.Owners.By
 		if !core.members.Role().GivesOrders() {
-			core.loadRate.Adopt(digest.Owners.Learned)
+			core.loadRate.SetEstimate(digest.Owners.Learned)
 		}
 	}
 	if digest.Sums != nil {
@@ -345,16 +345,16 @@
 	}
 	core.shares[share.Name] = share
 	if core.hub == "" {
-		core.countUses(now, core.work.Peer(share.Name, share.Share))
+		core.countUses(now, core.work.SetPeer(share.Name, share.Share))
 	}
 }
 
 // countUses has planners know how often adapters are used through other daemons.
 // The mutex is held.
-func (core *core) countUses(now clock.Millis, uses map[tally.Use]int) {
+func (core *core) countUses(now clock.Millis, uses map[inflight.Use]int) {
 	for use, more := range uses {
 		if held, ok := core.orders[use.Server]; ok {
-			held.planner.Used(now, use.Adapter, more)
+			held.planner.RecordUse(now, use.Adapter, more)
 		}
 	}
 }
@@ -362,7 +362,7 @@
 // takeStoreNews takes over what a peer has read of the store. The mutex is held.
 func (core *core) takeStoreNews(now clock.Millis, news *peers.StoreNews) {
 	if news.Back > 0 {
-		core.fleet.Back(now - news.Back)
+		core.fleet.RecordOutageEnd(now - news.Back)
 	}
 	if !core.takeStore(news.StoreItems) {
 		return
@@ -371,8 +371,8 @@
 	core.store.newsAt = now
 }
 
-// Turn implements mirror.Sink.
-func (core *core) Turn() (bool, mirror.Known) {
+// NextTurn implements mirror.Sink.
+func (core *core) NextTurn() (bool, mirror.Known) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -164,7 +164,7 @@
 	}
 	for name := range core.members.Peers() {
 		if !core.members.Live(now, name) {
-			core.work.Forget(name)
+			core.work.RemovePeer(name)
 		}
 	}
 	if core.hub != "" {
--- a/internal/direct/gateway/wants.go
+++ b/internal/direct/gateway/wants.go
@@ -77,10 +77,10 @@
 	}
 	now := core.now()
 	if want.Absent {
-		held.planner.Absent(now, want.Adapter)
+		held.planner.MarkMissing(now, want.Adapter)
 		gateway.publish(want.Server, held)
 	}
-	held.planner.Want(now, want.Adapter, want.Version, want.Rank, now+want.Left)
+	held.planner.RequestAdapter(now, want.Adapter, want.Version, want.Rank, now+want.Left)
 	gateway.publish(want.Server, held)
 	held.poke()
 }
--- a/internal/direct/mirror/mirror.go
+++ b/internal/direct/mirror/mirror.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Options holds the timing parameters of a mirror.
@@ -52,15 +52,15 @@
 
 // Sink receives what a mirror reads. Its methods are not called concurrently.
 type Sink interface {
-	// Whole receives all items under the prefix.
-	Whole(page port.Page)
-	// Changed receives changes, of the same era as what was read or known before.
-	Changed(page port.Page)
-	// Turn reports whether this daemon must read the store now, and up to which position
+	// ReplaceAll receives all items under the prefix.
+	ReplaceAll(page platformapi.Page)
+	// ApplyChanges receives changes, of the same era as what was read or known before.
+	ApplyChanges(page platformapi.Page)
+	// NextTurn reports whether this daemon must read the store now, and up to which position
 	// it knows the store already.
-	Turn() (reads bool, position Known)
-	// Contact receives the result of each call: nil if the store answered it.
-	Contact(err error)
+	NextTurn() (reads bool, position Known)
+	// RecordContact receives the result of each call: nil if the store answered it.
+	RecordContact(err error)
 }
 
 // Known is a position in the history of the store: all changes of an era up to a revision are
@@ -72,7 +72,7 @@
 // Mirror replicates the items under one prefix.
 type Mirror struct {
 	options     Options
-	store       port.Store
+	store       platformapi.Store
 	prefix      string
 	sink        Sink
 	position    Known // its revision is 0 if nothing was read or the history was lost
@@ -81,7 +81,7 @@
 }
 
 // New returns a mirror of the items that begin with prefix.
-func New(options Options, store port.Store, prefix string, sink Sink) *Mirror {
+func New(options Options, store platformapi.Store, prefix string, sink Sink) *Mirror {
 	return &Mirror{options: options, store: store, prefix: prefix, sink: sink}
 }
 
@@ -99,7 +99,7 @@
 
 // step makes one full read or watch call, and returns the wait before the next step.
 func (mirror *Mirror) step(ctx context.Context) clock.Millis {
-	reads, position := mirror.sink.Turn()
+	reads, position := mirror.sink.NextTurn()
 	if !reads {
 		mirror.position = Known{}
 		return mirror.options.Idle
@@ -117,7 +117,7 @@
 	if ctx.Err() != nil {
 		return 0
 	}
-	mirror.sink.Contact(err)
+	mirror.sink.RecordContact(err)
 	if err != nil {
 		return mirror.backoff(err)
 	}
@@ -140,18 +140,18 @@
 			return err
 		}
 		if more.Era != whole.Era {
-			return &port.StoreError{Failure: port.Unavailable, Err: errors.Errorf("store era changed from %d to %d between two pages", whole.Era, more.Era)}
+			return &platformapi.StoreError{Failure: platformapi.Unavailable, Err: errors.Errorf("store era changed from %d to %d between two pages", whole.Era, more.Era)}
 		}
 		whole.Items = append(whole.Items, more.Items...)
 	}
 	mirror.position = Known{Era: whole.Era, Revision: whole.AsOf}
 	mirror.historyLost = false
-	mirror.sink.Whole(whole)
+	mirror.sink.ReplaceAll(whole)
 	return nil
 }
 
 // page reads the page of items after a key.
-func (mirror *Mirror) page(ctx context.Context, after string) (port.Page, error) {
+func (mirror *Mirror) page(ctx context.Context, after string) (platformapi.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, mirror.options.CallTimeout.Duration())
 	defer cancel()
 	return mirror.store.Range(ctx, mirror.prefix, after)
@@ -167,10 +167,10 @@
 	}
 	if page.Era != mirror.position.Era {
 		// The requested revision belongs to the history of another era.
-		return false, &port.StoreError{Failure: port.HistoryIsGone, Err: errors.Errorf("store era changed from %d to %d", mirror.position.Era, page.Era)}
+		return false, &platformapi.StoreError{Failure: platformapi.HistoryGone, Err: errors.Errorf("store era changed from %d to %d", mirror.position.Era, page.Era)}
 	}
 	if len(page.Items) > 0 {
-		mirror.sink.Changed(page)
+		mirror.sink.ApplyChanges(page)
 	}
 	mirror.position.Revision = max(mirror.position.Revision, page.AsOf)
 	return len(page.Items) > 0, nil
@@ -180,8 +180,8 @@
 // jitter so that daemons that lost the store together do not retry together. After a loss of
 // history it returns 0, as all items must be read.
 func (mirror *Mirror) backoff(err error) clock.Millis {
-	var failed *port.StoreError
-	if errors.As(err, &failed) && failed.Failure == port.HistoryIsGone {
+	var failed *platformapi.StoreError
+	if errors.As(err, &failed) && failed.Failure == platformapi.HistoryGone {
 		mirror.position = Known{}
 		mirror.historyLost = true
 		return 0
--- a/internal/direct/peers/item.go
+++ b/internal/direct/peers/item.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Item is an entry of the store in the form in which daemons keep it and send it to each
@@ -31,7 +31,7 @@
 )
 
 // Pack returns an entry of the store as an Item, with a large value compressed.
-func Pack(item port.Item) Item {
+func Pack(item platformapi.Item) Item {
 	kept := Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if len(item.Value) <= packThresholdBytes {
 		return kept
@@ -48,17 +48,17 @@
 }
 
 // Unpack returns the entry as it was read from the store.
-func (item Item) Unpack() (port.Item, error) {
-	read := port.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
+func (item Item) Unpack() (platformapi.Item, error) {
+	read := platformapi.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if !item.Packed {
 		return read, nil
 	}
 	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(item.Value)), maxUnpackedBytes+1))
 	if err != nil {
-		return port.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
+		return platformapi.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
 	}
 	if len(value) > maxUnpackedBytes {
-		return port.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, maxUnpackedBytes)
+		return platformapi.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, maxUnpackedBytes)
 	}
 	read.Value = value
 	return read, nil
--- a/internal/direct/peers/item_test.go
+++ b/internal/direct/peers/item_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // routes returns a value that resembles a configuration with count routes.
@@ -25,14 +25,14 @@
 // compresses to about a tenth, takes less than a fifth of its size, and that entries of
 // leaving servers are sent before it.
 func TestLargeConfigurationIsSentLast(t *testing.T) {
-	config := port.Item{Key: "config", Value: routes(1500), Revision: 4}
+	config := platformapi.Item{Key: "config", Value: routes(1500), Revision: 4}
 	packed := peers.Pack(config)
 	require.Less(t, len(packed.Value), len(config.Value)/5)
 	unpacked, err := packed.Unpack()
 	require.NoError(t, err)
 	require.Equal(t, config, unpacked)
-	server := peers.Pack(port.Item{Key: "server", Value: []byte("leaves"), Revision: 5})
-	removed := peers.Pack(port.Item{Key: "other", Deleted: true, Revision: 3})
+	server := peers.Pack(platformapi.Item{Key: "server", Value: []byte("leaves"), Revision: 5})
+	removed := peers.Pack(platformapi.Item{Key: "other", Deleted: true, Revision: 3})
 	entries := []peers.Item{packed, server, removed}
 	slices.SortFunc(entries, peers.BySize)
 	require.Equal(t, []peers.Item{removed, server, packed}, entries)
@@ -41,7 +41,7 @@
 func TestUnpackInvalidValues(t *testing.T) {
 	_, err := peers.Item{Key: "k", Value: []byte("no stream"), Packed: true}.Unpack()
 	require.ErrorContains(t, err, "unpack k")
-	bomb := peers.Pack(port.Item{Key: "k", Value: make([]byte, 9<<20)})
+	bomb := peers.Pack(platformapi.Item{Key: "k", Value: make([]byte, 9<<20)})
 	require.Less(t, len(bomb.Value), 1<<20)
 	_, err = bomb.Unpack()
 	require.ErrorContains(t, err, "above")
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -7,12 +7,12 @@
 import (
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/throttle"
 )
@@ -36,48 +36,48 @@
 	Group    *GroupShare     // nil unless sender and receiver are hubs
 	Owners   *Owners         // nil if unchanged, or if the sender is not the receiver's hub
 	Reported []Reported      // reports of servers that have no owner yet
-	Usage    *quota.Word     // nil if no account has a limit
+	Usage    *quota.Report   // nil if no account has a limit
 }
 
 // GroupShare is the load in progress of a hub and the daemons that have chosen it.
 type GroupShare struct {
 	Number int64 // increases by one with each share
 	Whole  bool  // Share is complete; otherwise it holds changes since the previous Number, 0 for ended load
-	Share  tally.Share
+	Share  inflight.Share
 }
 
 // Owners holds the daemons that send orders to servers, by server, and what they have learned
 // about the weight store.
 type Owners struct {
 	By      map[string]string
-	Learned loading.Learned
+	Learned loading.RateEstimate
 }
 
 // Reported is what a server itself reports that it holds.
 type Reported struct {
 	Server   string
 	Born     int64
-	Holdings []port.Holding
+	Holdings []platformapi.Holding
 }
 
 // Work is the load that a daemon has in progress at a server, and what it has sent there
 // since its previous message.
 type Work struct {
-	tally.Load
+	inflight.Load
 	Sent int // prompt tokens
 }
 
 // Sums is the load in progress of all daemons except the receiver.
 type Sums struct {
-	Whole   bool                 // servers that are not listed have no load; otherwise their load is unchanged
-	Servers map[string]tally.Sum // servers whose sums have changed
-	Uses    []ServerUses         // at servers that the receiver sends orders to
+	Whole   bool                    // servers that are not listed have no load; otherwise their load is unchanged
+	Servers map[string]inflight.Sum // servers whose sums have changed
+	Uses    []ServerUses            // at servers that the receiver sends orders to
 }
 
 // ServerUses holds the number of requests that use each adapter of a server.
 type ServerUses struct {
 	Server string
-	Uses   map[port.Adapter]int
+	Uses   map[platformapi.Adapter]int
 }
 
 // DaemonShare is the load that a daemon has in progress. Of two shares of a daemon, the one
@@ -86,7 +86,7 @@
 	Name        string
 	Incarnation int64
 	Number      int64
-	Share       tally.Share
+	Share       inflight.Share
 }
 
 // StoreItems holds items of the store as of a revision of one of its eras.
@@ -109,7 +109,7 @@
 // Want asks the owner of a server to load an adapter.
 type Want struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 	Version int
 	Rank    int
 	Left    clock.Millis // time until the request is given up
@@ -137,8 +137,8 @@
 // announced that they leave.
 type Warnings struct {
 	Quarantine []quarantine.Record
-	Limits     []throttle.Word
-	Leaving    []fleet.Departure
+	Limits     []throttle.ServerLimit
+	Leaving    []fleet.DrainNotice
 }
 
 // Empty reports whether there are no warnings.
--- a/internal/direct/peers/warnings.go
+++ b/internal/direct/peers/warnings.go
@@ -47,10 +47,10 @@
 		wire.Quarantine = append(wire.Quarantine, wireQuarantine{Content: record.Content[:], Number: record.Number, Servers: record.Servers, Age: int64(record.Age)})
 	}
 	for _, limit := range warnings.Limits {
-		wire.Limits = append(wire.Limits, wireLimit{Server: limit.Server, Born: limit.Born, Number: limit.Number, Limited: limit.Limited, Rate: limit.Rate})
+		wire.Limits = append(wire.Limits, wireLimit{Server: limit.Server, Born: limit.StartedAt, Number: limit.Number, Limited: limit.Limited, Rate: limit.Rate})
 	}
 	for _, departure := range warnings.Leaving {
-		wire.Leaving = append(wire.Leaving, wireLeaving{Server: departure.Server, Born: departure.Born})
+		wire.Leaving = append(wire.Leaving, wireLeaving{Server: departure.Server, Born: departure.StartedAt})
 	}
 	return wire
 }
@@ -70,10 +70,10 @@
 		})
 	}
 	for _, each := range wire.Limits {
-		warnings.Limits = append(warnings.Limits, throttle.Word{Server: each.Server, Born: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
+		warnings.Limits = append(warnings.Limits, throttle.ServerLimit{Server: each.Server, StartedAt: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
 	}
 	for _, each := range wire.Leaving {
-		warnings.Leaving = append(warnings.Leaving, fleet.Departure{Server: each.Server, Born: each.Born})
+		warnings.Leaving = append(warnings.Leaving, fleet.DrainNotice{Server: each.Server, StartedAt: each.Born})
 	}
 	return warnings
 }
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -9,11 +9,11 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
@@ -99,7 +99,7 @@
 		_        struct{} `cbor:",toarray"`
 		Server   string
 		Born     int64
-		Holdings []port.Holding
+		Holdings []platformapi.Holding
 	}
 	wireServerLoad struct {
 		_                   struct{} `cbor:",toarray"`
@@ -245,7 +245,7 @@
 	return wire
 }
 
-func encodeUsage(usage *quota.Word) *wireUsage {
+func encodeUsage(usage *quota.Report) *wireUsage {
 	wire := &wireUsage{Scope: int(usage.Scope), Incarnation: usage.Incarnation, Daemons: usage.Daemons}
 	for _, reading := range usage.Readings {
 		wire.Readings = append(wire.Readings, wireReading{
@@ -256,8 +256,8 @@
 	return wire
 }
 
-func decodeUsage(wire *wireUsage) *quota.Word {
-	usage := &quota.Word{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
+func decodeUsage(wire *wireUsage) *quota.Report {
+	usage := &quota.Report{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
 	for _, reading := range wire.Readings {
 		usage.Readings = append(usage.Readings, quota.Reading{
 			Account: reading.Account, Number: reading.Number, Total: float64(reading.Total), Recent: float64(reading.Recent),
@@ -284,7 +284,7 @@
 func decodeOwners(wire *wireOwners) *Owners {
 	owners := &Owners{
 		By:      make(map[string]string),
-		Learned: loading.Learned{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
+		Learned: loading.RateEstimate{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
 	}
 	for _, owned := range wire.Owned {
 		for _, server := range owned.Servers {
@@ -312,14 +312,14 @@
 }
 
 func decodeSums(wire *wireSums) *Sums {
-	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]tally.Sum, len(wire.Servers))}
+	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]inflight.Sum, len(wire.Servers))}
 	for _, sum := range wire.Servers {
-		sums.Servers[sum.Server] = tally.Sum{Load: tally.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
+		sums.Servers[sum.Server] = inflight.Sum{Load: inflight.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
 	}
 	for _, uses := range wire.Uses {
-		decoded := ServerUses{Server: uses.Server, Uses: make(map[port.Adapter]int, len(uses.Uses))}
+		decoded := ServerUses{Server: uses.Server, Uses: make(map[platformapi.Adapter]int, len(uses.Uses))}
 		for _, use := range uses.Uses {
-			decoded.Uses[port.Adapter{Model: nameAt(wire.Models, use.Model), Name: use.Named}] = use.Count
+			decoded.Uses[platformapi.Adapter{Model: nameAt(wire.Models, use.Model), Name: use.Named}] = use.Count
 		}
 		sums.Uses = append(sums.Uses, decoded)
 	}
@@ -343,7 +343,7 @@
 		delta.Loads = make(map[string]Work, len(wire.Loads))
 	}
 	for _, load := range wire.Loads {
-		delta.Loads[load.Server] = Work{Load: tally.Load{Runs: load.Runs, Reading: load.Reading}, Sent: load.Sent}
+		delta.Loads[load.Server] = Work{Load: inflight.Load{Runs: load.Runs, Reading: load.Reading}, Sent: load.Sent}
 	}
 	if group := wire.Group; group != nil {
 		delta.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
@@ -381,7 +381,7 @@
 	return list[index]
 }
 
-func encodeShare(share tally.Share) ([]wireLoad, []string) {
+func encodeShare(share inflight.Share) ([]wireLoad, []string) {
 	models := stringTable{}
 	at := make(map[string]int, len(share.Loads))
 	loads := make([]wireLoad, 0, len(share.Loads))
@@ -399,13 +399,13 @@
 	return loads, models.list
 }
 
-func decodeShare(loads []wireLoad, models []string) tally.Share {
-	share := tally.Share{Loads: make(map[string]tally.Load, len(loads)), Uses: make(map[tally.Use]int)}
+func decodeShare(loads []wireLoad, models []string) inflight.Share {
+	share := inflight.Share{Loads: make(map[string]inflight.Load, len(loads)), Uses: make(map[inflight.Use]int)}
 	for _, load := range loads {
-		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
+		share.Loads[load.Server] = inflight.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
-			adapter := port.Adapter{Model: nameAt(models, use.Model), Name: use.Named}
-			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
+			adapter := platformapi.Adapter{Model: nameAt(models, use.Model), Name: use.Named}
+			share.Uses[inflight.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
 	return share
@@ -440,7 +440,7 @@
 	}
 	if request := wire.Want; request != nil {
 		message.Want = &Want{
-			Server: request.Server, Adapter: port.Adapter{Model: request.Model, Name: request.Named}, Version: request.Version,
+			Server: request.Server, Adapter: platformapi.Adapter{Model: request.Model, Name: request.Named}, Version: request.Version,
 			Rank: request.Rank, Left: clock.Millis(request.Left), Absent: request.Absent,
 		}
 	}
@@ -475,7 +475,7 @@
 	held := min(max(wire.Held, 0), len(wire.Models))
 	table := fleet.Table{Server: wire.Server, Born: wire.Born, Fence: wire.Fence, Number: wire.Number, Models: wire.Models[:held]}
 	for _, slot := range wire.Slots {
-		adapter := port.Adapter{Model: nameAt(wire.Models, slot.Model), Name: slot.Named}
+		adapter := platformapi.Adapter{Model: nameAt(wire.Models, slot.Model), Name: slot.Named}
 		table.Slots = append(table.Slots, fleet.Slot{Adapter: adapter, Version: slot.Version, Coming: slot.Coming, Queued: slot.Queued})
 	}
 	return table
--- a/internal/replay/experiment/experiment.go
+++ b/internal/replay/experiment/experiment.go
@@ -93,9 +93,9 @@
 		Seed: setup.Seed, Delay: 1, Jitter: 1, TickInterval: 50,
 		Config: setup.Site.config(), VMs: running.vms, Node: options,
 		Engine: nodetest.EngineOptions{
-			LoadSpan: 500, ReportLag: 500, FailLoadShare: setup.FailLoadShare, Step: setup.Site.Step,
+			LoadDuration: 500, ReportLag: 500, FailLoadShare: setup.FailLoadShare, Step: setup.Site.Step,
 		},
-		Observer: running.meter.observer(), Instant: setup.Policy.Instant,
+		Observer: running.meter.observer(), PerfectKnowledge: setup.Policy.Instant,
 	})
 	if err != nil {
 		return Result{}, err
@@ -130,7 +130,7 @@
 // arrive brings a request to a live daemon, as the platform's balancer does.
 func (replay *replay) arrive(index int, arrival workload.Request) {
 	daemon := replay.live[replay.random.IntN(len(replay.live))]
-	replay.network.Arrive(daemon, node.Arrived{
+	replay.network.SendRequest(daemon, node.RequestArrived{
 		RequestID: strconv.Itoa(index), APIKey: arrival.Class.String(), Path: "/v1/completions",
 		Model: adapterOf(arrival.Adapter).String(), Body: []byte(strconv.Itoa(arrival.Tokens)),
 	})
--- a/internal/replay/experiment/meter.go
+++ b/internal/replay/experiment/meter.go
@@ -101,8 +101,8 @@
 
 func (meter *meter) observer() nodetest.Observer {
 	return nodetest.Observer{
-		Began: meter.runBegan, Answered: meter.answered, Stepped: meter.stepped,
-		Loaded: meter.loaded, Unloaded: meter.unloaded,
+		RunStarted: meter.runBegan, RequestAnswered: meter.answered, BatchStepped: meter.stepped,
+		LoadEnded: meter.loaded, AdapterUnloaded: meter.unloaded,
 	}
 }
 
--- a/internal/serve/callers/answer.go
+++ b/internal/serve/callers/answer.go
@@ -29,7 +29,7 @@
 }
 
 // answer runs a request and writes its answer as it arrives.
-func (api *API) answer(writer http.ResponseWriter, request *http.Request, arrived node.Arrived, ticket *daemon.Ticket) {
+func (api *API) answer(writer http.ResponseWriter, request *http.Request, arrived node.RequestArrived, ticket *daemon.Ticket) {
 	api.daemon.Begin(arrived, ticket)
 	response := &response{writer: writer, requestID: arrived.RequestID}
 	for {
@@ -153,7 +153,7 @@
 }
 
 // refuse answers a request that never reached the decision machines.
-func (api *API) refuse(writer http.ResponseWriter, arrived node.Arrived, cause error) {
+func (api *API) refuse(writer http.ResponseWriter, arrived node.RequestArrived, cause error) {
 	reason := outcome.BadRequest
 	var found mistake
 	if errors.As(cause, &found) {
@@ -168,7 +168,7 @@
 	writeError(writer, arrived.RequestID, record.Outcome, cause.Error(), &record)
 }
 
-func (api *API) record(arrived node.Arrived, refusal outcome.Outcome) outcome.Record {
+func (api *API) record(arrived node.RequestArrived, refusal outcome.Outcome) outcome.Record {
 	record := outcome.Record{Request: arrived.RequestID, Target: arrived.Model + arrived.Service, Outcome: refusal}
 	if snapshot := api.daemon.Config(); snapshot != nil {
 		record.ConfigVersion = snapshot.Version()
--- a/internal/serve/callers/callers.go
+++ b/internal/serve/callers/callers.go
@@ -67,7 +67,7 @@
 
 // Daemon is what the API needs of a daemon.
 type Daemon interface {
-	Begin(arrived node.Arrived, ticket *daemon.Ticket)
+	Begin(arrived node.RequestArrived, ticket *daemon.Ticket)
 	Gone(ticket *daemon.Ticket)
 	// Refused notes a refusal and returns its record completed.
 	Refused(record outcome.Record) outcome.Record
@@ -148,7 +148,7 @@
 }
 
 // readModel reads what a model request addresses.
-func readModel(request *http.Request, arrived *node.Arrived) error {
+func readModel(request *http.Request, arrived *node.RequestArrived) error {
 	if err := checkJSON(request); err != nil {
 		return err
 	}
--- a/internal/serve/callers/callers_test.go
+++ b/internal/serve/callers/callers_test.go
@@ -26,14 +26,14 @@
 
 // fakeDaemon keeps the refusals. It takes in no request unless begin is set.
 type fakeDaemon struct {
-	begin    func(arrived node.Arrived, ticket *daemon.Ticket)
+	begin    func(arrived node.RequestArrived, ticket *daemon.Ticket)
 	t        testing.TB
 	snapshot *config.Snapshot
 	refused  []outcome.Record
 	ready    bool
 }
 
-func (fake *fakeDaemon) Begin(arrived node.Arrived, ticket *daemon.Ticket) {
+func (fake *fakeDaemon) Begin(arrived node.RequestArrived, ticket *daemon.Ticket) {
 	if fake.begin != nil {
 		fake.begin(arrived, ticket)
 		return
@@ -206,7 +206,7 @@
 		t.Run(each.path, func(t *testing.T) {
 			fake := newFake(t)
 			var name, target string
-			fake.begin = func(arrived node.Arrived, ticket *daemon.Ticket) {
+			fake.begin = func(arrived node.RequestArrived, ticket *daemon.Ticket) {
 				name, target = arrived.Service, ticket.Call.Path
 				ticket.Inbox = relay.NewInbox(false)
 				ticket.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
--- a/internal/serve/callers/take.go
+++ b/internal/serve/callers/take.go
@@ -39,17 +39,17 @@
 }
 
 // newArrival reads the request id, for an answer of any kind.
-func newArrival(request *http.Request) node.Arrived {
+func newArrival(request *http.Request) node.RequestArrived {
 	given := request.Header.Get(RequestHeader)
 	if given == "" || !isToken(given, maxRequestID) {
 		given = uuid.NewString()
 	}
-	return node.Arrived{RequestID: given}
+	return node.RequestArrived{RequestID: given}
 }
 
 // take reads what all requests have in common. The arrival has a request id even
 // when there is an error.
-func (api *API) take(writer http.ResponseWriter, request *http.Request) (node.Arrived, error) {
+func (api *API) take(writer http.ResponseWriter, request *http.Request) (node.RequestArrived, error) {
 	arrived := newArrival(request)
 	if given := request.Header.Get(RequestHeader); given != "" && given != arrived.RequestID {
 		return arrived, mistake{outcome.BadRequest, RequestHeader + ": want at most 128 printable characters"}
@@ -120,7 +120,7 @@
 }
 
 // takeKey reads the idempotency key, if there is one.
-func (api *API) takeKey(request *http.Request, arrived *node.Arrived) error {
+func (api *API) takeKey(request *http.Request, arrived *node.RequestArrived) error {
 	given := request.Header.Values(KeyHeader)
 	if len(given) == 0 {
 		return nil
--- a/internal/serve/daemon/peers.go
+++ b/internal/serve/daemon/peers.go
@@ -13,7 +13,7 @@
 
 // Message queues a message as an event.
 func (handler *peerHandler) Message(from ident.DaemonID, received message.Message) {
-	event := node.Received{From: from, Message: received}
+	event := node.MessageReceived{From: from, Message: received}
 	lane := laneOf(received.Lane())
 	if ended, isEnd := received.(message.Ended); isEnd {
 		handler.daemon.jobs.push(lane, []node.Event{handler.daemon.received(ended.Stream), event})
--- a/internal/serve/daemon/perform.go
+++ b/internal/serve/daemon/perform.go
@@ -21,7 +21,7 @@
 		daemon.send(next)
 	case effect.Answer:
 		daemon.answer(next)
-	case effect.Open:
+	case effect.ForwardAnswer:
 		daemon.open(next)
 	case effect.Rebind:
 		daemon.streams.rebind(next.From, next.To)
@@ -35,7 +35,7 @@
 		daemon.tasks.Go("unload", func(ctx context.Context) error { daemon.unload(ctx, next); return nil })
 	case effect.ReadEngine:
 		daemon.tasks.Go("report", func(ctx context.Context) error { daemon.readEngine(ctx, next); return nil })
-	case effect.ReadVMs:
+	case effect.ReadVMList:
 		daemon.tasks.Go("VM list", func(ctx context.Context) error { daemon.readListOnce(ctx); return nil })
 	case effect.CallService:
 		daemon.tasks.Go("service", func(ctx context.Context) error { daemon.callService(ctx, next); return nil })
@@ -72,7 +72,7 @@
 		daemon.links.Send(submit.Entry, ended)
 		return
 	}
-	daemon.enqueue(laneOf(submit.Lane()), node.Received{From: next.To, Message: ended})
+	daemon.enqueue(laneOf(submit.Lane()), node.MessageReceived{From: next.To, Message: ended})
 }
 
 func laneOf(lane message.Lane) jobLane {
@@ -110,7 +110,7 @@
 func (daemon *Daemon) run(ctx context.Context, start effect.StartRun) {
 	result := owner.ResultNotSent
 	sink := daemon.newSink(start)
-	if address, known := daemon.engineAddress(start.Engine); known && daemon.inTime(start.Until) {
+	if address, known := daemon.engineAddress(start.Engine); known && daemon.inTime(start.ExpiresAt) {
 		result = daemon.options.Engines.Run(ctx, address, start, sink)
 	}
 	daemon.logRun(start, result)
@@ -120,7 +120,7 @@
 	daemon.streams.dropWindow(start.Stream)
 	if sink.window.Reset() {
 		cancel := message.Cancel{Stream: start.Stream, Engine: start.Engine, Class: start.Request.Class}
-		daemon.enqueue(laneOf(sink.lane), node.Received{From: start.Entry, Message: cancel})
+		daemon.enqueue(laneOf(sink.lane), node.MessageReceived{From: start.Entry, Message: cancel})
 	}
 	if start.Entry == daemon.Self() {
 		daemon.enqueue(laneOf(sink.lane), daemon.received(start.Stream), ended)
@@ -160,7 +160,7 @@
 
 func (daemon *Daemon) load(ctx context.Context, order effect.Load) {
 	result := engine.LoadFailed
-	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.Until) {
+	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.ExpiresAt) {
 		result = daemon.options.Engines.Load(ctx, address, order.Adapter, order.Fence)
 	}
 	daemon.enqueue(promptLane, node.LoadEnded{
@@ -171,7 +171,7 @@
 
 func (daemon *Daemon) unload(ctx context.Context, order effect.Unload) {
 	result := engine.LoadFailed
-	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.Until) {
+	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.ExpiresAt) {
 		result = daemon.options.Engines.Unload(ctx, address, order.Adapter, order.Fence)
 	}
 	daemon.enqueue(promptLane, node.UnloadEnded{
--- a/internal/serve/daemon/requests.go
+++ b/internal/serve/daemon/requests.go
@@ -7,7 +7,7 @@
 )
 
 // Begin takes in a caller's request. Its answer arrives in the ticket's inbox.
-func (daemon *Daemon) Begin(arrived node.Arrived, ticket *Ticket) {
+func (daemon *Daemon) Begin(arrived node.RequestArrived, ticket *Ticket) {
 	ticket.Inbox = relay.NewInbox(arrived.Key != "")
 	daemon.exclusive(func() {
 		arrived.Stream = daemon.node.NewStream()
@@ -29,5 +29,5 @@
 
 // Gone says that a ticket's caller closed its connection.
 func (daemon *Daemon) Gone(ticket *Ticket) {
-	daemon.enqueue(promptLane, node.CallerGone{Stream: daemon.streams.streamOf(ticket)})
+	daemon.enqueue(promptLane, node.CallerDisconnected{Stream: daemon.streams.streamOf(ticket)})
 }
--- a/internal/serve/daemon/sink.go
+++ b/internal/serve/daemon/sink.go
@@ -66,11 +66,11 @@
 // putHead asks the node whether an attempt's answer may go to the caller. It
 // does so at once, ahead of the chunks that follow on the same connection.
 func (daemon *Daemon) putHead(from ident.DaemonID, stream ident.StreamID, status int, contentType string) {
-	daemon.step(node.HeadArrived{Stream: stream, From: from, Status: status, ContentType: contentType})
+	daemon.step(node.AnswerStarted{Stream: stream, From: from, Status: status, ContentType: contentType})
 }
 
 // open lets an answer through and says where its credits go.
-func (daemon *Daemon) open(next effect.Open) {
+func (daemon *Daemon) open(next effect.ForwardAnswer) {
 	ticket, found := daemon.streams.ticket(next.Stream)
 	if !found {
 		return
--- a/internal/serve/daemon/step_test.go
+++ b/internal/serve/daemon/step_test.go
@@ -48,5 +48,5 @@
 			return 0
 		},
 	})
-	broken.Begin(node.Arrived{}, &daemon.Ticket{})
+	broken.Begin(node.RequestArrived{}, &daemon.Ticket{})
 }
--- a/internal/serve/metrics/metrics_test.go
+++ b/internal/serve/metrics/metrics_test.go
@@ -33,9 +33,9 @@
 func TestRequestAcrossTwoAttempts(t *testing.T) {
 	counted := metrics.New()
 	observer := metrics.NewObserver(counted)
-	observer.Step(1000, node.Arrived{Stream: stream(1)}, nil)
+	observer.Step(1000, node.RequestArrived{Stream: stream(1)}, nil)
 	observer.Step(1010, node.Tick{}, []effect.Effect{effect.Rebind{From: stream(1), To: stream(2)}})
-	observer.Step(1040, node.Tick{}, []effect.Effect{effect.Open{Stream: stream(2)}})
+	observer.Step(1040, node.Tick{}, []effect.Effect{effect.ForwardAnswer{Stream: stream(2)}})
 	observer.Step(1300, node.Tick{}, []effect.Effect{effect.Answer{
 		Stream: stream(2), Outcome: outcome.Done(), Record: outcome.Record{Class: "Urgent"},
 	}})
@@ -55,7 +55,7 @@
 		}}
 	}
 	submit := func(sequence uint64) node.Event {
-		return node.Received{Message: message.Submit{Stream: stream(sequence)}}
+		return node.MessageReceived{Message: message.Submit{Stream: stream(sequence)}}
 	}
 	counted := metrics.New()
 	observer := metrics.NewObserver(counted)
@@ -92,19 +92,19 @@
 	require.Zero(t, observer.Config().ContactAt)
 	observer.Step(20, node.ConfigWatched{}, []effect.Effect{effect.Audit{Kind: effect.ConfigAccepted}})
 	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 20}, observer.Config())
-	observer.Step(30, node.Received{Message: message.ConfigOffer{Contact: true}}, nil)
-	observer.Step(40, node.Received{Message: message.ConfigOffer{}}, nil)
+	observer.Step(30, node.MessageReceived{Message: message.ConfigOffer{Contact: true}}, nil)
+	observer.Step(40, node.MessageReceived{Message: message.ConfigOffer{}}, nil)
 	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 30}, observer.Config())
 }
 
 // BenchmarkObserver counts one answered request at its entry.
 func BenchmarkObserver(b *testing.B) {
 	observer := metrics.NewObserver(metrics.New())
-	opened := []effect.Effect{effect.Open{Stream: stream(1)}}
+	opened := []effect.Effect{effect.ForwardAnswer{Stream: stream(1)}}
 	ended := []effect.Effect{effect.Answer{Stream: stream(1), Outcome: outcome.Done(), Record: outcome.Record{Class: "Urgent"}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		observer.Step(1000, node.Arrived{Stream: stream(1)}, nil)
+		observer.Step(1000, node.RequestArrived{Stream: stream(1)}, nil)
 		observer.Step(1010, node.Tick{}, opened)
 		observer.Step(1300, node.Tick{}, ended)
 	}
--- a/internal/serve/metrics/observe.go
+++ b/internal/serve/metrics/observe.go
@@ -108,9 +108,9 @@
 
 func (observer *Observer) event(now clock.Millis, event node.Event) {
 	switch event := event.(type) {
-	case node.Arrived:
+	case node.RequestArrived:
 		observer.inFlight[event.Stream] = flight{arrivedAt: now}
-	case node.Received:
+	case node.MessageReceived:
 		observer.metrics.counter(messages, label{"direction", "received"}, laneLabel(event.Message.Lane())).Inc(1)
 		observer.received(now, event.Message)
 	case node.ConfigWatched:
@@ -154,7 +154,7 @@
 	switch next := next.(type) {
 	case effect.Answer:
 		observer.answer(now, next)
-	case effect.Open:
+	case effect.ForwardAnswer:
 		if opened, found := observer.inFlight[next.Stream]; found && opened.openedAt == 0 {
 			opened.openedAt = now
 			observer.inFlight[next.Stream] = opened
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -90,8 +90,8 @@
 	options.DataCentre = settings.DataCentre
 	options.Region = settings.Region
 	options.RetryShare = settings.Runtime.RetryShare
-	options.StateInterval = settings.Engines.StateIntervalMillis
-	options.ReadInterval = settings.Engines.ReportIntervalMillis
+	options.MinUpdateInterval = settings.Engines.StateIntervalMillis
+	options.EngineReadInterval = settings.Engines.ReportIntervalMillis
 	options.Owner.QueueLimits[config.Urgent] = settings.Queue.UrgentLength
 	options.Owner.QueueLimits[config.Routine] = settings.Queue.RoutineLength
 	options.Owner.UrgentReserve = settings.Queue.UrgentReserveRuns
