--- a/internal/direct/mirror/mirror_test.go
+++ b/internal/direct/mirror/mirror_test.go
@@ -11,7 +11,7 @@
 	"teaselmoor/internal/direct/platformapi"
 )
 
-// scriptedStore answers each call with the next page of a script; then it ends the mirror.
+// scriptedStore answers each call with the next scripted page, and then stops the mirror.
 type scriptedStore struct {
 	pages []platformapi.Page
 	calls []string
@@ -37,9 +37,9 @@
 	return store.next("watch")
 }
 
-// recorder notes what a mirror tells.
+// recorder records what a mirror reads.
 type recorder struct {
-	known          mirror.Known
+	position       mirror.Known
 	whole, changed []platformapi.Page
 }
 
@@ -50,14 +50,14 @@
 func (recorder *recorder) ApplyChanges(page platformapi.Page) {
 	recorder.changed = append(recorder.changed, page)
 }
-func (recorder *recorder) NextTurn() (bool, mirror.Known) { return true, recorder.known }
+func (recorder *recorder) NextTurn() (bool, mirror.Known) { return true, recorder.position }
 func (recorder *recorder) RecordContact(error)            {}
 
-// play has a mirror read a script from a state that is known.
-func play(t *testing.T, known mirror.Known, pages ...platformapi.Page) (*scriptedStore, *recorder) {
+// play runs a mirror that starts at a position on scripted pages.
+func play(t *testing.T, position mirror.Known, pages ...platformapi.Page) (*scriptedStore, *recorder) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	store, sink := &scriptedStore{pages: pages, end: cancel}, &recorder{known: known}
+	store, sink := &scriptedStore{pages: pages, end: cancel}, &recorder{position: position}
 	options := mirror.DefaultOptions()
 	options.Pause, options.FirstBackoff, options.MostBackoff = 1, 2, 2
 	require.NoError(t, mirror.New(options, store, "", sink).Run(ctx))
@@ -72,9 +72,10 @@
 	return listed
 }
 
-// TestStoreOfAnotherEraIsReadAnew: a watch from a revision that has been given out again is
-// answered as if nothing were missing.
-func TestStoreOfAnotherEraIsReadAnew(t *testing.T) {
+// TestNewEraIsReadInFull checks that a mirror reads all items again after the era has changed.
+// A restored store assigns the same revisions again, so it answers a watch from an old
+// revision as if no change were missing.
+func TestNewEraIsReadInFull(t *testing.T) {
 	later := platformapi.Page{Items: items("c"), AsOf: 12, Era: 2}
 	whole := platformapi.Page{Items: items("a", "b", "c"), AsOf: 13, Era: 2}
 	store, sink := play(t, mirror.Known{Era: 1, Revision: 10}, later, whole, platformapi.Page{AsOf: 13, Era: 2})
@@ -83,8 +84,8 @@
 	require.Equal(t, []platformapi.Page{whole}, sink.whole)
 }
 
-// TestStoreIsRestoredBetweenTwoPages: pages of two eras make no list.
-func TestStoreIsRestoredBetweenTwoPages(t *testing.T) {
+// TestRestoreBetweenTwoPages checks that pages of two eras are not combined.
+func TestRestoreBetweenTwoPages(t *testing.T) {
 	first := platformapi.Page{Items: items("a"), AsOf: 20, Era: 1, More: true}
 	second := platformapi.Page{Items: items("b"), AsOf: 15, Era: 2}
 	whole := platformapi.Page{Items: items("a", "b"), AsOf: 15, Era: 2}
@@ -93,8 +94,8 @@
 	require.Equal(t, []platformapi.Page{whole}, sink.whole)
 }
 
-// TestPagesMakeAList: the revision is that of the first page.
-func TestPagesMakeAList(t *testing.T) {
+// TestPagesAreCombined checks that pages are combined under the revision of the first one.
+func TestPagesAreCombined(t *testing.T) {
 	first := platformapi.Page{Items: items("a"), AsOf: 20, Era: 1, More: true}
 	second := platformapi.Page{Items: items("b"), AsOf: 22, Era: 1}
 	_, sink := play(t, mirror.Known{}, first, second)
