--- a/internal/decide/owner/backlog.go
+++ b/internal/decide/owner/backlog.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// nextClass returns the class of the next dispatch. After RoutineFloor urgent
-// dispatches in a row a routine request goes next and may also use the urgent
+// nextClass returns the class of the next dispatch. After the permitted number of
+// urgent dispatches in a row a routine request goes next and may also use the urgent
 // reserve, so that steady urgent load cannot starve routine requests.
 func (owner *Owner) nextClass() (class config.Class, found bool) {
 	urgent, routine := owner.backlog.ready.Len(config.Urgent), owner.backlog.ready.Len(config.Routine)
--- a/internal/decide/owner/loading.go
+++ b/internal/decide/owner/loading.go
@@ -32,7 +32,7 @@
 }
 
 // requestLoad sends the weight store's broker a load request for the adapter if the
-// demand has changed or AskInterval has passed since the last one.
+// demand has changed or the last request is due to be repeated.
 func (owner *Owner) requestLoad(now clock.Millis, adapter ident.Adapter) {
 	wanted := owner.backlog.wanted[adapter]
 	if wanted == nil || wanted.loadStarted {
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/owner/owner_test.go
@@ -157,7 +157,7 @@
 	last := harness.submit(0, config.Routine, true)
 	harness.finishLoads(false)
 	cold := harness.submit(1, config.Routine, true)
-	for range 8 { // RoomWait is 2 s
+	for range 8 { // 4 s; a slot yields after 2 s
 		harness.advance(runDuration)
 		next := harness.submit(0, config.Routine, true)
 		if _, running := harness.running[last]; running {
@@ -171,25 +171,25 @@
 	require.Empty(t, harness.cancels, "routine requests do not cancel routine runs")
 }
 
-// TestRoutineFloorInTheQueue keeps urgent requests ready all the time. A routine
-// request must still be dispatched after RoutineFloor urgent ones.
-func TestRoutineFloorInTheQueue(t *testing.T) {
+// TestUrgentDoesNotStarveRoutine keeps urgent requests ready all the time. A routine
+// request must still be dispatched after the permitted number of urgent ones.
+func TestUrgentDoesNotStarveRoutine(t *testing.T) {
 	harness := newHarness(t, 1, 1)
 	harness.submit(0, config.Urgent, true)
 	harness.finishLoads(false)
 	routine := harness.submit(0, config.Routine, true)
-	floor := owner.DefaultOptions().RoutineFloor
-	for range floor + 2 {
+	limit := owner.DefaultOptions().RoutineFloor
+	for range limit + 2 {
 		harness.submit(0, config.Urgent, true)
 	}
 	position := 0
-	for i := 0; i < floor+3; i++ {
+	for i := 0; i < limit+3; i++ {
 		if harness.runs[i].Stream == routine {
 			position = i
 		}
 		harness.endRun(harness.runs[i].Stream, owner.ResultComplete)
 	}
-	require.Equal(t, floor+1, position, "after the first run and %d urgent ones", floor)
+	require.Equal(t, limit+1, position, "after the first run and %d urgent ones", limit)
 }
 
 func TestUrgentGoesBeforeRoutine(t *testing.T) {
--- a/internal/decide/owner/yield.go
+++ b/internal/decide/owner/yield.go
@@ -9,8 +9,8 @@
 // yieldSlot marks a slot as yielding if every slot is in use and an adapter waits for
 // one. A yielding slot gets no further runs, so it becomes free when its current
 // runs have ended. An urgent request makes a slot yield at once, and repeatable
-// routine runs in it are cancelled; a routine request does so after RoomWait. At
-// most one slot yields at a time.
+// routine runs in it are cancelled; a routine request does so after a
+// delay. At most one slot yields at a time.
 func (owner *Owner) yieldSlot(now clock.Millis, wanted *wantedAdapter) {
 	urgent := wanted.demand().class == config.Urgent
 	if owner.options.RoomWait == 0 {
