--- a/internal/decide/owner/report.go
+++ b/internal/decide/owner/report.go
@@ -79,9 +79,9 @@
 // pinRunsWithoutSlot pins the adapters of runs whose slot was not known when they
 // started.
 func (owner *Owner) pinRunsWithoutSlot() {
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting && found.slot == noSlot {
-			found.slot = owner.pinSlot(found.submit.Request.Adapter)
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting && run.slot == noSlot {
+			run.slot = owner.pinSlot(run.submit.Request.Adapter)
 		}
 	}
 }
@@ -95,15 +95,15 @@
 		Cause: "the report carries a new boot id", Before: string(owner.boot), After: string(report.Boot),
 	})
 	owner.running = 0
-	for _, found := range owner.sortedRuns() {
+	for _, run := range owner.sortedRuns() {
 		switch {
-		case found.state == runWaiting:
-		case found.dispatchedAt+maxReportDelay > takenAt || report.shows(found.submit.Stream):
-			found.slot = noSlot
+		case run.state == runWaiting:
+		case run.dispatchedAt+maxReportDelay > takenAt || report.shows(run.submit.Stream):
+			run.slot = noSlot
 			owner.running++
 		default:
-			owner.sendEnded(found, outcome.Lost(outcome.EngineRestarted), 0)
-			delete(owner.runs, found.submit.Stream)
+			owner.sendEnded(run, outcome.Lost(outcome.EngineRestarted), 0)
+			delete(owner.runs, run.submit.Stream)
 		}
 	}
 	owner.dropLostForeign(takenAt)
--- a/internal/decide/owner/run.go
+++ b/internal/decide/owner/run.go
@@ -125,18 +125,18 @@
 // Cancel cancels an attempt. A waiting one ends at once; a dispatched one keeps its
 // adapter pinned until the engine confirms its end.
 func (owner *Owner) Cancel(now clock.Millis, stream ident.StreamID) []effect.Effect {
-	found, known := owner.runs[stream]
+	run, known := owner.runs[stream]
 	if !known {
 		owner.cancelForeign(stream)
 		return owner.takeEffects()
 	}
-	if found.state == runWaiting {
-		owner.dequeue(found)
-		owner.refuse(found, outcome.Refused(outcome.CallerGone, 0))
+	if run.state == runWaiting {
+		owner.dequeue(run)
+		owner.refuse(run, outcome.Refused(outcome.CallerGone, 0))
 	} else {
-		owner.cancel(now, found)
+		owner.cancel(now, run)
 	}
-	owner.advanceAdapter(now, found.submit.Request.Adapter)
+	owner.advanceAdapter(now, run.submit.Request.Adapter)
 	return owner.takeEffects()
 }
 
@@ -149,10 +149,10 @@
 
 // cancel asks the engine to end a run. The order is repeated until the engine
 // confirms it.
-func (owner *Owner) cancel(now clock.Millis, found *run) {
-	runTable.Must(&found.state, cancelRun)
-	found.repeatCancelAt = now + owner.options.CancelInterval
-	owner.emit(effect.CancelRun{Stream: found.submit.Stream, Engine: owner.Engine.Name, Fence: owner.Fence})
+func (owner *Owner) cancel(now clock.Millis, run *run) {
+	runTable.Must(&run.state, cancelRun)
+	run.repeatCancelAt = now + owner.options.CancelInterval
+	owner.emit(effect.CancelRun{Stream: run.submit.Stream, Engine: owner.Engine.Name, Fence: owner.Fence})
 }
 
 // dispatch marks the run as dispatched before it orders the engine to start it,
@@ -193,89 +193,89 @@
 
 // RunEnded handles the end of a call to the engine or of a cancel.
 func (owner *Owner) RunEnded(now clock.Millis, result RunResult) []effect.Effect {
-	found, known := owner.runs[result.Stream]
-	if !known || found.state == runWaiting {
+	run, known := owner.runs[result.Stream]
+	if !known || run.state == runWaiting {
 		return nil // late result of an order from before a restart of the engine
 	}
 	switch result.Result {
 	case ResultLost, ResultTruncated:
-		owner.handleConnectionLost(now, found, result)
+		owner.handleConnectionLost(now, run, result)
 	case ResultWrongAdapter:
 		owner.quarantine(now, "an answer named another run, adapter or version")
-		owner.sendEnded(found, outcome.Lost(outcome.WrongAdapter), result.Chunks)
+		owner.sendEnded(run, outcome.Lost(outcome.WrongAdapter), result.Chunks)
 		if owner.takeover.retired {
-			owner.finish(found, result)
+			owner.finish(run, result)
 		} else {
-			owner.cancel(now, found)
+			owner.cancel(now, run)
 		}
 	case ResultUnknownRun:
-		owner.handleUnknownRun(now, found, result)
+		owner.handleUnknownRun(now, run, result)
 	case ResultNotSent, ResultRefused, ResultFenced:
-		owner.handleNotStarted(now, found, result)
+		owner.handleNotStarted(now, run, result)
 	default:
-		owner.finish(found, result)
+		owner.finish(run, result)
 	}
-	owner.advanceAdapter(now, found.submit.Request.Adapter)
+	owner.advanceAdapter(now, run.submit.Request.Adapter)
 	return owner.takeEffects()
 }
 
 // handleNotStarted handles an order to run that had no effect. Only for the first
 // order of a run does this prove that the request did not run.
-func (owner *Owner) handleNotStarted(now clock.Millis, found *run, result RunResult) {
-	repeated := found.resumed || found.resumeCount > 0
+func (owner *Owner) handleNotStarted(now clock.Millis, run *run, result RunResult) {
+	repeated := run.resumed || run.resumeCount > 0
 	switch {
 	case !repeated:
-		owner.finish(found, result)
+		owner.finish(run, result)
 	case result.Result == ResultFenced:
-		owner.finish(found, RunResult{Stream: result.Stream, Result: ResultLost, Chunks: result.Chunks})
+		owner.finish(run, RunResult{Stream: result.Stream, Result: ResultLost, Chunks: result.Chunks})
 	default:
-		owner.handleConnectionLost(now, found, result)
+		owner.handleConnectionLost(now, run, result)
 	}
 }
 
 // handleConnectionLost resumes a run whose connection was lost. After ResumeTries
 // attempts it cancels the run, which stays pinned until the engine confirms its end.
-func (owner *Owner) handleConnectionLost(now clock.Millis, found *run, result RunResult) {
+func (owner *Owner) handleConnectionLost(now clock.Millis, run *run, result RunResult) {
 	if owner.takeover.retired {
-		owner.finish(found, result)
+		owner.finish(run, result)
 		return
 	}
-	if found.state == runDispatched && found.resumeCount < owner.options.ResumeTries {
-		found.resumeCount++
-		owner.emitStartRun(found, true, result.Chunks)
+	if run.state == runDispatched && run.resumeCount < owner.options.ResumeTries {
+		run.resumeCount++
+		owner.emitStartRun(run, true, result.Chunks)
 		return
 	}
 	reason := outcome.EngineLost
 	if result.Result == ResultTruncated {
 		reason = outcome.Truncated
 	}
-	owner.sendEnded(found, outcome.Lost(reason), result.Chunks)
-	if found.state == runDispatched {
-		owner.cancel(now, found)
+	owner.sendEnded(run, outcome.Lost(reason), result.Chunks)
+	if run.state == runDispatched {
+		owner.cancel(now, run)
 	}
 }
 
 // repeatCancels repeats cancels that the engine has not confirmed in time.
 func (owner *Owner) repeatCancels(now clock.Millis) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runCancelling && found.repeatCancelAt <= now {
-			owner.cancel(now, found)
+	for _, run := range owner.sortedRuns() {
+		if run.state == runCancelling && run.repeatCancelAt <= now {
+			owner.cancel(now, run)
 		}
 	}
 }
 
 // finish ends a run with a result of the engine and releases its pin.
-func (owner *Owner) finish(found *run, result RunResult) {
-	owner.sendEnded(found, outcomeOf(result.Result), result.Chunks)
-	if found.state != runWaiting {
-		owner.unpin(found)
+func (owner *Owner) finish(run *run, result RunResult) {
+	owner.sendEnded(run, outcomeOf(result.Result), result.Chunks)
+	if run.state != runWaiting {
+		owner.unpin(run)
 	}
-	runTable.Must(&found.state, endRun)
-	delete(owner.runs, found.submit.Stream)
+	runTable.Must(&run.state, endRun)
+	delete(owner.runs, run.submit.Stream)
 }
 
-func (owner *Owner) unpin(found *run) {
-	owner.releasePin(found.slot)
+func (owner *Owner) unpin(run *run) {
+	owner.releasePin(run.slot)
 }
 
 func outcomeOf(result Result) outcome.Outcome {
@@ -305,14 +305,14 @@
 }
 
 // sendEnded sends the entry the Ended message of an attempt, once.
-func (owner *Owner) sendEnded(found *run, ended outcome.Outcome, chunks uint64) {
-	if found.endedSent {
+func (owner *Owner) sendEnded(run *run, ended outcome.Outcome, chunks uint64) {
+	if run.endedSent {
 		return
 	}
-	found.endedSent = true
-	owner.emit(effect.Send{To: found.entry, Message: message.Ended{
-		Stream:     found.submit.Stream,
-		Class:      found.submit.Request.Class,
+	run.endedSent = true
+	owner.emit(effect.Send{To: run.entry, Message: message.Ended{
+		Stream:     run.submit.Stream,
+		Class:      run.submit.Request.Class,
 		Outcome:    ended,
 		Dispatched: ended.Kind != outcome.NotRun,
 		Chunks:     chunks,
--- a/internal/decide/owner/takeover.go
+++ b/internal/decide/owner/takeover.go
@@ -103,10 +103,10 @@
 // HandedRuns returns the unfinished runs, for the next owner.
 func (owner *Owner) HandedRuns() []message.UnfinishedRun {
 	var unfinished []message.UnfinishedRun
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting {
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting {
 			unfinished = append(unfinished, message.UnfinishedRun{
-				Stream: found.submit.Stream, Entry: found.entry, Adapter: found.submit.Request.Adapter,
+				Stream: run.submit.Stream, Entry: run.entry, Adapter: run.submit.Request.Adapter,
 			})
 		}
 	}
@@ -126,9 +126,9 @@
 	owner.takeover.retired = true
 	owner.takeover.suspended = true
 	owner.refuseWaiting(outcome.NotOwner)
-	for _, found := range owner.sortedRuns() {
-		if found.state == runCancelling {
-			owner.finish(found, RunResult{Stream: found.submit.Stream, Result: ResultLost})
+	for _, run := range owner.sortedRuns() {
+		if run.state == runCancelling {
+			owner.finish(run, RunResult{Stream: run.submit.Stream, Result: ResultLost})
 		}
 	}
 	return owner.takeEffects()
@@ -138,15 +138,15 @@
 // order of their streams, for the next owner.
 func (owner *Owner) TakeWaiting(now clock.Millis) []message.Submit {
 	var submits []message.Submit
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting {
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting {
 			continue
 		}
-		owner.dequeue(found)
-		submit := found.submit
-		submit.Budget, submit.Entry = found.deadline-now, found.entry
+		owner.dequeue(run)
+		submit := run.submit
+		submit.Budget, submit.Entry = run.deadline-now, run.entry
 		submits = append(submits, submit)
-		runTable.Must(&found.state, endRun)
+		runTable.Must(&run.state, endRun)
 		delete(owner.runs, submit.Stream)
 	}
 	return submits
@@ -164,10 +164,10 @@
 
 // refuseWaiting refuses all requests that were not dispatched.
 func (owner *Owner) refuseWaiting(reason outcome.Reason) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runWaiting {
-			owner.dequeue(found)
-			owner.refuse(found, outcome.Refused(reason, 0))
+	for _, run := range owner.sortedRuns() {
+		if run.state == runWaiting {
+			owner.dequeue(run)
+			owner.refuse(run, outcome.Refused(reason, 0))
 		}
 	}
 }
@@ -208,9 +208,9 @@
 	if owner.slots[at].pins == 0 {
 		return
 	}
-	for _, found := range owner.runs {
-		if found.state != runWaiting && found.slot == at {
-			found.slot = noSlot
+	for _, run := range owner.runs {
+		if run.state != runWaiting && run.slot == at {
+			run.slot = noSlot
 		}
 	}
 	for _, foreign := range owner.takeover.foreign {
@@ -295,28 +295,28 @@
 // that checks fencing numbers accepts the run from no former owner any more, so if
 // it has not restarted, the run never started. The next report shows whether the
 // boot id is unchanged.
-func (owner *Owner) handleUnknownRun(now clock.Millis, found *run, result RunResult) {
-	submit := found.submit
+func (owner *Owner) handleUnknownRun(now clock.Millis, run *run, result RunResult) {
+	submit := run.submit
 	provable := owner.Engine.ChecksFencing && submit.PriorBoot != "" && submit.PriorFence < owner.Fence && submit.Received == 0
-	if !provable || found.state != runDispatched {
-		owner.finish(found, result)
+	if !provable || run.state != runDispatched {
+		owner.finish(run, result)
 		return
 	}
-	found.unknownAt = now
+	run.unknownAt = now
 }
 
 // resolveUnknownRuns ends the runs that the engine did not know, once a newer report
 // shows whether the engine has restarted.
 func (owner *Owner) resolveUnknownRuns(takenAt clock.Millis) {
-	for _, found := range owner.sortedRuns() {
-		if found.unknownAt == 0 || takenAt <= found.unknownAt {
+	for _, run := range owner.sortedRuns() {
+		if run.unknownAt == 0 || takenAt <= run.unknownAt {
 			continue
 		}
-		result := RunResult{Stream: found.submit.Stream, Result: ResultUnknownRun}
-		if found.submit.PriorBoot == owner.boot {
+		result := RunResult{Stream: run.submit.Stream, Result: ResultUnknownRun}
+		if run.submit.PriorBoot == owner.boot {
 			result.Result = resultNeverRan
 		}
-		owner.finish(found, result)
+		owner.finish(run, result)
 	}
 }
 
--- a/internal/decide/owner/yield.go
+++ b/internal/decide/owner/yield.go
@@ -53,9 +53,9 @@
 	for i := range owner.slots {
 		blocking[i] = owner.slots[i].pins
 	}
-	for _, found := range owner.runs {
-		if found.state != runWaiting && found.slot >= 0 && cancellable(found) {
-			blocking[found.slot]--
+	for _, run := range owner.runs {
+		if run.state != runWaiting && run.slot >= 0 && cancellable(run) {
+			blocking[run.slot]--
 		}
 	}
 	best, lowest := -1, 0.0
@@ -74,8 +74,8 @@
 
 // cancellable reports whether a run can be cancelled at no cost other than running
 // it again.
-func cancellable(found *run) bool {
-	request := &found.submit.Request
+func cancellable(run *run) bool {
+	request := &run.submit.Request
 	return request.Class == config.Routine && request.Repeatable && !request.Streaming
 }
 
@@ -101,9 +101,9 @@
 // cancelRoutine cancels the cancellable routine runs of a slot. Their pins stay until
 // the engine confirms that the runs have ended.
 func (owner *Owner) cancelRoutine(now clock.Millis, at int) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runDispatched && found.slot == at && cancellable(found) {
-			owner.cancel(now, found)
+	for _, run := range owner.sortedRuns() {
+		if run.state == runDispatched && run.slot == at && cancellable(run) {
+			owner.cancel(now, run)
 		}
 	}
 }
--- a/internal/decide/ownership/options.go
+++ b/internal/decide/ownership/options.go
@@ -19,11 +19,11 @@
 	OrderSpan clock.Millis
 	// ReportLag is the maximum time by which a report is older than its stated age.
 	ReportLag clock.Millis
-	// Suspicion is the silence timeout after which a daemon of the same data centre
-	// is skipped as a candidate for engines that check fencing numbers.
+	// Suspicion is the time without messages after which a daemon of the same data
+	// centre is skipped as a candidate for engines that check fencing numbers.
 	Suspicion clock.Millis
-	// Pause is the longest gap between two steps that does not count as a pause of the
-	// process.
+	// Pause is the longest gap between two steps that does not count as a pause of
+	// the process.
 	Pause clock.Millis
 }
 
