--- a/internal/direct/tally/tally.go
+++ b/internal/direct/inflight/tally.go
@@ -1,12 +1,12 @@
-// Package tally counts the requests in progress at backend servers: a daemon's
+// Package inflight counts the requests in progress at backend servers: a daemon's
 // own at once, those of other daemons as they tell, either each by itself or added
 // up by a hub. It does no I/O.
-package tally
+package inflight
 
 import (
 	"maps"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Load is the work in progress at a server.
@@ -18,7 +18,7 @@
 // Use is an adapter at a server.
 type Use struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 }
 
 // Sum is the work of several daemons at a server.
@@ -42,8 +42,8 @@
 	return Share{Loads: make(map[string]Load), Uses: make(map[Use]int)}
 }
 
-// Tally adds the shares of all daemons.
-type Tally struct {
+// Tracker adds the shares of all daemons.
+type Tracker struct {
 	own    Share
 	peers  map[string]Share
 	loads  map[string]Load // own and peers' work, by server
@@ -55,7 +55,7 @@
 // serverUses counts the requests that use adapters, by server, those that wait for
 // one included: each adapter takes a place there. Requests without an adapter are
 // not counted.
-type serverUses map[string]map[port.Adapter]int
+type serverUses map[string]map[platformapi.Adapter]int
 
 func (uses serverUses) add(use Use, count int) {
 	if use.Adapter.Name == "" {
@@ -63,7 +63,7 @@
 	}
 	of, ok := uses[use.Server]
 	if !ok {
-		of = make(map[port.Adapter]int)
+		of = make(map[platformapi.Adapter]int)
 		uses[use.Server] = of
 	}
 	of[use.Adapter] += count
@@ -76,46 +76,46 @@
 }
 
 // New returns a tally of nothing.
-func New() *Tally {
-	return &Tally{
+func New() *Tracker {
+	return &Tracker{
 		own: newShare(), peers: make(map[string]Share), loads: make(map[string]Load), uses: make(serverUses),
 		others: make(map[string]Sum), used: make(serverUses),
 	}
 }
 
 // Begin counts a request of this daemon, and prompt tokens that are to be read for it.
-func (tally *Tally) Begin(use Use, prompt int) {
-	tally.change(use, Load{Runs: 1, Reading: prompt}, 1)
+func (tracker *Tracker) Begin(use Use, prompt int) {
+	tracker.change(use, Load{Runs: 1, Reading: prompt}, 1)
 }
 
-// Read counts the prompt of a request that begins to be read.
-func (tally *Tally) Read(use Use, prompt int) {
-	tally.change(use, Load{Reading: prompt}, 0)
+// StartReading counts the prompt of a request that begins to be read.
+func (tracker *Tracker) StartReading(use Use, prompt int) {
+	tracker.change(use, Load{Reading: prompt}, 0)
 }
 
-// First notes the first event of a request's answer.
-func (tally *Tally) First(use Use, prompt int) {
-	tally.change(use, Load{Reading: -prompt}, 0)
+// FirstEvent notes the first event of a request's answer.
+func (tracker *Tracker) FirstEvent(use Use, prompt int) {
+	tracker.change(use, Load{Reading: -prompt}, 0)
 }
 
 // End takes a request off. Prompt is what First has not taken off yet.
-func (tally *Tally) End(use Use, prompt int) {
-	tally.change(use, Load{Runs: -1, Reading: -prompt}, -1)
+func (tracker *Tracker) End(use Use, prompt int) {
+	tracker.change(use, Load{Runs: -1, Reading: -prompt}, -1)
 }
 
-func (tally *Tally) change(use Use, load Load, uses int) {
-	addLoad(tally.own.Loads, use.Server, load)
-	addLoad(tally.loads, use.Server, load)
+func (tracker *Tracker) change(use Use, load Load, uses int) {
+	addLoad(tracker.own.Loads, use.Server, load)
+	addLoad(tracker.loads, use.Server, load)
 	if uses != 0 {
-		addUse(tally.own, use, uses)
-		tally.uses.add(use, uses)
+		addUse(tracker.own, use, uses)
+		tracker.uses.add(use, uses)
 	}
 }
 
-// Distinct returns how many adapters are in use or waited for at a server. Of the
+// AdapterCount returns how many adapters are in use or waited for at a server. Of the
 // own ones and those of a hub's sum most are the same: the larger number counts.
-func (tally *Tally) Distinct(server string) int {
-	return max(len(tally.uses[server]), tally.others[server].Adapters)
+func (tracker *Tracker) AdapterCount(server string) int {
+	return max(len(tracker.uses[server]), tracker.others[server].Adapters)
 }
 
 func addLoad(loads map[string]Load, server string, load Load) {
@@ -137,15 +137,15 @@
 }
 
 // Own returns what this daemon has in progress. It must not be changed.
-func (tally *Tally) Own() Share {
-	return tally.own
+func (tracker *Tracker) Own() Share {
+	return tracker.own
 }
 
-// Peer replaces the share of another daemon. It returns the uses that are more
+// SetPeer replaces the share of another daemon. It returns the uses that are more
 // than before, with the difference, and those that have ended, with 0.
-func (tally *Tally) Peer(name string, share Share) map[Use]int {
+func (tracker *Tracker) SetPeer(name string, share Share) map[Use]int {
 	changed := make(map[Use]int)
-	before := tally.peers[name].Uses
+	before := tracker.peers[name].Uses
 	for use, uses := range share.Uses {
 		if more := uses - before[use]; more > 0 {
 			changed[use] = more
@@ -156,87 +156,87 @@
 			changed[use] = 0
 		}
 	}
-	tally.Forget(name)
-	tally.peers[name] = share
-	tally.apply(share, 1)
+	tracker.RemovePeer(name)
+	tracker.peers[name] = share
+	tracker.apply(share, 1)
 	return changed
 }
 
-// PeerLoads replaces what another daemon has in progress at some servers; what uses
+// SetPeerLoads replaces what another daemon has in progress at some servers; what uses
 // which adapter there is as Peer said.
-func (tally *Tally) PeerLoads(name string, loads map[string]Load) {
-	share, ok := tally.peers[name]
+func (tracker *Tracker) SetPeerLoads(name string, loads map[string]Load) {
+	share, ok := tracker.peers[name]
 	if !ok {
 		return // its whole share comes soon
 	}
 	share.Loads = maps.Clone(share.Loads) // the map is the caller's of Peer
 	for server, load := range loads {
 		before := share.Loads[server]
-		addLoad(tally.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
+		addLoad(tracker.loads, server, Load{Runs: load.Runs - before.Runs, Reading: load.Reading - before.Reading})
 		share.Loads[server] = load
 	}
-	tally.peers[name] = share
+	tracker.peers[name] = share
 }
 
-// Forget drops the share of a daemon that is gone.
-func (tally *Tally) Forget(name string) {
-	tally.apply(tally.peers[name], -1)
-	delete(tally.peers, name)
+// RemovePeer drops the share of a daemon that is gone.
+func (tracker *Tracker) RemovePeer(name string) {
+	tracker.apply(tracker.peers[name], -1)
+	delete(tracker.peers, name)
 }
 
-func (tally *Tally) apply(share Share, sign int) {
+func (tracker *Tracker) apply(share Share, sign int) {
 	for server, load := range share.Loads {
-		addLoad(tally.loads, server, Load{Runs: sign * load.Runs, Reading: sign * load.Reading})
+		addLoad(tracker.loads, server, Load{Runs: sign * load.Runs, Reading: sign * load.Reading})
 	}
 	for use, uses := range share.Uses {
-		tally.uses.add(use, sign*uses)
+		tracker.uses.add(use, sign*uses)
 	}
 }
 
 // Load returns the work in progress at a server, of all daemons.
-func (tally *Tally) Load(server string) Load {
-	own, others := tally.loads[server], tally.others[server]
+func (tracker *Tracker) Load(server string) Load {
+	own, others := tracker.loads[server], tracker.others[server]
 	return Load{Runs: own.Runs + others.Runs, Reading: own.Reading + others.Reading}
 }
 
 // Uses returns how many requests of all daemons use an adapter at a server.
-func (tally *Tally) Uses(use Use) int {
-	return tally.uses[use.Server][use.Adapter] + tally.used[use.Server][use.Adapter]
+func (tracker *Tracker) Uses(use Use) int {
+	return tracker.uses[use.Server][use.Adapter] + tracker.used[use.Server][use.Adapter]
 }
 
 // UsesAt returns how many requests of all daemons use each adapter of a server or wait
 // for it there.
-func (tally *Tally) UsesAt(server string) map[port.Adapter]int {
-	uses := maps.Clone(tally.uses[server])
+func (tracker *Tracker) UsesAt(server string) map[platformapi.Adapter]int {
+	uses := maps.Clone(tracker.uses[server])
 	if uses == nil {
-		uses = make(map[port.Adapter]int)
+		uses = make(map[platformapi.Adapter]int)
 	}
-	for adapter, count := range tally.used[server] {
+	for adapter, count := range tracker.used[server] {
 		uses[adapter] += count
 	}
 	return uses
 }
 
-// Others adds up the work of all daemons but one, by server.
-func (tally *Tally) Others(but string) map[string]Sum {
-	left := tally.peers[but]
-	sums := make(map[string]Sum, len(tally.loads))
-	for server, load := range tally.loads {
+// SumsExcept adds up the work of all daemons but one, by server.
+func (tracker *Tracker) SumsExcept(but string) map[string]Sum {
+	left := tracker.peers[but]
+	sums := make(map[string]Sum, len(tracker.loads))
+	for server, load := range tracker.loads {
 		taken := left.Loads[server]
 		sums[server] = Sum{
 			Load:     Load{Runs: load.Runs - taken.Runs, Reading: load.Reading - taken.Reading},
-			Adapters: len(tally.uses[server]),
+			Adapters: len(tracker.uses[server]),
 		}
 	}
 	return sums
 }
 
-// UsesBut returns how many requests of all daemons but one use each adapter of a
+// UsesExcept returns how many requests of all daemons but one use each adapter of a
 // server.
-func (tally *Tally) UsesBut(but, server string) map[port.Adapter]int {
-	left := tally.peers[but].Uses
-	uses := make(map[port.Adapter]int)
-	for adapter, count := range tally.uses[server] {
+func (tracker *Tracker) UsesExcept(but, server string) map[platformapi.Adapter]int {
+	left := tracker.peers[but].Uses
+	uses := make(map[platformapi.Adapter]int)
+	for adapter, count := range tracker.uses[server] {
 		if more := count - left[Use{Server: server, Adapter: adapter}]; more > 0 {
 			uses[adapter] = more
 		}
@@ -244,26 +244,26 @@
 	return uses
 }
 
-// SetOthers replaces what a hub has added up; what daemons told themselves counts
+// SetHubSums replaces what a hub has added up; what daemons told themselves counts
 // no more.
-func (tally *Tally) SetOthers(sums map[string]Sum) {
-	for name := range tally.peers {
-		tally.Forget(name)
+func (tracker *Tracker) SetHubSums(sums map[string]Sum) {
+	for name := range tracker.peers {
+		tracker.RemovePeer(name)
 	}
-	tally.others = sums
+	tracker.others = sums
 }
 
-// ClearOthers drops what a hub has added up: each daemon tells itself now.
-func (tally *Tally) ClearOthers() {
-	tally.others = make(map[string]Sum)
-	clear(tally.used)
+// ClearHubSums drops what a hub has added up: each daemon tells itself now.
+func (tracker *Tracker) ClearHubSums() {
+	tracker.others = make(map[string]Sum)
+	clear(tracker.used)
 }
 
-// SetUses replaces the uses of adapters by other daemons at a server that this one
+// SetHubUses replaces the uses of adapters by other daemons at a server that this one
 // orders. It returns the changes as Peer does.
-func (tally *Tally) SetUses(server string, uses map[port.Adapter]int) map[Use]int {
+func (tracker *Tracker) SetHubUses(server string, uses map[platformapi.Adapter]int) map[Use]int {
 	changed := make(map[Use]int)
-	before := tally.used[server]
+	before := tracker.used[server]
 	for adapter, count := range uses {
 		if more := count - before[adapter]; more > 0 {
 			changed[Use{Server: server, Adapter: adapter}] = more
@@ -274,6 +274,6 @@
 			changed[Use{Server: server, Adapter: adapter}] = 0
 		}
 	}
-	tally.used[server] = uses
+	tracker.used[server] = uses
 	return changed
 }
--- a/internal/direct/loading/copies.go
+++ b/internal/direct/loading/copies.go
@@ -9,7 +9,7 @@
 	Uses    int          // requests in progress that use the adapter or wait for it, at the server looked at
 	Runs    int          // all requests in progress there
 	Holders int          // servers that hold the adapter
-	Coming  int          // servers that load it, or were asked to
+	Loading int          // servers that load it, or were asked to
 }
 
 // MostCopies bounds the copies of one adapter that are asked for at a time: what is known
@@ -20,23 +20,23 @@
 // other daemons send some that are not heard of yet.
 const readingShare = 0.5
 
-// ReadingGoal is how long the prompts at an engine should take to be read at most: no
+// MaxReadingTime is how long the prompts at an engine should take to be read at most: no
 // longer than a load elsewhere, and no longer than the streams there may pause.
-func ReadingGoal(loadTime, gapGoal clock.Millis) clock.Millis {
+func MaxReadingTime(loadTime, gapGoal clock.Millis) clock.Millis {
 	if gapGoal <= 0 {
 		return loadTime
 	}
 	return min(loadTime, clock.Millis(readingShare*float64(gapGoal)))
 }
 
-// Copies returns how many further servers should load an adapter: as many as it takes for
+// CopiesNeeded returns how many further servers should load an adapter: as many as it takes for
 // the prompts that wait for it to be read within the goal. Where hundreds of daemons
 // place requests by sums that are a hundred milliseconds old, an adapter that becomes popular
 // has dozens of prompts at its first server before any daemon sees that one copy is too few.
-func Copies(demand Demand, goal clock.Millis) int {
+func CopiesNeeded(demand Demand, goal clock.Millis) int {
 	if demand.Runs == 0 || goal <= 0 {
 		return 0
 	}
 	waiting := demand.Backlog * clock.Millis(demand.Uses) / clock.Millis(demand.Runs)
-	return max(0, min(int(waiting/goal)-demand.Holders-demand.Coming, MostCopies))
+	return max(0, min(int(waiting/goal)-demand.Holders-demand.Loading, MostCopies))
 }
--- a/internal/direct/loading/modelrate.go
+++ b/internal/direct/loading/modelrate.go
@@ -22,13 +22,13 @@
 	return &ModelRate{atOnce: 1}
 }
 
-// AtOnce is how many base models have travelled at full speed.
-func (rate *ModelRate) AtOnce() int {
+// FullSpeedLoads is how many base models have travelled at full speed.
+func (rate *ModelRate) FullSpeedLoads() int {
 	return rate.atOnce
 }
 
-// Trial is how many may be tried at once.
-func (rate *ModelRate) Trial() int {
+// TrialLoads is how many may be tried at once.
+func (rate *ModelRate) TrialLoads() int {
 	if rate.bounded {
 		return rate.atOnce
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	implied := max(1, int(float64(onWay)/slower+0.5))
-	if onWay > 1 && implied <= rate.Trial() {
+	if onWay > 1 && implied <= rate.TrialLoads() {
 		rate.atOnce, rate.bounded = implied, true
 	}
 }
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // stuckAfter is how many times its usual time a base model may take.
@@ -13,23 +13,23 @@
 
 // Traffic is what is on its way from the weight store.
 type Traffic struct {
-	OnWay   int // adapters on their way to all servers
-	Servers int // that adapters are loaded to
+	InFlight int // adapters on their way to all servers
+	Servers  int // that adapters are loaded to
 }
 
 // Uses tells how many requests of all daemons use an adapter at the server.
-type Uses func(port.Adapter) int
+type Uses func(platformapi.Adapter) int
 
-// Next returns the order to give now. Without one it returns the time at which
+// NextOrder returns the order to give now. Without one it returns the time at which
 // to ask again, which is 0 when only a change calls for it.
 // Turn says that a base model may be loaded where the server holds none.
-func (planner *Planner) Next(now clock.Millis, uses Uses, newest func(port.Adapter) int, traffic Traffic, turn bool) (port.Order, bool, clock.Millis) {
+func (planner *Planner) NextOrder(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
 	if now < planner.waitTo {
-		return port.Order{}, false, planner.waitTo
+		return platformapi.Order{}, false, planner.waitTo
 	}
 	planner.expire(now)
 	if !turn && (!planner.shown || len(planner.models) == 0 && len(planner.coming) == 0) {
-		return port.Order{}, false, now + turnInterval
+		return platformapi.Order{}, false, now + turnInterval
 	}
 	if !planner.shown {
 		order, ok := planner.firstModel()
@@ -47,7 +47,7 @@
 	if order, ok := planner.nextWant(now, uses, traffic); ok {
 		return order, true, 0
 	}
-	return port.Order{}, false, planner.wakeAt(now)
+	return platformapi.Order{}, false, planner.wakeAt(now)
 }
 
 // expire drops wants whose requests have given up.
@@ -61,7 +61,7 @@
 }
 
 // nextModel loads a base model where the server holds none: servers restart empty.
-func (planner *Planner) nextModel(now clock.Millis) (port.Order, bool) {
+func (planner *Planner) nextModel(now clock.Millis) (platformapi.Order, bool) {
 	for name, load := range planner.coming {
 		if !load.stuck && now-load.since > stuckAfter*planner.limits.ModelTime[name] {
 			load.stuck = true
@@ -69,82 +69,82 @@
 			planner.number++
 		}
 		if now < load.checkAt {
-			return port.Order{}, false
+			return platformapi.Order{}, false
 		}
-		return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+		return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 	}
 	if len(planner.models) > 0 {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	return planner.firstModel()
 }
 
 // firstModel is the order for the model that every server should hold. It shows
 // a fencing number without changing a server that holds the model already.
-func (planner *Planner) firstModel() (port.Order, bool) {
+func (planner *Planner) firstModel() (platformapi.Order, bool) {
 	for _, name := range slices.Sorted(maps.Keys(planner.limits.ModelMB)) {
 		if planner.limits.ModelMB[name] <= planner.limits.MemoryMB {
-			return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+			return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 		}
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextCheck repeats the order of a load that should have ended: the server
 // answers that it holds, at once and cheaper than a report, which lags.
-func (planner *Planner) nextCheck(now clock.Millis) (port.Order, bool) {
+func (planner *Planner) nextCheck(now clock.Millis) (platformapi.Order, bool) {
 	for adapter, held := range planner.slots {
 		if now < held.checkAt || !held.loading && !held.leaving {
 			continue
 		}
 		if held.leaving {
-			return port.Order{Adapter: adapter}, true
+			return platformapi.Order{Adapter: adapter}, true
 		}
-		return port.Order{Load: true, Adapter: adapter, Version: held.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: held.version}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextVersion replaces or drops an adapter of which a newer version was named.
-func (planner *Planner) nextVersion(uses Uses, newest func(port.Adapter) int) (port.Order, bool) {
+func (planner *Planner) nextVersion(uses Uses, newest func(platformapi.Adapter) int) (platformapi.Order, bool) {
 	for adapter, held := range planner.slots {
 		version := newest(adapter)
 		if held.loading || held.leaving || held.version >= version {
 			continue
 		}
 		if uses(adapter) > 0 || planner.wants[adapter] != nil {
-			return port.Order{Load: true, Adapter: adapter, Version: version}, true
+			return platformapi.Order{Load: true, Adapter: adapter, Version: version}, true
 		}
-		return port.Order{Adapter: adapter}, true
+		return platformapi.Order{Adapter: adapter}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
 // nextWant loads the adapter that is wanted most urgently, or makes room for it.
-func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (port.Order, bool) {
+func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
 	most := planner.options.MostIncoming
-	if traffic.OnWay >= planner.rate.AtOnce(traffic.Servers) {
+	if traffic.InFlight >= planner.rate.FullSpeedLoads(traffic.Servers) {
 		most = planner.options.CrowdedIncoming
 	}
 	if planner.incoming() >= most {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	adapter, wanted, ok := planner.firstWant()
 	if !ok {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	if planner.hasRoom(adapter) {
-		return port.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
 	}
 	if planner.leaving() >= len(planner.wants) {
-		return port.Order{}, false // there will be room
+		return platformapi.Order{}, false // there will be room
 	}
 	victim, ok := planner.victim(now, uses)
-	return port.Order{Adapter: victim}, ok
+	return platformapi.Order{Adapter: victim}, ok
 }
 
-func (planner *Planner) firstWant() (port.Adapter, *want, bool) {
-	var first port.Adapter
+func (planner *Planner) firstWant() (platformapi.Adapter, *want, bool) {
+	var first platformapi.Adapter
 	var best *want
 	for adapter, wanted := range planner.wants {
 		if held, ok := planner.slots[adapter]; ok && (held.loading || held.leaving || held.version >= wanted.version) || !planner.models[adapter.Model] {
@@ -179,7 +179,7 @@
 
 // hasRoom reports whether one more adapter fits: a server that is ordered to
 // load more than it can hold crashes.
-func (planner *Planner) hasRoom(adapter port.Adapter) bool {
+func (planner *Planner) hasRoom(adapter platformapi.Adapter) bool {
 	if _, held := planner.slots[adapter]; held {
 		return true // a newer version takes the place of the one held
 	}
@@ -197,8 +197,8 @@
 }
 
 // victim is the adapter asked for least of those that nobody uses or waits for.
-func (planner *Planner) victim(now clock.Millis, uses Uses) (port.Adapter, bool) {
-	var victim port.Adapter
+func (planner *Planner) victim(now clock.Millis, uses Uses) (platformapi.Adapter, bool) {
+	var victim platformapi.Adapter
 	least := -1.0
 	for adapter, held := range planner.slots {
 		if held.loading || held.leaving || now-held.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -11,7 +11,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Limits are what a server can hold.
@@ -80,15 +80,15 @@
 type Planner struct {
 	options Options
 	limits  Limits
-	rate    *Rate                   // of the daemon's planners together
-	atHand  func(port.Adapter) bool // whether the server held an adapter of late
-	shown   bool                    // the server has seen this daemon's fencing number
-	known   bool                    // a report was read since
-	ordered clock.Millis            // when the server may last have accepted an order
+	rate    *LoadRate                      // of the daemon's planners together
+	atHand  func(platformapi.Adapter) bool // whether the server held an adapter of late
+	shown   bool                           // the server has seen this daemon's fencing number
+	known   bool                           // a report was read since
+	ordered clock.Millis                   // when the server may last have accepted an order
 	models  map[string]bool
 	coming  map[string]modelLoad // base models being loaded
-	slots   map[port.Adapter]*slot
-	wants   map[port.Adapter]*want
+	slots   map[platformapi.Adapter]*slot
+	wants   map[platformapi.Adapter]*want
 	waitTo  clock.Millis
 	number  int64 // rises with each change of the slots
 }
@@ -103,11 +103,11 @@
 // New returns a planner that knows nothing of its server yet. It learns the rate of the
 // weight store together with the daemon's others. AtHand tells whether the server held
 // an adapter of late.
-func New(options Options, limits Limits, rate *Rate, atHand func(port.Adapter) bool) *Planner {
+func New(options Options, limits Limits, rate *LoadRate, atHand func(platformapi.Adapter) bool) *Planner {
 	return &Planner{
 		options: options, limits: limits, rate: rate, atHand: atHand, models: make(map[string]bool),
 		coming: make(map[string]modelLoad),
-		slots:  make(map[port.Adapter]*slot), wants: make(map[port.Adapter]*want),
+		slots:  make(map[platformapi.Adapter]*slot), wants: make(map[platformapi.Adapter]*want),
 	}
 }
 
@@ -119,14 +119,14 @@
 	return planner.shown && !planner.known, planner.ordered + planner.options.ReportLag
 }
 
-// Knows reports whether the planner knows what its server holds: it has read its report,
+// HoldingsKnown reports whether the planner knows what its server holds: it has read its report,
 // or the server has just accepted to load its base model, and so holds nothing.
-func (planner *Planner) Knows() bool {
+func (planner *Planner) HoldingsKnown() bool {
 	return planner.known || len(planner.coming) > 0
 }
 
-// Forget makes the planner read the report again: the server may have restarted.
-func (planner *Planner) Forget() {
+// InvalidateReport makes the planner read the report again: the server may have restarted.
+func (planner *Planner) InvalidateReport() {
 	planner.known = false
 }
 
@@ -136,17 +136,17 @@
 }
 
 // SetReport takes the server's word for what it holds.
-func (planner *Planner) SetReport(now clock.Millis, report port.Report) {
+func (planner *Planner) SetReport(now clock.Millis, report platformapi.Report) {
 	former := planner.slots
 	planner.known = true
 	planner.number++
 	planner.models = make(map[string]bool)
-	planner.slots = make(map[port.Adapter]*slot)
+	planner.slots = make(map[platformapi.Adapter]*slot)
 	for _, holding := range report.Models {
 		planner.models[holding.Model] = true
 		delete(planner.coming, holding.Model)
 		for name, version := range holding.Adapters {
-			planner.slots[port.Adapter{Model: holding.Model, Name: name}] = &slot{version: version}
+			planner.slots[platformapi.Adapter{Model: holding.Model, Name: name}] = &slot{version: version}
 		}
 	}
 	for _, adapter := range report.Incoming {
@@ -164,8 +164,8 @@
 	}
 }
 
-// Want asks for an adapter on behalf of a request that gives up at until.
-func (planner *Planner) Want(now clock.Millis, adapter port.Adapter, version, rank int, until clock.Millis) {
+// RequestAdapter asks for an adapter on behalf of a request that gives up at until.
+func (planner *Planner) RequestAdapter(now clock.Millis, adapter platformapi.Adapter, version, rank int, until clock.Millis) {
 	wanted, ok := planner.wants[adapter]
 	if !ok {
 		planner.wants[adapter] = &want{version: version, rank: rank, since: now, until: until}
@@ -177,8 +177,8 @@
 	wanted.until = max(wanted.until, until)
 }
 
-// Used counts a use of an adapter.
-func (planner *Planner) Used(now clock.Millis, adapter port.Adapter, uses int) {
+// RecordUse counts a use of an adapter.
+func (planner *Planner) RecordUse(now clock.Millis, adapter platformapi.Adapter, uses int) {
 	held, ok := planner.slots[adapter]
 	if !ok {
 		return
@@ -191,11 +191,11 @@
 	return held.score * math.Exp2(-float64(now-held.usedAt)/float64(planner.options.HalfLife))
 }
 
-// Absent notes that the server refused a request because it lacks the adapter, or
+// MarkMissing notes that the server refused a request because it lacks the adapter, or
 // holds another version of it. The adapter keeps its place, as one being loaded, until
 // its load was ordered again and answered: a place given away too early has the server
 // ordered to load one adapter too many, and crash.
-func (planner *Planner) Absent(now clock.Millis, adapter port.Adapter) {
+func (planner *Planner) MarkMissing(now clock.Millis, adapter platformapi.Adapter) {
 	if held, ok := planner.slots[adapter]; ok && !held.loading && !held.leaving {
 		held.loading = true
 		held.checks = 0
@@ -219,13 +219,13 @@
 	}
 	for model, load := range planner.coming {
 		if !load.stuck {
-			slots = append(slots, fleet.Slot{Adapter: port.Adapter{Model: model}, Coming: true})
+			slots = append(slots, fleet.Slot{Adapter: platformapi.Adapter{Model: model}, Coming: true})
 		}
 	}
 	slices.SortFunc(slots, func(a, b fleet.Slot) int { return byName(a.Adapter, b.Adapter) })
 	return planner.number, models, slots
 }
 
-func byName(a, b port.Adapter) int {
+func byName(a, b platformapi.Adapter) int {
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
 }
--- a/internal/direct/loading/rate.go
+++ b/internal/direct/loading/rate.go
@@ -2,7 +2,7 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Rate is what one daemon has observed of the weight store: how long an adapter takes
+// LoadRate is what one daemon has observed of the weight store: how long an adapter takes
 // to a server, and how many travel at full speed. Beyond that number each takes longer
 // in proportion to how many are on their way. Neither is published, and both differ
 // between sites.
@@ -10,7 +10,7 @@
 // A load is looked at a little before it is expected to have ended, and then often until
 // it has: the time between the last two looks bounds what it took. Estimates move where
 // those bounds contradict them.
-type Rate struct {
+type LoadRate struct {
 	loadTime float64 // milliseconds
 	atOnce   float64 // 0: not observed yet
 	observed bool    // a load was
@@ -35,52 +35,52 @@
 // to take: an estimate that is too high is only noticed by looking before.
 const firstLook = 0.9
 
-// NewRate returns a rate of which nothing was observed.
-func NewRate() *Rate {
-	return &Rate{loadTime: firstLoadTime}
+// NewLoadRate returns a rate of which nothing was observed.
+func NewLoadRate() *LoadRate {
+	return &LoadRate{loadTime: firstLoadTime}
 }
 
 // LoadTime is how long an adapter takes while few are on their way.
-func (rate *Rate) LoadTime() clock.Millis {
-	return clock.Millis(rate.loadTime + 0.5)
+func (loadRate *LoadRate) LoadTime() clock.Millis {
+	return clock.Millis(loadRate.loadTime + 0.5)
 }
 
 // recentSpeedup is how much faster a server loads an adapter that it held of late, by
 // the platform's pages.
 const recentSpeedup = 10
 
-// RecentTime is how long an adapter takes that the server held of late.
-func (rate *Rate) RecentTime() clock.Millis {
-	return rate.LoadTime()/recentSpeedup + 1
+// RecentLoadTime is how long an adapter takes that the server held of late.
+func (loadRate *LoadRate) RecentLoadTime() clock.Millis {
+	return loadRate.LoadTime()/recentSpeedup + 1
 }
 
-// AtOnce is how many adapters travel at full speed.
-func (rate *Rate) AtOnce(servers int) int {
-	return int(rate.fullSpeed(servers))
+// FullSpeedLoads is how many adapters travel at full speed.
+func (loadRate *LoadRate) FullSpeedLoads(servers int) int {
+	return int(loadRate.fullSpeed(servers))
 }
 
 // fullSpeed is the same before it is rounded. Until it was observed each server is
 // taken to get one.
-func (rate *Rate) fullSpeed(servers int) float64 {
-	if rate.atOnce == 0 {
+func (loadRate *LoadRate) fullSpeed(servers int) float64 {
+	if loadRate.atOnce == 0 {
 		return float64(max(1, servers))
 	}
-	return rate.atOnce
+	return loadRate.atOnce
 }
 
 // FirstLook is when to look first at a load that begins as the last of so many on their
 // way.
-func (rate *Rate) FirstLook(onWay, servers int) clock.Millis {
-	return clock.Millis(firstLook*rate.loadTime*rate.crowd(onWay, servers) + 0.5)
+func (loadRate *LoadRate) FirstLook(onWay, servers int) clock.Millis {
+	return clock.Millis(firstLook*loadRate.loadTime*loadRate.crowd(onWay, servers) + 0.5)
 }
 
-func (rate *Rate) crowd(onWay, servers int) float64 {
-	return max(1, float64(onWay)/rate.fullSpeed(servers))
+func (loadRate *LoadRate) crowd(onWay, servers int) float64 {
+	return max(1, float64(onWay)/loadRate.fullSpeed(servers))
 }
 
-// Learned is what was observed of the weight store, to be told to daemons that order no
+// RateEstimate is what was observed of the weight store, to be told to daemons that order no
 // loads themselves.
-type Learned struct {
+type RateEstimate struct {
 	LoadTime clock.Millis // of an adapter while few are on their way; 0: none was observed
 	AtOnce   int          // adapters that travel at full speed; 0: no bound was observed
 }
@@ -88,28 +88,28 @@
 // likeness is the part by which figures may differ that are told as the same.
 const likeness = 0.1
 
-// Like reports whether there is nothing to tell to those who know the other.
-func (learned Learned) Like(other Learned) bool {
+// SimilarTo reports whether there is nothing to tell to those who know the other.
+func (rateEstimate RateEstimate) SimilarTo(other RateEstimate) bool {
 	near := func(a, b float64) bool { return max(a, b)-min(a, b) <= likeness*max(a, b) }
-	return near(float64(learned.LoadTime), float64(other.LoadTime)) && near(float64(learned.AtOnce), float64(other.AtOnce))
+	return near(float64(rateEstimate.LoadTime), float64(other.LoadTime)) && near(float64(rateEstimate.AtOnce), float64(other.AtOnce))
 }
 
-// Learned returns what was observed.
-func (rate *Rate) Learned() Learned {
-	if !rate.observed {
-		return Learned{}
+// Estimate returns what was observed.
+func (loadRate *LoadRate) Estimate() RateEstimate {
+	if !loadRate.observed {
+		return RateEstimate{}
 	}
-	return Learned{LoadTime: rate.LoadTime(), AtOnce: int(rate.atOnce)}
+	return RateEstimate{LoadTime: loadRate.LoadTime(), AtOnce: int(loadRate.atOnce)}
 }
 
-// Adopt takes over what another daemon has observed.
-func (rate *Rate) Adopt(learned Learned) {
+// SetEstimate takes over what another daemon has observed.
+func (loadRate *LoadRate) SetEstimate(learned RateEstimate) {
 	if learned.LoadTime <= 0 {
 		return
 	}
-	rate.observed = true
-	rate.loadTime = float64(learned.LoadTime)
-	rate.atOnce = float64(max(0, learned.AtOnce))
+	loadRate.observed = true
+	loadRate.loadTime = float64(learned.LoadTime)
+	loadRate.atOnce = float64(max(0, learned.AtOnce))
 }
 
 // Observation is a load that has ended.
@@ -121,22 +121,22 @@
 }
 
 // Observe takes a load into account.
-func (rate *Rate) Observe(seen Observation) {
-	atOnce, onWay := rate.fullSpeed(seen.Servers), float64(seen.OnWay)
+func (loadRate *LoadRate) Observe(seen Observation) {
+	atOnce, onWay := loadRate.fullSpeed(seen.Servers), float64(seen.OnWay)
 	least, most := float64(seen.Least), float64(seen.Most)
 	switch {
-	case !rate.observed:
-		rate.observed = true
-		rate.loadTime = most / rate.crowd(seen.OnWay, seen.Servers)
-	case most < rate.loadTime: // it cannot have travelled faster than at full speed
-		rate.loadTime += rateStep * (most - rate.loadTime)
-	case onWay <= atOnce/2 || onWay <= atOnce && least < rateSlack*rate.loadTime:
-		rate.loadTime += rateStep * max(0, least-rate.loadTime)
-	case least > rate.loadTime && atOnce > onWay*rate.loadTime/least:
-		rate.atOnce = max(1, atOnce+rateStep*(onWay*rate.loadTime/least-atOnce))
+	case !loadRate.observed:
+		loadRate.observed = true
+		loadRate.loadTime = most / loadRate.crowd(seen.OnWay, seen.Servers)
+	case most < loadRate.loadTime: // it cannot have travelled faster than at full speed
+		loadRate.loadTime += rateStep * (most - loadRate.loadTime)
+	case onWay <= atOnce/2 || onWay <= atOnce && least < rateSlack*loadRate.loadTime:
+		loadRate.loadTime += rateStep * max(0, least-loadRate.loadTime)
+	case least > loadRate.loadTime && atOnce > onWay*loadRate.loadTime/least:
+		loadRate.atOnce = max(1, atOnce+rateStep*(onWay*loadRate.loadTime/least-atOnce))
 		// It may be the load time as well: both too low fit loads of a crowded store.
-		rate.loadTime += rateDoubt * (least - rate.loadTime)
-	case onWay > atOnce && atOnce < onWay*rate.loadTime/most:
-		rate.atOnce = atOnce + rateStep*(onWay*rate.loadTime/most-atOnce)
+		loadRate.loadTime += rateDoubt * (least - loadRate.loadTime)
+	case onWay > atOnce && atOnce < onWay*loadRate.loadTime/most:
+		loadRate.atOnce = atOnce + rateStep*(onWay*loadRate.loadTime/most-atOnce)
 	}
 }
--- a/internal/direct/loading/rate_test.go
+++ b/internal/direct/loading/rate_test.go
@@ -20,7 +20,7 @@
 
 // load follows a load that begins as the last of so many on their way, with the looks
 // that a planner would take.
-func (store weightStore) load(rate *loading.Rate, onWay int) {
+func (store weightStore) load(rate *loading.LoadRate, onWay int) {
 	took := store.loadTime * clock.Millis(max(onWay, store.atOnce)) / clock.Millis(store.atOnce)
 	seen := loading.Observation{OnWay: onWay, Servers: store.servers, Most: rate.FirstLook(onWay, store.servers)}
 	for seen.Most < took {
@@ -41,12 +41,12 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d", store.atOnce, store.servers), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
-			rate := loading.NewRate()
+			rate := loading.NewLoadRate()
 			for range 300 {
 				store.load(rate, 1+random.IntN(2*store.atOnce))
 			}
 			require.InEpsilon(t, int64(store.loadTime), int64(rate.LoadTime()), 0.12)
-			require.InEpsilon(t, store.atOnce, rate.AtOnce(store.servers), 0.15)
+			require.InEpsilon(t, store.atOnce, rate.FullSpeedLoads(store.servers), 0.15)
 		})
 	}
 }
@@ -55,7 +55,7 @@
 func TestRateFollowsAStoreThatSlowsDown(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	store := weightStore{loadTime: 250, atOnce: 16, servers: 18}
-	rate := loading.NewRate()
+	rate := loading.NewLoadRate()
 	for range 200 {
 		store.load(rate, 1+random.IntN(2*store.atOnce))
 	}
@@ -63,5 +63,5 @@
 	for range 200 {
 		store.load(rate, 1+random.IntN(2*store.atOnce))
 	}
-	require.InEpsilon(t, store.atOnce, rate.AtOnce(store.servers), 0.2)
+	require.InEpsilon(t, store.atOnce, rate.FullSpeedLoads(store.servers), 0.2)
 }
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -2,33 +2,33 @@
 
 import (
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Done takes the result of an order.
-func (planner *Planner) Done(now clock.Millis, order port.Order, result port.Result, traffic Traffic) {
-	if result != port.Conflict && result != port.Fenced && result != port.Other {
+// HandleResult takes the result of an order.
+func (planner *Planner) HandleResult(now clock.Millis, order platformapi.Order, result platformapi.Result, traffic Traffic) {
+	if result != platformapi.Conflict && result != platformapi.Fenced && result != platformapi.WrongServer {
 		planner.ordered = now
 	}
 	switch result {
-	case port.Accepted, port.Holds:
+	case platformapi.Accepted, platformapi.NothingToDo:
 		planner.shown = true
-		planner.accepted(now, order, result == port.Holds, traffic)
-	case port.Conflict:
+		planner.accepted(now, order, result == platformapi.NothingToDo, traffic)
+	case platformapi.Conflict:
 		planner.waitTo = now + planner.options.Backoff
-	case port.Unknown:
+	case platformapi.Unknown:
 		planner.unanswered(now, order)
-	case port.Other, port.Fenced:
+	case platformapi.WrongServer, platformapi.Fenced:
 		planner.known = false
 		planner.shown = false
-	case port.Invalid:
+	case platformapi.InvalidOrder:
 		planner.refused(now, order)
 	}
 }
 
 // unanswered counts a load that may have been accepted: its place is taken until
 // the order, given again, is answered.
-func (planner *Planner) unanswered(now clock.Millis, order port.Order) {
+func (planner *Planner) unanswered(now clock.Millis, order platformapi.Order) {
 	planner.waitTo = now + planner.options.Backoff
 	planner.number++
 	if !order.Load {
@@ -48,7 +48,7 @@
 	held.checkAt = planner.waitTo
 }
 
-func (planner *Planner) accepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
+func (planner *Planner) accepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
 	planner.number++
 	switch {
 	case order.Adapter.Name == "":
@@ -62,7 +62,7 @@
 
 // unloadAccepted frees the place once nothing runs on the adapter any more: until
 // then the server still counts it.
-func (planner *Planner) unloadAccepted(now clock.Millis, adapter port.Adapter, holds bool) {
+func (planner *Planner) unloadAccepted(now clock.Millis, adapter platformapi.Adapter, holds bool) {
 	held, ok := planner.slots[adapter]
 	if holds || !ok {
 		delete(planner.slots, adapter)
@@ -90,7 +90,7 @@
 	planner.coming[model] = load
 }
 
-func (planner *Planner) loadAccepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
+func (planner *Planner) loadAccepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
 	held, ok := planner.slots[order.Adapter]
 	if !ok {
 		held = &slot{}
@@ -126,20 +126,20 @@
 }
 
 // begin notes the start of a load, and when it is expected to have ended.
-func (planner *Planner) begin(now clock.Millis, adapter port.Adapter, held *slot, traffic Traffic) {
+func (planner *Planner) begin(now clock.Millis, adapter platformapi.Adapter, held *slot, traffic Traffic) {
 	if planner.atHand(adapter) {
 		held.began = 0 // it says nothing of the weight store
-		held.checkAt = now + planner.rate.RecentTime()
+		held.checkAt = now + planner.rate.RecentLoadTime()
 		return
 	}
 	held.began = now
 	held.seenFor = 0
-	held.onWay = traffic.OnWay + 1
+	held.onWay = traffic.InFlight + 1
 	held.checkAt = now + planner.rate.FirstLook(held.onWay, traffic.Servers)
 }
 
 // refused drops what the server says makes no sense, so that it is not tried for ever.
-func (planner *Planner) refused(now clock.Millis, order port.Order) {
+func (planner *Planner) refused(now clock.Millis, order platformapi.Order) {
 	delete(planner.wants, order.Adapter)
 	planner.waitTo = now + planner.options.Backoff
 	planner.known = false
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -46,29 +46,29 @@
 	return &Turns{rate: NewModelRate(), began: make(map[string]modelStart), ends: make(map[string]clock.Millis)}
 }
 
-// AtOnce is how many base models travel at full speed, as far as was seen.
-func (turns *Turns) AtOnce() int {
-	return turns.rate.AtOnce()
+// FullSpeedLoads is how many base models travel at full speed, as far as was seen.
+func (turns *Turns) FullSpeedLoads() int {
+	return turns.rate.FullSpeedLoads()
 }
 
-// Trial is how many may begin together, to see whether they do.
-func (turns *Turns) Trial() int {
-	return turns.rate.Trial()
+// TrialLoads is how many may begin together, to see whether they do.
+func (turns *Turns) TrialLoads() int {
+	return turns.rate.TrialLoads()
 }
 
 // Models is what is known of the base models of a service's servers.
 type Models struct {
-	Loading  []string     // servers that a base model is on its way to
-	Holding  []string     // servers that hold theirs
-	Waiting  []string     // servers that are to load theirs, the next one first
-	AtOnce   int          // loads that the weight store sends at full speed
-	Trial    int          // loads that may begin together, to see whether it sends more
-	LoadTime clock.Millis // of one of them
+	Loading        []string     // servers that a base model is on its way to
+	Holding        []string     // servers that hold theirs
+	Waiting        []string     // servers that are to load theirs, the next one first
+	FullSpeedLoads int          // loads that the weight store sends at full speed
+	TrialLoads     int          // loads that may begin together, to see whether it sends more
+	LoadTime       clock.Millis // of one of them
 }
 
-// May reports whether a server may load its base model now.
-func (turns *Turns) May(now clock.Millis, server string, models Models) bool {
-	turns.Note(now, models)
+// MayLoad reports whether a server may load its base model now.
+func (turns *Turns) MayLoad(now clock.Millis, server string, models Models) bool {
+	turns.Update(now, models)
 	if !turns.pays(now, models) {
 		turns.free = 0
 		return false
@@ -80,9 +80,9 @@
 	return place >= 0 && now-turns.free >= clock.Millis(place)*turnPatience
 }
 
-// Ends returns in how many milliseconds the loads on their way are expected to end,
+// RemainingTimes returns in how many milliseconds the loads on their way are expected to end,
 // by server.
-func (turns *Turns) Ends(now clock.Millis) map[string]clock.Millis {
+func (turns *Turns) RemainingTimes(now clock.Millis) map[string]clock.Millis {
 	left := make(map[string]clock.Millis, len(turns.ends))
 	for server, endAt := range turns.ends {
 		left[server] = endAt - now
@@ -90,10 +90,10 @@
 	return left
 }
 
-// Note takes down loads that have begun or ended; it is to be called often, as the
+// Update takes down loads that have begun or ended; it is to be called often, as the
 // time of a load counts from its start. The load of a server that has left goes on
 // until its expected end.
-func (turns *Turns) Note(now clock.Millis, models Models) {
+func (turns *Turns) Update(now clock.Millis, models Models) {
 	turns.observe(now, models)
 	for server, endAt := range turns.ends {
 		loading := slices.Contains(models.Loading, server)
@@ -124,7 +124,7 @@
 
 // span is how long a load takes that begins while others are on their way.
 func (models Models) span(others int) clock.Millis {
-	return models.LoadTime * clock.Millis(max(models.AtOnce, others+1)) / clock.Millis(models.AtOnce)
+	return models.LoadTime * clock.Millis(max(models.FullSpeedLoads, others+1)) / clock.Millis(models.FullSpeedLoads)
 }
 
 // trialShare is the part of a load's time within which loads begin together.
@@ -144,7 +144,7 @@
 // pays reports whether a load that begins now ends well before one that waits for the
 // end of the next load on its way.
 func (turns *Turns) pays(now clock.Millis, models Models) bool {
-	if len(turns.ends) < models.AtOnce || len(turns.ends) < models.Trial && turns.together(now, models) {
+	if len(turns.ends) < models.FullSpeedLoads || len(turns.ends) < models.TrialLoads && turns.together(now, models) {
 		return true
 	}
 	next := clock.Millis(0)
--- a/internal/direct/membership/links.go
+++ b/internal/direct/membership/links.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	peer, heard := membership.peers[name]
-	if membership.role.GivesOrders() && (heard && peer.Role.GivesOrders() || membership.named[name]) {
+	if membership.role.SendsOrders() && (heard && peer.Role.SendsOrders() || membership.named[name]) {
 		return true
 	}
 	if membership.plan.Mesh {
@@ -53,11 +53,11 @@
 	return membership.linked[name] || ok && membership.serves(known)
 }
 
-// Linked reports whether a daemon is one of those that this one's plan links: for one
+// InPlan reports whether a daemon is one of those that this one's plan links: for one
 // that gives orders all that may claim servers, also before they say so themselves. One
 // that hears of claims only when it has said that it is a candidate waits for the quiet
 // span after its start.
-func (membership *Membership) Linked(name string) bool {
+func (membership *Membership) InPlan(name string) bool {
 	return membership.linked[name]
 }
 
--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -35,8 +35,8 @@
 	return cmp.Or(cmp.Compare(record.Incarnation, other.Incarnation), cmp.Compare(record.Number, other.Number)) > 0
 }
 
-// Word is what a daemon says of itself to those that it is connected with.
-type Word struct {
+// Status is what a daemon says of itself to those that it is connected with.
+type Status struct {
 	Record
 	Role     topology.Role
 	Hub      string       // the daemon that it has chosen as its hub; empty: none
@@ -91,13 +91,13 @@
 
 // Peer is a daemon that has been heard directly.
 type Peer struct {
-	Word
+	Status
 	HeardAt clock.Millis // when it was heard last, or had leave to be silent
 }
 
 // addsUp reports whether a daemon says that it adds up the work of others.
 func (peer *Peer) addsUp() bool {
-	return peer.Hub == "" && peer.Role.GivesOrders()
+	return peer.Hub == "" && peer.Role.SendsOrders()
 }
 
 type entry struct {
@@ -135,7 +135,7 @@
 		linked: make(map[string]bool), named: make(map[string]bool),
 	}
 	membership.changes = 1 // of its own record
-	membership.plan = topology.Of(self, nil, nil, false)
+	membership.plan = topology.PlanFor(self, nil, nil, false)
 	return membership
 }
 
@@ -190,35 +190,35 @@
 	}
 }
 
-// Finding is what a word changes.
-type Finding struct {
-	Known bool // the word is not older than what was known
-	Found bool // the daemon was not heard before, or has started again
-	Left  bool // the daemon has just said that it stops, or gives orders no more
-	Moved bool // it has just chosen another hub than this daemon, which was its hub
-	Ended bool // it has just ceased to add up the work of others
+// StatusChange is what a word changes.
+type StatusChange struct {
+	Current            bool // the word is not older than what was known
+	New                bool // the daemon was not heard before, or has started again
+	Left               bool // the daemon has just said that it stops, or gives orders no more
+	HubChanged         bool // it has just chosen another hub than this daemon, which was its hub
+	StoppedAggregating bool // it has just ceased to add up the work of others
 }
 
-// Heard takes over a word that was heard directly.
-func (membership *Membership) Heard(now clock.Millis, word Word) Finding {
+// ApplyStatus takes over a word that was heard directly.
+func (membership *Membership) ApplyStatus(now clock.Millis, word Status) StatusChange {
 	before, ok := membership.peers[word.Name]
 	if ok && word.Incarnation < before.Incarnation {
-		return Finding{}
+		return StatusChange{}
 	}
 	if len(membership.peers) == 0 {
 		membership.metAt = now
 	}
 	membership.merge(word.Record)
-	finding := Finding{Known: true, Found: !ok || before.Incarnation != word.Incarnation}
-	peer := &Peer{Word: word, HeardAt: now + max(0, word.Interval-membership.options.Usual)}
-	if !finding.Found && word.Orderers == nil {
+	finding := StatusChange{Current: true, New: !ok || before.Incarnation != word.Incarnation}
+	peer := &Peer{Status: word, HeardAt: now + max(0, word.Interval-membership.options.Usual)}
+	if !finding.New && word.Orderers == nil {
 		peer.Orderers = before.Orderers
 	}
-	if !finding.Found {
+	if !finding.New {
 		stopped := word.State == Leaving && before.State != Leaving
-		finding.Left = stopped || before.Role.GivesOrders() && !word.Role.GivesOrders()
-		finding.Ended = before.addsUp() && !peer.addsUp()
-		finding.Moved = before.Hub == membership.self.Name && word.Hub != membership.self.Name
+		finding.Left = stopped || before.Role.SendsOrders() && !word.Role.SendsOrders()
+		finding.StoppedAggregating = before.addsUp() && !peer.addsUp()
+		finding.HubChanged = before.Hub == membership.self.Name && word.Hub != membership.self.Name
 	}
 	membership.peers[word.Name] = peer
 	if known, ok := membership.entries[word.Name]; ok {
@@ -248,8 +248,8 @@
 	return peer.State == Alive && now-peer.HeardAt < membership.options.Silence
 }
 
-// Alive returns the names of the daemons that are neither leaving nor gone, in order.
-func (membership *Membership) Alive() []string {
+// AliveNames returns the names of the daemons that are neither leaving nor gone, in order.
+func (membership *Membership) AliveNames() []string {
 	var names []string
 	if membership.self.State == Alive {
 		names = append(names, membership.self.Name)
@@ -263,8 +263,8 @@
 	return names
 }
 
-// Daemons returns how many daemons the site has, this one included.
-func (membership *Membership) Daemons() int {
+// DaemonCount returns how many daemons the site has, this one included.
+func (membership *Membership) DaemonCount() int {
 	count := 1
 	for _, known := range membership.entries {
 		if known.State == Alive {
@@ -274,14 +274,14 @@
 	return count
 }
 
-// Word returns what this daemon says of itself.
-func (membership *Membership) Word() Word {
-	return Word{Record: membership.self, Role: membership.role, Hub: membership.plan.Hub}
+// Status returns what this daemon says of itself.
+func (membership *Membership) Status() Status {
+	return Status{Record: membership.self, Role: membership.role, Hub: membership.plan.Hub}
 }
 
-// News returns the records that have changed since a number that News returned
+// RecordsSince returns the records that have changed since a number that News returned
 // before, or all of them for 0, and the number for the next call.
-func (membership *Membership) News(since int64) ([]Record, int64) {
+func (membership *Membership) RecordsSince(since int64) ([]Record, int64) {
 	var records []Record
 	for _, known := range membership.entries {
 		if known.change > since {
@@ -298,7 +298,7 @@
 	names := []string{}
 	for name, peer := range membership.peers {
 		// A daemon that has said that it leaves gives no orders any more.
-		if peer.Role.GivesOrders() && peer.State != Leaving {
+		if peer.Role.SendsOrders() && peer.State != Leaving {
 			names = append(names, name)
 		}
 	}
@@ -405,7 +405,7 @@
 		}
 	}
 	slices.SortFunc(heard, func(a, b topology.Peer) int { return cmp.Compare(a.Name, b.Name) })
-	membership.plan = topology.Of(membership.self.Daemon, known, heard, membership.role.GivesOrders())
+	membership.plan = topology.PlanFor(membership.self.Daemon, known, heard, membership.role.SendsOrders())
 	clear(membership.linked)
 	for _, daemon := range membership.plan.Links {
 		membership.linked[daemon.Name] = true
@@ -423,18 +423,18 @@
 	return membership.role
 }
 
-// SetRole takes over the role of the plan. A candidate that is one no more keeps the
+// UpdateRole takes over the role of the plan. A candidate that is one no more keeps the
 // servers that it gives orders to, if it has any: servers do not change hands because
 // a daemon has started. It reports whether the role has changed, and whether the daemon
 // is a candidate now after it was told of claims only in part.
-func (membership *Membership) SetRole(now clock.Millis, orders bool) (changed, promoted bool) {
+func (membership *Membership) UpdateRole(now clock.Millis, orders bool) (changed, promoted bool) {
 	before := membership.role
 	membership.role = membership.plan.Role
 	leaving := membership.self.State == Leaving
 	if !membership.settled(now) || leaving {
 		membership.role = topology.Member
 	}
-	if membership.role == topology.Member && (orders || leaving && before.GivesOrders()) {
+	if membership.role == topology.Member && (orders || leaving && before.SendsOrders()) {
 		membership.role = topology.Retired
 	}
 	promoted = membership.decided && membership.role == topology.Candidate && before == topology.Member
@@ -445,13 +445,13 @@
 // settled reports whether the daemon has had time to find others since its start.
 func (membership *Membership) settled(now clock.Millis) bool {
 	since := now - membership.started
-	if !membership.Met() {
+	if !membership.Joined() {
 		return since >= membership.options.Alone
 	}
 	return since >= membership.options.Settle && now-membership.metAt >= membership.options.Meet
 }
 
-// Met reports whether this daemon has heard another one, or has nobody to ask for others.
-func (membership *Membership) Met() bool {
+// Joined reports whether this daemon has heard another one, or has nobody to ask for others.
+func (membership *Membership) Joined() bool {
 	return !membership.seeded || len(membership.peers) > 0
 }
--- a/internal/direct/membership/membership_test.go
+++ b/internal/direct/membership/membership_test.go
@@ -67,7 +67,7 @@
 	site.start("d0")
 	site.run(2 * clock.Second)
 	require.Empty(t, site.hubless())
-	require.Equal(t, many, site.daemons["d5"].Daemons())
+	require.Equal(t, many, site.daemons["d5"].DaemonCount())
 }
 
 // TestLossOfCandidates: with the candidates of a data centre gone the next ones take
@@ -117,7 +117,7 @@
 	}
 	site.run(12 * clock.Second)
 	require.Empty(t, site.hubless())
-	require.Equal(t, many, site.daemons["d150"].Daemons())
+	require.Equal(t, many, site.daemons["d150"].DaemonCount())
 	require.Empty(t, site.wrong)
 }
 
@@ -187,10 +187,10 @@
 	site.run(3 * clock.Second)
 	site.kill("d35")
 	site.run(65 * clock.Second)
-	require.Equal(t, 39, site.daemons["d20"].Daemons())
+	require.Equal(t, 39, site.daemons["d20"].DaemonCount())
 	site.start("d35", "d0")
 	site.run(3 * clock.Second)
-	require.Equal(t, 40, site.daemons["d20"].Daemons())
+	require.Equal(t, 40, site.daemons["d20"].DaemonCount())
 }
 
 // TestWrongWordOfItself: a daemon that is said to be gone says that it is not.
@@ -288,12 +288,12 @@
 	options := membership.DefaultOptions()
 	members := membership.New(options, topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
 	for _, name := range []string{"before", "after"} {
-		members.Heard(1000, membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: name}, Incarnation: 3}})
+		members.ApplyStatus(1000, membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: name}, Incarnation: 3}})
 	}
 	members.Tick(1300)
 	members.Tick(1500)
 	woke := 9000 * clock.Millisecond
-	members.Heard(woke, membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: "after"}, Incarnation: 3}})
+	members.ApplyStatus(woke, membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: "after"}, Incarnation: 3}})
 	members.Tick(woke)
 	require.True(t, members.Live(woke+options.Silence-501, "before"))
 	require.False(t, members.Live(woke+options.Silence-500, "before"))
@@ -305,15 +305,15 @@
 func TestFindings(t *testing.T) {
 	t.Parallel()
 	members := membership.New(membership.DefaultOptions(), topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
-	word := membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: "e", DataCentre: "z"}, Incarnation: 3}, Role: topology.Candidate}
-	require.Equal(t, membership.Finding{Known: true, Found: true}, members.Heard(1000, word))
-	require.Equal(t, membership.Finding{Known: true}, members.Heard(1100, word))
+	word := membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: "e", DataCentre: "z"}, Incarnation: 3}, Role: topology.Candidate}
+	require.Equal(t, membership.StatusChange{Current: true, New: true}, members.ApplyStatus(1000, word))
+	require.Equal(t, membership.StatusChange{Current: true}, members.ApplyStatus(1100, word))
 	word.Hub = "d"
-	require.Equal(t, membership.Finding{Known: true, Ended: true}, members.Heard(1200, word), "its group's work must not count on")
+	require.Equal(t, membership.StatusChange{Current: true, StoppedAggregating: true}, members.ApplyStatus(1200, word), "its group's work must not count on")
 	word.Hub = "f"
-	require.Equal(t, membership.Finding{Known: true, Moved: true}, members.Heard(1300, word))
+	require.Equal(t, membership.StatusChange{Current: true, HubChanged: true}, members.ApplyStatus(1300, word))
 	word.Role = topology.Member
-	require.Equal(t, membership.Finding{Known: true, Left: true}, members.Heard(1400, word))
+	require.Equal(t, membership.StatusChange{Current: true, Left: true}, members.ApplyStatus(1400, word))
 	word.Incarnation = 2
-	require.Equal(t, membership.Finding{}, members.Heard(1500, word), "of an earlier process")
+	require.Equal(t, membership.StatusChange{}, members.ApplyStatus(1500, word), "of an earlier process")
 }
--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -21,7 +21,7 @@
 // daemon is a daemon of a drawn site.
 type daemon struct {
 	*membership.Membership
-	claims  *tenure.Tenure
+	claims  *claims.Registry
 	self    topology.Daemon
 	down    bool
 	asleep  clock.Millis // until
@@ -44,7 +44,7 @@
 	connections int
 	words       int
 	records     int
-	options     tenure.Options
+	options     claims.Options
 	last        map[string]given // the last order to each server
 	wrong       string           // the first broken rule
 }
@@ -60,7 +60,7 @@
 func newSite(count, dataCentres, servers int) *site {
 	site := &site{
 		now: 1_000_000, daemons: make(map[string]*daemon), open: make(map[string]map[string]bool),
-		options: tenure.DefaultOptions(lease, true), last: make(map[string]given),
+		options: claims.DefaultOptions(lease, true), last: make(map[string]given),
 	}
 	for i := range count {
 		self := topology.Daemon{Name: fmt.Sprint("d", i), Address: fmt.Sprint("a", i), DataCentre: fmt.Sprint("dc", i%dataCentres), Capacity: 200}
@@ -83,7 +83,7 @@
 	began := &daemon{
 		self: before.self, began: site.now, started: site.now, seeds: seeds,
 		told: make(map[string]int64), toldAt: make(map[string]clock.Millis),
-		claims: tenure.New(site.options, name, site.now, func() clock.Millis { return site.now }),
+		claims: claims.New(site.options, name, site.now, func() clock.Millis { return site.now }),
 	}
 	began.Membership = membership.New(membership.DefaultOptions(), began.self, site.now, int64(site.now), len(seeds) > 0)
 	site.daemons[name] = began
@@ -125,7 +125,7 @@
 	for _, name := range at.Tick(site.now) {
 		at.claims.Left(site.now, name)
 	}
-	changed, promoted := at.SetRole(site.now, len(at.claims.Claims(site.now)) > 0)
+	changed, promoted := at.UpdateRole(site.now, len(at.claims.Claims(site.now)) > 0)
 	if promoted {
 		at.claims.Promoted(site.now)
 	}
@@ -177,22 +177,22 @@
 // tell says a daemon's word to another one.
 func (site *site) tell(from, to *daemon) {
 	from.toldAt[to.self.Name] = site.now
-	word := from.Word()
+	word := from.Status()
 	word.Interval = interval
 	word.Wants = from.Wants(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
 	word.Orderers = from.Orderers()
 	var news []membership.Record
-	news, from.told[to.self.Name] = from.News(from.told[to.self.Name])
+	news, from.told[to.self.Name] = from.RecordsSince(from.told[to.self.Name])
 	site.words++
 	site.records += len(news)
 	if !site.reaches(from, to) {
 		return
 	}
-	finding := to.Heard(site.now, word)
+	finding := to.ApplyStatus(site.now, word)
 	to.Merge(news)
-	if peer, heard := from.Peer(to.self.Name); word.Role.GivesOrders() && (!heard || peer.Role.GivesOrders() || from.Linked(to.self.Name)) {
-		to.claims.Heard(site.now, tenure.Word{
-			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Named: from.Orderers(), Idle: word.Role != topology.Candidate,
+	if peer, heard := from.Peer(to.self.Name); word.Role.SendsOrders() && (!heard || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
+		to.claims.ApplyHeartbeat(site.now, claims.Heartbeat{
+			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Orderers: from.Orderers(), Idle: word.Role != topology.Candidate,
 		})
 	}
 	if finding.Left {
--- a/internal/direct/mirror/mirror.go
+++ b/internal/direct/mirror/mirror.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Options are the times of a mirror.
@@ -51,34 +51,34 @@
 
 // Sink takes what a mirror reads. Its methods are called one at a time.
 type Sink interface {
-	// Whole takes all items under the prefix.
-	Whole(page port.Page)
-	// Changed takes changes in the era of what was read or known before.
-	Changed(page port.Page)
-	// Turn tells whether this daemon has to read now, and what is known anyway.
-	Turn() (reads bool, known Known)
-	// Contact tells that a call was answered, or failed.
-	Contact(err error)
+	// ReplaceAll takes all items under the prefix.
+	ReplaceAll(page platformapi.Page)
+	// ApplyChanges takes changes in the era of what was read or known before.
+	ApplyChanges(page platformapi.Page)
+	// NextTurn tells whether this daemon has to read now, and what is known anyway.
+	NextTurn() (reads bool, known Position)
+	// RecordContact tells that a call was answered, or failed.
+	RecordContact(err error)
 }
 
-// Known is what is known of the store: all changes of an era up to a revision.
-type Known struct {
+// Position is what is known of the store: all changes of an era up to a revision.
+type Position struct {
 	Era, Revision int64
 }
 
 // Mirror reads one prefix.
 type Mirror struct {
 	options Options
-	store   port.Store
+	store   platformapi.Store
 	prefix  string
 	sink    Sink
-	known   Known // its revision is 0 where nothing was read, or the history was lost
-	gone    bool  // the history after what was read is lost: all has to be read
-	failed  int   // calls in a row
+	known   Position // its revision is 0 where nothing was read, or the history was lost
+	gone    bool     // the history after what was read is lost: all has to be read
+	failed  int      // calls in a row
 }
 
 // New returns a mirror of the items that begin with prefix.
-func New(options Options, store port.Store, prefix string, sink Sink) *Mirror {
+func New(options Options, store platformapi.Store, prefix string, sink Sink) *Mirror {
 	return &Mirror{options: options, store: store, prefix: prefix, sink: sink}
 }
 
@@ -96,9 +96,9 @@
 
 // step makes one reading or watch, and returns the wait before the next.
 func (mirror *Mirror) step(ctx context.Context) clock.Millis {
-	reads, known := mirror.sink.Turn()
+	reads, known := mirror.sink.NextTurn()
 	if !reads {
-		mirror.known = Known{}
+		mirror.known = Position{}
 		return mirror.options.Idle
 	}
 	if mirror.known.Revision == 0 && !mirror.gone {
@@ -114,7 +114,7 @@
 	if ctx.Err() != nil {
 		return 0
 	}
-	mirror.sink.Contact(err)
+	mirror.sink.RecordContact(err)
 	if err != nil {
 		return mirror.backoff(err)
 	}
@@ -137,17 +137,17 @@
 			return err
 		}
 		if more.Era != whole.Era {
-			return &port.StoreError{Failure: port.Unavailable, Err: errors.Errorf("store of era %d came back as era %d between two pages", whole.Era, more.Era)}
+			return &platformapi.StoreError{Failure: platformapi.Unavailable, Err: errors.Errorf("store of era %d came back as era %d between two pages", whole.Era, more.Era)}
 		}
 		whole.Items = append(whole.Items, more.Items...)
 	}
-	mirror.known = Known{Era: whole.Era, Revision: whole.AsOf}
+	mirror.known = Position{Era: whole.Era, Revision: whole.AsOf}
 	mirror.gone = false
-	mirror.sink.Whole(whole)
+	mirror.sink.ReplaceAll(whole)
 	return nil
 }
 
-func (mirror *Mirror) page(ctx context.Context, after string) (port.Page, error) {
+func (mirror *Mirror) page(ctx context.Context, after string) (platformapi.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, mirror.options.CallTimeout.Duration())
 	defer cancel()
 	return mirror.store.Range(ctx, mirror.prefix, after)
@@ -162,10 +162,10 @@
 	}
 	if page.Era != mirror.known.Era {
 		// The revision that was asked for is one of another history.
-		return false, &port.StoreError{Failure: port.HistoryIsGone, Err: errors.Errorf("store of era %d came back as era %d", mirror.known.Era, page.Era)}
+		return false, &platformapi.StoreError{Failure: platformapi.HistoryGone, Err: errors.Errorf("store of era %d came back as era %d", mirror.known.Era, page.Era)}
 	}
 	if len(page.Items) > 0 {
-		mirror.sink.Changed(page)
+		mirror.sink.ApplyChanges(page)
 	}
 	mirror.known.Revision = max(mirror.known.Revision, page.AsOf)
 	return len(page.Items) > 0, nil
@@ -174,9 +174,9 @@
 // backoff doubles with each failed call, with jitter so that daemons that lost
 // the store together do not come back together.
 func (mirror *Mirror) backoff(err error) clock.Millis {
-	var failed *port.StoreError
-	if errors.As(err, &failed) && failed.Failure == port.HistoryIsGone {
-		mirror.known = Known{}
+	var failed *platformapi.StoreError
+	if errors.As(err, &failed) && failed.Failure == platformapi.HistoryGone {
+		mirror.known = Position{}
 		mirror.gone = true
 		return 0
 	}
--- a/internal/direct/mirror/turn_test.go
+++ b/internal/direct/mirror/turn_test.go
@@ -14,19 +14,19 @@
 	late := options.CoverLimit + 1
 	for _, each := range []struct {
 		name  string
-		turn  mirror.Turn
+		turn  mirror.ReaderState
 		reads bool
 	}{
-		{"a reader", mirror.Turn{Reader: true}, true},
-		{"a start", mirror.Turn{Hub: true}, true},
-		{"covered", mirror.Turn{Knows: true, Hub: true, Covered: 300}, false},
-		{"the reader is cut off", mirror.Turn{Knows: true, Hub: true, Covered: late}, true},
-		{"the reader falls silent", mirror.Turn{Knows: true, Hub: true, Covered: 300, Unheard: options.UnheardLimit + 1}, true},
-		{"the store is down for both", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: 500}, false},
-		{"the same, some time later", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: options.CoveredRetry}, true},
-		{"no reader is heard", mirror.Turn{Knows: true, Covered: late, Lost: true, Tried: 500}, true},
+		{"a reader", mirror.ReaderState{ReadsForOthers: true}, true},
+		{"a start", mirror.ReaderState{HasHub: true}, true},
+		{"covered", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: 300}, false},
+		{"the reader is cut off", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late}, true},
+		{"the reader falls silent", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: 300, HubSilence: options.UnheardLimit + 1}, true},
+		{"the store is down for both", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: 500}, false},
+		{"the same, some time later", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: options.CoveredRetry}, true},
+		{"no reader is heard", mirror.ReaderState{HasData: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: 500}, true},
 	} {
-		require.Equal(t, each.reads, options.ReadsNow(each.turn), each.name)
+		require.Equal(t, each.reads, options.ShouldRead(each.turn), each.name)
 	}
 }
 
@@ -39,7 +39,7 @@
 	for range members {
 		tried := clock.Millis(0)
 		for now := clock.Millis(0); now < outage; now += options.MostBackoff {
-			if options.ReadsNow(mirror.Turn{Knows: true, Hub: true, Covered: options.CoverLimit + 1 + now, Lost: true, Tried: now - tried}) {
+			if options.ShouldRead(mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: options.CoverLimit + 1 + now, LastCallFailed: true, SinceLastCall: now - tried}) {
 				tried = now
 				calls++
 			}
--- a/internal/direct/peers/item.go
+++ b/internal/direct/peers/item.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
 // Item is an entry of the store as daemons keep it and tell it each other. A large value
@@ -31,7 +31,7 @@
 )
 
 // Pack returns an entry as daemons keep it.
-func Pack(item port.Item) Item {
+func Pack(item platformapi.Item) Item {
 	kept := Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if len(item.Value) <= packAbove {
 		return kept
@@ -48,24 +48,24 @@
 }
 
 // Unpack returns the entry as it was read.
-func (item Item) Unpack() (port.Item, error) {
-	read := port.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
+func (item Item) Unpack() (platformapi.Item, error) {
+	read := platformapi.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if !item.Packed {
 		return read, nil
 	}
 	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(item.Value)), mostUnpacked+1))
 	if err != nil {
-		return port.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
+		return platformapi.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
 	}
 	if len(value) > mostUnpacked {
-		return port.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, mostUnpacked)
+		return platformapi.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, mostUnpacked)
 	}
 	read.Value = value
 	return read, nil
 }
 
-// BySize orders entries so that small ones go first, and older before newer ones.
-func BySize(a, b Item) int {
+// CompareBySize orders entries so that small ones go first, and older before newer ones.
+func CompareBySize(a, b Item) int {
 	if a.Packed != b.Packed {
 		if b.Packed {
 			return -1
--- a/internal/direct/peers/mesh.go
+++ b/internal/direct/peers/mesh.go
@@ -56,8 +56,8 @@
 	Refused(from string, err error)
 }
 
-// Mesh holds the connections to all peers.
-type Mesh struct {
+// Network holds the connections to all peers.
+type Network struct {
 	options Options
 	self    string
 	handler Handler
@@ -75,12 +75,12 @@
 )
 
 // SetPing sets the time between two pings on each connection.
-func (mesh *Mesh) SetPing(interval clock.Millis) {
-	mesh.ping.Store(int64(interval))
+func (network *Network) SetPing(interval clock.Millis) {
+	network.ping.Store(int64(interval))
 }
 
-func (mesh *Mesh) pingInterval() time.Duration {
-	return clock.Millis(mesh.ping.Load()).Duration()
+func (network *Network) pingInterval() time.Duration {
+	return clock.Millis(network.ping.Load()).Duration()
 }
 
 type peer struct {
@@ -91,68 +91,68 @@
 }
 
 // New returns a mesh whose goroutines belong to group.
-func New(options Options, self string, handler Handler, group *task.Group) *Mesh {
-	mesh := &Mesh{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
+func New(options Options, self string, handler Handler, group *task.Group) *Network {
+	mesh := &Network{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
 	mesh.SetPing(options.Ping)
 	return mesh
 }
 
-// Learn starts to keep a connection to a daemon, unless there is one. A daemon that is
+// Add starts to keep a connection to a daemon, unless there is one. A daemon that is
 // known by its address only is a seed, which is never forgotten; others are known
 // again as soon as a peer names them.
-func (mesh *Mesh) Learn(member topology.Daemon) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	if _, known := mesh.peers[member.Address]; known || member.Name == mesh.self {
+func (network *Network) Add(member topology.Daemon) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if _, known := network.peers[member.Address]; known || member.Name == network.self {
 		return
 	}
-	stopped, stop := context.WithCancel(mesh.group.Context())
+	stopped, stop := context.WithCancel(network.group.Context())
 	added := &peer{member: member, stop: stop}
-	mesh.peers[member.Address] = added
-	mesh.group.Go("peer "+member.Address, func(context.Context) error {
+	network.peers[member.Address] = added
+	network.group.Go("peer "+member.Address, func(context.Context) error {
 		defer stop()
-		return mesh.keep(stopped, added)
+		return network.keep(stopped, added)
 	})
 }
 
 // Retain keeps a connection to each of some daemons, and ends those to others.
-func (mesh *Mesh) Retain(members []topology.Daemon) {
+func (network *Network) Retain(members []topology.Daemon) {
 	kept := make(map[string]bool, len(members))
 	for _, member := range members {
 		kept[member.Address] = true
-		mesh.Learn(member)
+		network.Add(member)
 	}
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	for address, known := range mesh.peers {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	for address, known := range network.peers {
 		if !kept[address] {
 			known.stop()
-			delete(mesh.peers, address)
+			delete(network.peers, address)
 		}
 	}
 }
 
-// Known returns how many daemons connections are kept or tried to.
-func (mesh *Mesh) Known() int {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	return len(mesh.peers)
+// Count returns how many daemons connections are kept or tried to.
+func (network *Network) Count() int {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return len(network.peers)
 }
 
-func (mesh *Mesh) forget(gone *peer) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	if mesh.peers[gone.member.Address] == gone {
-		delete(mesh.peers, gone.member.Address)
+func (network *Network) forget(gone *peer) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.peers[gone.member.Address] == gone {
+		delete(network.peers, gone.member.Address)
 	}
 }
 
-// Addresses returns the addresses that there is a connection to.
-func (mesh *Mesh) Addresses() []string {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
+// ConnectedAddresses returns the addresses that there is a connection to.
+func (network *Network) ConnectedAddresses() []string {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
 	var addresses []string
-	for address, known := range mesh.peers {
+	for address, known := range network.peers {
 		if known.queue != nil {
 			addresses = append(addresses, address)
 		}
@@ -162,19 +162,19 @@
 
 // Send queues a message for the daemon at an address. It reports false when
 // there is no connection; a message may also be lost with its connection.
-func (mesh *Mesh) Send(address string, message Message) (bool, error) {
+func (network *Network) Send(address string, message Message) (bool, error) {
 	encoded, err := Encode(message)
 	if err != nil {
 		return false, err
 	}
-	return mesh.SendEncoded(address, encoded), nil
+	return network.SendEncoded(address, encoded), nil
 }
 
 // SendEncoded is Send for a message that was encoded before.
-func (mesh *Mesh) SendEncoded(address string, encoded []byte) bool {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	known, ok := mesh.peers[address]
+func (network *Network) SendEncoded(address string, encoded []byte) bool {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	known, ok := network.peers[address]
 	if !ok || known.queue == nil {
 		return false
 	}
@@ -188,19 +188,19 @@
 }
 
 // keep connects again and again, until the peer could not be reached for long.
-func (mesh *Mesh) keep(ctx context.Context, to *peer) error {
+func (network *Network) keep(ctx context.Context, to *peer) error {
 	knownAt := time.Now()
 	reachedAt := knownAt
 	for ctx.Err() == nil {
-		pause, dial := mesh.options.Redial, mesh.options.DialTimeout
-		if time.Since(knownAt) < mesh.options.QuickSpan.Duration() {
-			pause, dial = mesh.options.QuickRedial, mesh.options.QuickDial
+		pause, dial := network.options.Redial, network.options.DialTimeout
+		if time.Since(knownAt) < network.options.QuickSpan.Duration() {
+			pause, dial = network.options.QuickRedial, network.options.QuickDial
 		}
-		if mesh.connect(ctx, to, dial) {
+		if network.connect(ctx, to, dial) {
 			reachedAt = time.Now()
 		}
-		if to.member.Name != "" && time.Since(reachedAt) >= mesh.options.GiveUp.Duration() {
-			mesh.forget(to)
+		if to.member.Name != "" && time.Since(reachedAt) >= network.options.GiveUp.Duration() {
+			network.forget(to)
 			return nil
 		}
 		select {
@@ -213,10 +213,10 @@
 
 // connect runs one connection until it breaks, and reports whether there was one.
 // Errors need no line: the peer's silence is logged where it changes a belief.
-func (mesh *Mesh) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
+func (network *Network) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
 	dialer := websocket.Dialer{
-		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
-		ReadBufferSize:   mesh.options.BufferBytes, WriteBufferSize: mesh.options.BufferBytes,
+		HandshakeTimeout: network.options.DialTimeout.Duration(),
+		ReadBufferSize:   network.options.BufferBytes, WriteBufferSize: network.options.BufferBytes,
 		NetDialContext: (&net.Dialer{Timeout: dial.Duration()}).DialContext,
 	}
 	conn, response, err := dialer.DialContext(ctx, "ws://"+to.member.Address+Path, nil)
@@ -228,28 +228,28 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	queue := make(chan []byte, mesh.options.QueueLength)
-	mesh.attach(to, queue, cancel)
-	defer mesh.attach(to, nil, nil)
-	mesh.group.Go("pongs "+to.member.Address, func(context.Context) error { return mesh.pongs(conn, cancel) })
-	mesh.handler.Connected(to.member.Address)
-	mesh.write(ctx, conn, queue)
+	queue := make(chan []byte, network.options.QueueLength)
+	network.attach(to, queue, cancel)
+	defer network.attach(to, nil, nil)
+	network.group.Go("pongs "+to.member.Address, func(context.Context) error { return network.pongs(conn, cancel) })
+	network.handler.Connected(to.member.Address)
+	network.write(ctx, conn, queue)
 	_ = conn.Close()
 	return true
 }
 
-func (mesh *Mesh) attach(to *peer, queue chan []byte, broken context.CancelFunc) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
+func (network *Network) attach(to *peer, queue chan []byte, broken context.CancelFunc) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
 	to.queue = queue
 	to.broken = broken
 }
 
 // pongs reads until the connection breaks or falls silent.
-func (mesh *Mesh) pongs(conn *websocket.Conn, broken context.CancelFunc) error {
+func (network *Network) pongs(conn *websocket.Conn, broken context.CancelFunc) error {
 	defer broken()
 	alive := func(string) error {
-		return conn.SetReadDeadline(time.Now().Add(silentPings*mesh.pingInterval() + pongMargin))
+		return conn.SetReadDeadline(time.Now().Add(silentPings*network.pingInterval() + pongMargin))
 	}
 	conn.SetPongHandler(alive)
 	if err := alive(""); err != nil {
@@ -262,8 +262,8 @@
 	}
 }
 
-func (mesh *Mesh) write(ctx context.Context, conn *websocket.Conn, queue chan []byte) {
-	ping := time.NewTimer(mesh.pingInterval())
+func (network *Network) write(ctx context.Context, conn *websocket.Conn, queue chan []byte) {
+	ping := time.NewTimer(network.pingInterval())
 	defer ping.Stop()
 	for {
 		kind := websocket.BinaryMessage
@@ -273,10 +273,10 @@
 			return
 		case <-ping.C:
 			kind = websocket.PingMessage
-			ping.Reset(mesh.pingInterval())
+			ping.Reset(network.pingInterval())
 		case encoded = <-queue:
 		}
-		err := conn.SetWriteDeadline(time.Now().Add(mesh.options.WriteTimeout.Duration()))
+		err := conn.SetWriteDeadline(time.Now().Add(network.options.WriteTimeout.Duration()))
 		if err == nil {
 			err = conn.WriteMessage(kind, encoded)
 		}
@@ -290,25 +290,25 @@
 var errMessage = errors.New("message refused")
 
 // ServeHTTP accepts the connection of a peer and reads from it.
-func (mesh *Mesh) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (network *Network) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	upgrader := websocket.Upgrader{
-		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
-		ReadBufferSize:   mesh.options.BufferBytes, WriteBufferSize: mesh.options.BufferBytes,
+		HandshakeTimeout: network.options.DialTimeout.Duration(),
+		ReadBufferSize:   network.options.BufferBytes, WriteBufferSize: network.options.BufferBytes,
 	}
 	conn, err := upgrader.Upgrade(writer, request, nil)
 	if err != nil {
 		return // the upgrader has answered
 	}
-	stop := context.AfterFunc(mesh.group.Context(), func() { _ = conn.Close() })
+	stop := context.AfterFunc(network.group.Context(), func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
-	conn.SetReadLimit(mesh.options.MessageBytes)
-	if err := mesh.read(conn); errors.Is(err, errMessage) {
-		mesh.handler.Refused(request.RemoteAddr, err)
+	conn.SetReadLimit(network.options.MessageBytes)
+	if err := network.read(conn); errors.Is(err, errMessage) {
+		network.handler.Refused(request.RemoteAddr, err)
 	} // a broken connection is made anew by the peer
 }
 
-func (mesh *Mesh) read(conn *websocket.Conn) error {
+func (network *Network) read(conn *websocket.Conn) error {
 	from := ""
 	for {
 		_, encoded, err := conn.ReadMessage()
@@ -323,7 +323,7 @@
 			from = message.Update.Name
 		}
 		if from != "" {
-			mesh.handler.Received(from, message)
+			network.handler.Received(from, message)
 		}
 	}
 }
--- a/internal/direct/peers/mesh_test.go
+++ b/internal/direct/peers/mesh_test.go
@@ -33,12 +33,12 @@
 	options.Redial, options.GiveUp = 5, 30
 	group := task.New(t.Context())
 	mesh := peers.New(options, "self", deaf{}, group)
-	mesh.Learn(topology.Daemon{Address: nobody})
-	mesh.Learn(topology.Daemon{Name: "gone", Address: "127.0.0.2:1"})
-	require.Equal(t, 2, mesh.Known())
-	require.Eventually(t, func() bool { return mesh.Known() == 1 }, 20*time.Second, time.Millisecond)
-	mesh.Learn(topology.Daemon{Name: "gone", Address: "127.0.0.2:1"})
-	require.Equal(t, 2, mesh.Known())
+	mesh.Add(topology.Daemon{Address: nobody})
+	mesh.Add(topology.Daemon{Name: "gone", Address: "127.0.0.2:1"})
+	require.Equal(t, 2, mesh.Count())
+	require.Eventually(t, func() bool { return mesh.Count() == 1 }, 20*time.Second, time.Millisecond)
+	mesh.Add(topology.Daemon{Name: "gone", Address: "127.0.0.2:1"})
+	require.Equal(t, 2, mesh.Count())
 	group.Stop()
 	group.Reap(func(task.End) {})
 }
@@ -74,9 +74,9 @@
 	two := topology.Daemon{Name: "two", Address: served(t, group, second)}
 	mesh := peers.New(peers.DefaultOptions(), "self", deaf{}, group)
 	mesh.Retain([]topology.Daemon{one, two})
-	require.Eventually(t, func() bool { return len(mesh.Addresses()) == 2 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(mesh.ConnectedAddresses()) == 2 }, 20*time.Second, time.Millisecond)
 	mesh.Retain([]topology.Daemon{two})
-	require.Equal(t, []string{two.Address}, mesh.Addresses())
+	require.Equal(t, []string{two.Address}, mesh.ConnectedAddresses())
 	update := peers.Message{Update: &peers.Update{}}
 	update.Update.Name = "self"
 	sent, err := mesh.Send(one.Address, update)
--- a/internal/direct/peers/warnings.go
+++ b/internal/direct/peers/warnings.go
@@ -45,10 +45,10 @@
 		wire.Quarantine = append(wire.Quarantine, wireRefused{Content: record.Content[:], Number: record.Number, Servers: record.Servers, Age: int64(record.Age)})
 	}
 	for _, word := range warnings.Limits {
-		wire.Limits = append(wire.Limits, wireLimit{Server: word.Server, Born: word.Born, Number: word.Number, Limited: word.Limited, Rate: word.Rate})
+		wire.Limits = append(wire.Limits, wireLimit{Server: word.Server, Born: word.StartedAt, Number: word.Number, Limited: word.Limited, Rate: word.Rate})
 	}
 	for _, word := range warnings.Leaving {
-		wire.Leaving = append(wire.Leaving, wireLeaving{Server: word.Server, Born: word.Born})
+		wire.Leaving = append(wire.Leaving, wireLeaving{Server: word.Server, Born: word.StartedAt})
 	}
 	return wire
 }
@@ -68,10 +68,10 @@
 		})
 	}
 	for _, each := range wire.Limits {
-		warnings.Limits = append(warnings.Limits, throttle.Word{Server: each.Server, Born: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
+		warnings.Limits = append(warnings.Limits, throttle.ServerLimit{Server: each.Server, StartedAt: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
 	}
 	for _, each := range wire.Leaving {
-		warnings.Leaving = append(warnings.Leaving, fleet.Departure{Server: each.Server, Born: each.Born})
+		warnings.Leaving = append(warnings.Leaving, fleet.DrainNotice{Server: each.Server, StartedAt: each.Born})
 	}
 	return warnings
 }
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
 
@@ -58,7 +58,7 @@
 		_        struct{} `cbor:",toarray"`
 		Shares   []wireShare
 		Tables   []wireTable
-		Store    *StoreNews
+		Store    *StoreUpdate
 		Sums     *wireSums
 		Loads    []wireWork
 		Group    *wireGroup
@@ -99,7 +99,7 @@
 		_        struct{} `cbor:",toarray"`
 		Server   string
 		Born     int64
-		Holdings []port.Holding
+		Holdings []platformapi.Holding
 	}
 	wireWork struct {
 		_                   struct{} `cbor:",toarray"`
@@ -178,10 +178,10 @@
 		wire.Update = encodeUpdate(message.Update)
 		wire.Era = message.Update.Era
 	}
-	if message.Digest != nil {
-		wire.Digest = encodeDigest(message.Digest)
+	if message.Delta != nil {
+		wire.Digest = encodeDigest(message.Delta)
 	}
-	if want := message.Want; want != nil {
+	if want := message.AdapterRequest; want != nil {
 		wire.Want = &wireWant{
 			Server: want.Server, Model: want.Adapter.Model, Named: want.Adapter.Name, Version: want.Version,
 			Rank: want.Rank, Left: int64(want.Left), Absent: want.Absent,
@@ -213,7 +213,7 @@
 	}
 }
 
-func encodeDigest(digest *Digest) *wireDigest {
+func encodeDigest(digest *Delta) *wireDigest {
 	wire := &wireDigest{Store: digest.Store}
 	for _, share := range digest.Shares {
 		encoded := wireShare{Name: share.Name, Incarnation: share.Incarnation, Number: share.Number}
@@ -245,7 +245,7 @@
 	return wire
 }
 
-func encodeUsage(usage *quota.Word) *wireUsage {
+func encodeUsage(usage *quota.Report) *wireUsage {
 	wire := &wireUsage{Scope: int(usage.Scope), Incarnation: usage.Incarnation, Daemons: usage.Daemons}
 	for _, reading := range usage.Readings {
 		wire.Readings = append(wire.Readings, wireReading{
@@ -256,8 +256,8 @@
 	return wire
 }
 
-func decodeUsage(wire *wireUsage) *quota.Word {
-	usage := &quota.Word{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
+func decodeUsage(wire *wireUsage) *quota.Report {
+	usage := &quota.Report{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
 	for _, reading := range wire.Readings {
 		usage.Readings = append(usage.Readings, quota.Reading{
 			Account: reading.Account, Number: reading.Number, Total: float64(reading.Total), Recent: float64(reading.Recent),
@@ -284,7 +284,7 @@
 func decodeOwners(wire *wireOwners) *Owners {
 	owners := &Owners{
 		By:      make(map[string]string),
-		Learned: loading.Learned{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
+		Learned: loading.RateEstimate{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
 	}
 	for _, owned := range wire.Owned {
 		for _, server := range owned.Servers {
@@ -312,22 +312,22 @@
 }
 
 func decodeSums(wire *wireSums) *Sums {
-	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]tally.Sum, len(wire.Servers))}
+	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]inflight.Sum, len(wire.Servers))}
 	for _, sum := range wire.Servers {
-		sums.Servers[sum.Server] = tally.Sum{Load: tally.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
+		sums.Servers[sum.Server] = inflight.Sum{Load: inflight.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
 	}
 	for _, uses := range wire.Uses {
-		decoded := ServerUses{Server: uses.Server, Uses: make(map[port.Adapter]int, len(uses.Uses))}
+		decoded := ServerUses{Server: uses.Server, Uses: make(map[platformapi.Adapter]int, len(uses.Uses))}
 		for _, use := range uses.Uses {
-			decoded.Uses[port.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
+			decoded.Uses[platformapi.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
 		}
 		sums.Uses = append(sums.Uses, decoded)
 	}
 	return sums
 }
 
-func decodeDigest(wire *wireDigest) *Digest {
-	digest := &Digest{Store: wire.Store}
+func decodeDigest(wire *wireDigest) *Delta {
+	digest := &Delta{Store: wire.Store}
 	for _, share := range wire.Shares {
 		digest.Shares = append(digest.Shares, DaemonShare{
 			Name: share.Name, Incarnation: share.Incarnation, Number: share.Number, Share: decodeShare(share.Loads, share.Models),
@@ -340,10 +340,10 @@
 		digest.Sums = decodeSums(wire.Sums)
 	}
 	if len(wire.Loads) > 0 {
-		digest.Loads = make(map[string]Work, len(wire.Loads))
+		digest.Loads = make(map[string]ServerLoad, len(wire.Loads))
 	}
 	for _, work := range wire.Loads {
-		digest.Loads[work.Server] = Work{Load: tally.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
+		digest.Loads[work.Server] = ServerLoad{Load: inflight.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
 	}
 	if group := wire.Group; group != nil {
 		digest.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
@@ -352,7 +352,7 @@
 		digest.Owners = decodeOwners(wire.Owners)
 	}
 	for _, reported := range wire.Reported {
-		digest.Reported = append(digest.Reported, Reported{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
+		digest.Reported = append(digest.Reported, ServerReport{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
 	}
 	if wire.Usage != nil {
 		digest.Usage = decodeUsage(wire.Usage)
@@ -381,7 +381,7 @@
 	return list[index]
 }
 
-func encodeShare(share tally.Share) ([]wireLoad, []string) {
+func encodeShare(share inflight.Share) ([]wireLoad, []string) {
 	models := names{}
 	at := make(map[string]int, len(share.Loads))
 	loads := make([]wireLoad, 0, len(share.Loads))
@@ -399,13 +399,13 @@
 	return loads, models.list
 }
 
-func decodeShare(loads []wireLoad, models []string) tally.Share {
-	share := tally.Share{Loads: make(map[string]tally.Load, len(loads)), Uses: make(map[tally.Use]int)}
+func decodeShare(loads []wireLoad, models []string) inflight.Share {
+	share := inflight.Share{Loads: make(map[string]inflight.Load, len(loads)), Uses: make(map[inflight.Use]int)}
 	for _, load := range loads {
-		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
+		share.Loads[load.Server] = inflight.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
-			adapter := port.Adapter{Model: named(models, use.Model), Name: use.Named}
-			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
+			adapter := platformapi.Adapter{Model: named(models, use.Model), Name: use.Named}
+			share.Uses[inflight.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
 	return share
@@ -436,11 +436,11 @@
 		message.Update.Era = wire.Era
 	}
 	if wire.Digest != nil {
-		message.Digest = decodeDigest(wire.Digest)
+		message.Delta = decodeDigest(wire.Digest)
 	}
 	if want := wire.Want; want != nil {
-		message.Want = &Want{
-			Server: want.Server, Adapter: port.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
+		message.AdapterRequest = &AdapterRequest{
+			Server: want.Server, Adapter: platformapi.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
 			Rank: want.Rank, Left: clock.Millis(want.Left), Absent: want.Absent,
 		}
 	}
@@ -449,7 +449,7 @@
 
 func decodeUpdate(wire *wireUpdate) *Update {
 	update := &Update{
-		Word: membership.Word{
+		Status: membership.Status{
 			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, Wants: wire.Wants,
 			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, Orderers: wire.Orderers,
 		},
@@ -459,7 +459,7 @@
 		update.Members = append(update.Members, decodeRecord(record))
 	}
 	for _, claim := range wire.Claims {
-		update.Claims = append(update.Claims, tenure.Claim{Server: claim.Server, Fence: claim.Fence, Idle: clock.Millis(claim.Idle)})
+		update.Claims = append(update.Claims, claims.Claim{Server: claim.Server, Fence: claim.Fence, Idle: clock.Millis(claim.Idle)})
 	}
 	return update
 }
@@ -475,7 +475,7 @@
 	held := min(max(wire.Held, 0), len(wire.Models))
 	table := fleet.Table{Server: wire.Server, Born: wire.Born, Fence: wire.Fence, Number: wire.Number, Models: wire.Models[:held]}
 	for _, slot := range wire.Slots {
-		adapter := port.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
+		adapter := platformapi.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
 		table.Slots = append(table.Slots, fleet.Slot{Adapter: adapter, Version: slot.Version, Coming: slot.Coming, Queued: slot.Queued})
 	}
 	return table
--- a/internal/direct/port/port.go
+++ b/internal/direct/platformapi/port.go
@@ -1,8 +1,8 @@
-// Package port is the boundary between the direct way of serving and the
+// Package platformapi is the boundary between the direct way of serving and the
 // platform that it runs on: values that say what the platform says, in the
 // project's words, and the interfaces that an adapter for a platform implements.
 // Nothing here decides.
-package port
+package platformapi
 
 import (
 	"context"
@@ -12,22 +12,22 @@
 	"teaselmoor/internal/direct/catalog"
 )
 
-// Call is what the headers of a caller's request say.
-type Call struct {
-	Attempt   string       // the caller's id of this attempt
-	Left      clock.Millis // how long the caller waits; 0 means that it did not say
-	Model     string
-	Adapter   string // empty for the base model
-	Prompt    int    // prompt tokens; 0 for a plain service
-	Output    int    // most output tokens
-	Parts     []Part
-	LastEvent string // the event after which a resumed stream goes on
-	Key       string // names the caller's account; empty when there is none
+// RequestHeaders is what the headers of a caller's request say.
+type RequestHeaders struct {
+	Attempt         string       // the caller's id of this attempt
+	TimeLeft        clock.Millis // how long the caller waits; 0 means that it did not say
+	Model           string
+	Adapter         string // empty for the base model
+	PromptTokens    int    // prompt tokens; 0 for a plain service
+	MaxOutputTokens int    // most output tokens
+	Parts           []Part
+	LastEventID     string // the event after which a resumed stream goes on
+	AccountKey      string // names the caller's account; empty when there is none
 }
 
 // Tokens returns prompt and output together, 0 for a request that names none.
-func (call Call) Tokens() int {
-	return call.Prompt + call.Output
+func (requestHeaders RequestHeaders) Tokens() int {
+	return requestHeaders.PromptTokens + requestHeaders.MaxOutputTokens
 }
 
 // Part is one part of a prompt. Requests that share their first parts share
@@ -37,45 +37,45 @@
 	Tokens int
 }
 
-// Sending is what a daemon adds to a request that it passes on.
-type Sending struct {
-	Server    string // the only server that may run it
-	Left      clock.Millis
-	Version   int // of the adapter that must run it; 0 means any
-	Urgency   int // 0 to 9, 0 first; negative means the engine's default
-	LastEvent string
-	// Accounts tells that the configuration lists accounts: the key stays here, and the
+// ForwardHeaders is what a daemon adds to a request that it passes on.
+type ForwardHeaders struct {
+	Server      string // the only server that may run it
+	TimeLeft    clock.Millis
+	Version     int // of the adapter that must run it; 0 means any
+	Urgency     int // 0 to 9, 0 first; negative means the engine's default
+	LastEventID string
+	// AccountsListed tells that the configuration lists accounts: the key stays here, and the
 	// server is told Account, which is empty for a caller without one.
-	Accounts bool
-	Account  string
+	AccountsListed bool
+	Account        string
 }
 
-// Reply is what the head of a backend server's answer says.
-type Reply struct {
+// AnswerHeaders is what the head of a backend server's answer says.
+type AnswerHeaders struct {
 	Attempt string // the attempt that it answers; empty when it does not say
 	NotRun  bool   // the server states that it did not run the request
 	Absent  bool   // the server is another one, or does not hold model, adapter or version
 	Signed  bool   // the server's signature is there
 	Leaving bool   // the server says that it will end soon
-	// Rest is how long the server wants nothing from this daemon; 0 where it does not say.
-	Rest clock.Millis
-	// Limited tells that the server takes no more than Limit requests a second from all
+	// Pause is how long the server wants nothing from this daemon; 0 where it does not say.
+	Pause clock.Millis
+	// HasLimit tells that the server takes no more than Limit requests a second from all
 	// daemons together.
-	Limited bool
-	Limit   float64
+	HasLimit bool
+	Limit    float64
 }
 
 // Protocol translates requests and answers.
 type Protocol interface {
-	// Call reads the headers of a caller's request.
-	Call(request *http.Request) (Call, error)
-	// Outgoing returns the headers of a request as it is passed on.
-	Outgoing(incoming http.Header, sending Sending) http.Header
-	// Reply reads the head of a backend server's answer.
-	Reply(response *http.Response) Reply
-	// Refusal sets the headers of a refusal; after is 0 when there is nothing
+	// ParseRequest reads the headers of a caller's request.
+	ParseRequest(request *http.Request) (RequestHeaders, error)
+	// ForwardedHeader returns the headers of a request as it is passed on.
+	ForwardedHeader(incoming http.Header, sending ForwardHeaders) http.Header
+	// ParseAnswer reads the head of a backend server's answer.
+	ParseAnswer(response *http.Response) AnswerHeaders
+	// SetRefusalHeaders sets the headers of a refusal; after is 0 when there is nothing
 	// to say on when to come back.
-	Refusal(header http.Header, after clock.Millis)
+	SetRefusalHeaders(header http.Header, after clock.Millis)
 }
 
 // Item is an entry of the store.
@@ -101,10 +101,10 @@
 
 // Failures of the store.
 const (
-	Unreachable   Failure = iota // no answer, or not one of the store
-	Unavailable                  // nothing was done
-	Limited                      // too many calls
-	HistoryIsGone                // the changes asked for are no longer available
+	Unreachable  Failure = iota // no answer, or not one of the store
+	Unavailable                 // nothing was done
+	TooManyCalls                // too many calls
+	HistoryGone                 // the changes asked for are no longer available
 )
 
 // StoreError is a failed call of the store.
@@ -128,11 +128,11 @@
 	Watch(ctx context.Context, prefix string, after int64, wait clock.Millis) (Page, error)
 }
 
-// Belief is what an item says: one of the pointers is set.
-type Belief struct {
-	Catalog *catalog.Catalog
-	Server  *Server
-	Version *AdapterVersion
+// DecodedItem is what an item says: one of the pointers is set.
+type DecodedItem struct {
+	Catalog        *catalog.Catalog
+	Server         *Server
+	AdapterVersion *AdapterVersion
 }
 
 // Decoder reads items of the store.
@@ -140,9 +140,9 @@
 	// Prefix is that of all keys that are read.
 	Prefix() string
 	// Decode returns what an item says, or why it says nothing that can be used.
-	Decode(item Item) (Belief, error)
-	// ServerOf returns the server that a key is about.
-	ServerOf(key string) (string, bool)
+	Decode(item Item) (DecodedItem, error)
+	// ServerID returns the server that a key is about.
+	ServerID(key string) (string, bool)
 }
 
 // Server is a backend server as it registered itself.
@@ -153,8 +153,8 @@
 	DataCentre string
 	Slots      int
 	Draining   bool
-	Leaves     clock.Millis // how long until it is gone; 0 when it does not say
-	Born       int64        // start of its process, Unix milliseconds; 0 when it does not say
+	LeavesIn   clock.Millis // how long until it is gone; 0 when it does not say
+	StartedAt  int64        // start of its process, Unix milliseconds; 0 when it does not say
 	Models     []Holding
 }
 
@@ -182,7 +182,7 @@
 	Load    bool
 	Adapter Adapter
 	Version int // to load; 0 means the newest
-	Holder  string
+	Owner   string
 	Fence   int64
 }
 
@@ -191,13 +191,13 @@
 
 // Results of an order.
 const (
-	Unknown  Result = iota // no answer: it may have been accepted
-	Accepted               // it is being carried out
-	Holds                  // there is nothing to do
-	Conflict               // another order is under way
-	Fenced                 // a higher fencing number was seen
-	Invalid                // there is no such order
-	Other                  // the address belongs to another server
+	Unknown      Result = iota // no answer: it may have been accepted
+	Accepted                   // it is being carried out
+	NothingToDo                // there is nothing to do
+	Conflict                   // another order is under way
+	Fenced                     // a higher fencing number was seen
+	InvalidOrder               // there is no such order
+	WrongServer                // the address belongs to another server
 )
 
 // String implements fmt.Stringer.
@@ -205,23 +205,23 @@
 	return [...]string{"Unknown", "Accepted", "Holds", "Conflict", "Fenced", "Invalid", "Other"}[result]
 }
 
-// Answer is what a server answers to an order.
-type Answer struct {
+// OrderAnswer is what a server answers to an order.
+type OrderAnswer struct {
 	Result  Result
 	Leaving bool // the server says that it will end soon
 }
 
 // Report is a server's state, some hundred milliseconds old.
 type Report struct {
-	Leaving  bool // the server says that it will end soon
-	Born     int64
-	Busy     bool // a model is being loaded or unloaded
-	Models   []Holding
-	Incoming []Adapter
+	Leaving   bool // the server says that it will end soon
+	StartedAt int64
+	Busy      bool // a model is being loaded or unloaded
+	Models    []Holding
+	Incoming  []Adapter
 }
 
-// Servers gives orders to model engines and reads their reports.
-type Servers interface {
-	Order(ctx context.Context, server Server, order Order) (Answer, error)
-	Report(ctx context.Context, server Server) (Report, error)
+// ServerClient gives orders to model engines and reads their reports.
+type ServerClient interface {
+	SendOrder(ctx context.Context, server Server, order Order) (OrderAnswer, error)
+	ReadReport(ctx context.Context, server Server) (Report, error)
 }
--- a/internal/direct/quarantine/quarantine.go
+++ b/internal/direct/quarantine/quarantine.go
@@ -89,9 +89,9 @@
 	return &List{options: options, daemon: xxhash.Sum64String(daemon), entries: make(map[content.ID]*entry), answers: newRecent[content.ID](options.Trust, options.Answers)}
 }
 
-// Ended notes that a server ended which had a request with a content, unless the content was
+// ServerEnded notes that a server ended which had a request with a content, unless the content was
 // answered here of late.
-func (list *List) Ended(now clock.Millis, id content.ID, server string) {
+func (list *List) ServerEnded(now clock.Millis, id content.ID, server string) {
 	if list.answers.has(now, id) {
 		return
 	}
@@ -118,8 +118,8 @@
 	return list.merge(now, Record{Content: id, Number: known.number + 1})
 }
 
-// Refuses returns for how much longer requests with a content are refused; 0: they are not.
-func (list *List) Refuses(now clock.Millis, id content.ID) clock.Millis {
+// RefusedFor returns for how much longer requests with a content are refused; 0: they are not.
+func (list *List) RefusedFor(now clock.Millis, id content.ID) clock.Millis {
 	known, ok := list.entries[id]
 	if !ok || len(known.servers) < list.options.Servers {
 		return 0
@@ -128,8 +128,8 @@
 	return max(0, known.at+span+list.spread(id, span)-now)
 }
 
-// Servers returns how many servers have ended under a content.
-func (list *List) Servers(id content.ID) int {
+// ServerCount returns how many servers have ended under a content.
+func (list *List) ServerCount(id content.ID) int {
 	known, ok := list.entries[id]
 	if !ok {
 		return 0
@@ -137,11 +137,11 @@
 	return len(known.servers)
 }
 
-// Refused returns how many contents are refused.
-func (list *List) Refused(now clock.Millis) int {
+// RefusedCount returns how many contents are refused.
+func (list *List) RefusedCount(now clock.Millis) int {
 	count := 0
 	for id := range list.entries {
-		if list.Refuses(now, id) > 0 {
+		if list.RefusedFor(now, id) > 0 {
 			count++
 		}
 	}
@@ -217,13 +217,13 @@
 	}
 }
 
-// Changes rises with each change of the list.
-func (list *List) Changes() int64 {
+// Revision rises with each change of the list.
+func (list *List) Revision() int64 {
 	return list.changes
 }
 
-// Since returns the records that have changed after a change of the list.
-func (list *List) Since(now clock.Millis, change int64) []Record {
+// ChangedSince returns the records that have changed after a change of the list.
+func (list *List) ChangedSince(now clock.Millis, change int64) []Record {
 	if change >= list.changes {
 		return nil
 	}
--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -76,20 +76,20 @@
 
 // Decision says whether a request is within its account's limit, and by what.
 type Decision struct {
-	Within  bool
-	After   clock.Millis // when there will be room, if it is not
-	Cost    float64      // units
-	Left    float64      // units before the request
-	Rate    float64      // units a second that the daemons that are heard may use
-	Reached int          // daemons that are counted together
-	Daemons int          // of the site
+	Allowed    bool
+	RetryAfter clock.Millis // when there will be room, if it is not
+	Cost       float64      // units
+	Left       float64      // units before the request
+	Rate       float64      // units a second that the daemons that are heard may use
+	Reached    int          // daemons that are counted together
+	Daemons    int          // of the site
 }
 
 // Take takes the units of a request, if there is room for them.
 func (ledger *Ledger) Take(now clock.Millis, name string, cost float64) Decision {
 	limit := ledger.limits.Limit(name)
 	if !limit.Limited() {
-		return Decision{Within: true, Cost: cost}
+		return Decision{Allowed: true, Cost: cost}
 	}
 	used := ledger.of(now, name, limit)
 	parted := ledger.advance(now, used, limit)
@@ -98,9 +98,9 @@
 		Reached: ledger.site.Reached, Daemons: ledger.site.Daemons,
 	}
 	need := ledger.need(cost, parted)
-	decision.Within = used.level >= need
-	if !decision.Within {
-		decision.After = ledger.wait(need-used.level, decision.Rate)
+	decision.Allowed = used.level >= need
+	if !decision.Allowed {
+		decision.RetryAfter = ledger.wait(need-used.level, decision.Rate)
 		return decision
 	}
 	ledger.admit(now, used, cost)
@@ -173,8 +173,8 @@
 	return used
 }
 
-// Limits reports whether any account has a limit.
-func (ledger *Ledger) Limits() bool {
+// Limited reports whether any account has a limit.
+func (ledger *Ledger) Limited() bool {
 	return ledger.limits.Limited()
 }
 
--- a/internal/direct/quota/part.go
+++ b/internal/direct/quota/part.go
@@ -61,7 +61,7 @@
 	if !ok || source.Live {
 		return 0
 	}
-	return said.counted.recent.rate(source.HeardAt)
+	return said.counted.recent.rate(source.LastReportAt)
 }
 
 // alone reports whether this daemon hears none of the others.
@@ -93,7 +93,7 @@
 		if !ok {
 			continue
 		}
-		units := said.counted.recent.rate(ledger.site.Sources[name].HeardAt) * seconds
+		units := said.counted.recent.rate(ledger.site.Sources[name].LastReportAt) * seconds
 		said.assumed += units
 		used.take(said, units)
 	}
@@ -149,7 +149,7 @@
 		if !limit.Limited() {
 			continue
 		}
-		before := used.before.at(now - SilentAfter)
+		before := used.before.at(now - SourceTimeout)
 		used.parting = before
 		parted := ledger.partOf(used, limit)
 		share := parted.reached() / max(1, before.reached)
--- a/internal/direct/quota/site.go
+++ b/internal/direct/quota/site.go
@@ -6,17 +6,17 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// SilentAfter is how long after its last word a source is not heard any more.
-const SilentAfter = 750 * clock.Millisecond
+// SourceTimeout is how long after its last word a source is not heard any more.
+const SourceTimeout = 750 * clock.Millisecond
 
 // lateAfter is how long after its last word a source is taken to go on as before.
 const lateAfter = 300 * clock.Millisecond
 
 // Source is a daemon whose words count.
 type Source struct {
-	Live    bool         // it is heard now
-	HeardAt clock.Millis // when it was heard last
-	Daemons int          // that it spoke for then, itself included
+	Live         bool         // it is heard now
+	LastReportAt clock.Millis // when it was heard last
+	Daemons      int          // that it spoke for then, itself included
 }
 
 // Site is what a daemon knows of the daemons that use the limits with it.
@@ -38,7 +38,7 @@
 func (site Site) late(now clock.Millis) []string {
 	var names []string
 	for name, source := range site.Sources {
-		if source.Live && now-source.HeardAt > lateAfter {
+		if source.Live && now-source.LastReportAt > lateAfter {
 			names = append(names, name)
 		}
 	}
--- a/internal/direct/quota/site_test.go
+++ b/internal/direct/quota/site_test.go
@@ -59,7 +59,7 @@
 	born        int64
 	startedAt   clock.Millis
 	ledger      *quota.Ledger
-	told        map[int]quota.Told
+	told        map[int]quota.SentTotals
 	heardAt     map[int]clock.Millis
 	reached     map[int]int // daemons that each peer said it counts with
 	down        bool
@@ -99,7 +99,7 @@
 	each.down = false
 	each.ledger = quota.New(site.now, site.tolerance)
 	each.ledger.SetLimits(site.now, site.directory())
-	each.told = make(map[int]quota.Told)
+	each.told = make(map[int]quota.SentTotals)
 	each.heardAt = make(map[int]clock.Millis)
 	each.reached = make(map[int]int)
 	for _, other := range site.daemons {
@@ -138,7 +138,7 @@
 
 func (site *site) live(each *daemon, other int) bool {
 	at, ok := each.heardAt[other]
-	return ok && site.now-at < quota.SilentAfter
+	return ok && site.now-at < quota.SourceTimeout
 }
 
 // view is what a daemon knows of the others.
@@ -161,7 +161,7 @@
 		if each.hub == each.number && site.daemons[other].hub == each.number {
 			speaksFor = 1
 		}
-		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, HeardAt: at, Daemons: speaksFor}
+		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, LastReportAt: at, Daemons: speaksFor}
 		if live {
 			view.Reached += speaksFor
 		}
@@ -196,16 +196,16 @@
 	for to, scope := range site.targets(from) {
 		told, ok := from.told[to.number]
 		if !ok {
-			told = make(quota.Told)
+			told = make(quota.SentTotals)
 			from.told[to.number] = told
 		}
 		sharers := map[quota.Scope]int{quota.Own: len(site.daemons), quota.Group: len(site.daemons)/8 + 1, quota.Others: 4}[scope]
 		if site.now%allSpan == 0 {
 			sharers = 0
 		}
-		word := quota.Word{
+		word := quota.Report{
 			Scope: scope, Incarnation: from.born, Daemons: site.speaksFor(from, scope),
-			Readings: from.ledger.News(site.now, scope, fmt.Sprint(to.number), told, sharers),
+			Readings: from.ledger.UnsentReadings(site.now, scope, fmt.Sprint(to.number), told, sharers),
 		}
 		if !site.connected(from, to) {
 			if len(word.Readings) > 0 {
@@ -217,7 +217,7 @@
 		site.readings += len(word.Readings)
 		to.heardAt[from.number] = site.now
 		to.reached[from.number] = word.Daemons
-		to.ledger.Hear(site.now, fmt.Sprint(from.number), word, true)
+		to.ledger.ApplyReport(site.now, fmt.Sprint(from.number), word, true)
 	}
 }
 
@@ -238,7 +238,7 @@
 	if each.down {
 		return
 	}
-	if !each.ledger.Take(site.now, caller, units).Within {
+	if !each.ledger.Take(site.now, caller, units).Allowed {
 		site.refused += units
 		return
 	}
--- a/internal/direct/quota/word.go
+++ b/internal/direct/quota/word.go
@@ -28,23 +28,23 @@
 	Recent  float64 // of them, as they fade
 }
 
-// Word is what a daemon says of the use of accounts.
-type Word struct {
+// Report is what a daemon says of the use of accounts.
+type Report struct {
 	Scope       Scope
 	Incarnation int64 // start of the process that says it
 	Daemons     int   // that it counts together with, itself included
 	Readings    []Reading
 }
 
-// Hear takes over what a source says. Counts tells that its words count; what others
+// ApplyReport takes over what a source says. Counts tells that its words count; what others
 // speak for is noted only, in case they count later.
-func (ledger *Ledger) Hear(now clock.Millis, name string, word Word, counts bool) {
+func (ledger *Ledger) ApplyReport(now clock.Millis, name string, word Report, counts bool) {
 	if ledger.starts[name] != word.Incarnation {
 		ledger.forget(name)
 	}
 	ledger.starts[name] = word.Incarnation
 	if counts && word.Scope != Others && ledger.followed {
-		ledger.Follow() // it counts with the others itself now
+		ledger.ForgetHub() // it counts with the others itself now
 		ledger.followed = false
 	}
 	for _, reading := range word.Readings {
@@ -73,15 +73,15 @@
 	}
 }
 
-// Follow notes that another hub than before, or none, tells what others use.
-func (ledger *Ledger) Follow() {
+// ForgetHub notes that another hub than before, or none, tells what others use.
+func (ledger *Ledger) ForgetHub() {
 	for _, used := range ledger.accounts {
 		maps.DeleteFunc(used.sources, func(_ string, said *share) bool { return said.scope == Others })
 	}
 }
 
-// Forget drops what a source has said: it counts elsewhere, or is gone.
-func (ledger *Ledger) Forget(name string) {
+// ForgetSource drops what a source has said: it counts elsewhere, or is gone.
+func (ledger *Ledger) ForgetSource(name string) {
 	delete(ledger.starts, name)
 	ledger.forget(name)
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// Told is what a daemon was told, by account.
-type Told map[string]toldTotal
+// SentTotals is what a daemon was told, by account.
+type SentTotals map[string]toldTotal
 
 // toldTotal is a total of a count.
 type toldTotal struct {
@@ -101,10 +101,10 @@
 	units  float64
 }
 
-// News returns what a daemon has not been told of the use in a scope, and notes it as
+// UnsentReadings returns what a daemon has not been told of the use in a scope, and notes it as
 // told. Sharers is the number of daemons whose words add up to what the receiver knows;
 // with 0 it is told all that has changed.
-func (ledger *Ledger) News(now clock.Millis, scope Scope, receiver string, told Told, sharers int) []Reading {
+func (ledger *Ledger) UnsentReadings(now clock.Millis, scope Scope, receiver string, told SentTotals, sharers int) []Reading {
 	var news []Reading
 	for name, used := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
--- a/internal/direct/trail/trail.go
+++ b/internal/direct/requestlog/trail.go
@@ -1,7 +1,7 @@
-// Package trail reads the log of gateways and puts together what became of one
+// Package requestlog reads the log of gateways and puts together what became of one
 // request. It needs nothing but the log: daemons keep nothing, and the one that
 // decided may be gone.
-package trail
+package requestlog
 
 import (
 	"bufio"
@@ -97,25 +97,25 @@
 func (reader *reader) take(read line) {
 	reader.lines++
 	switch read.Message {
-	case ending.MessageAskedFor:
+	case ending.MessageAdapterRequested:
 		reader.asked(read)
-	case ending.MessageNotReady:
+	case ending.MessageAdapterNotReady:
 		reader.waited = read
-	case ending.MessageOverLimit:
+	case ending.MessageAccountOverLimit:
 		reader.over = read
-	case ending.MessageSent:
+	case ending.MessageRequestSent:
 		reader.record.Attempts = append(reader.record.Attempts, outcome.Attempt{
 			Engine: ident.EngineID(read.Server), At: clock.Millis(read.Time.UnixMilli()), Dispatched: true,
 		})
 	case ending.MessageNoAnswer:
 		reader.attemptEnded(read, read.Sent, outcome.Lost(outcome.ServiceLost))
-	case ending.MessageDeclined:
+	case ending.MessageServerDeclined:
 		reader.attemptEnded(read, true, outcome.Refused(outcome.EngineRefused, 0))
-	case ending.MessageFailed:
+	case ending.MessageServerFailed:
 		reader.attemptEnded(read, true, outcome.Outcome{Kind: outcome.Answered, Reason: outcome.ServerFailed})
-	case ending.MessageBroken, ending.MessageStreamCut:
+	case ending.MessageAnswerBroken, ending.MessageStreamBroken:
 		reader.attemptEnded(read, true, outcome.Lost(outcome.Truncated))
-	case ending.MessageEnded:
+	case ending.MessageRequestEnded:
 		reader.end(read)
 	}
 }
@@ -163,14 +163,14 @@
 	if read.Route != "" {
 		record.Deadline = record.At + read.LeftMillis
 	}
-	ended := ending.Ending{Reason: read.Reason, Status: read.Status, Offers: read.Offers}
+	ended := ending.Ending{Reason: read.Reason, Status: read.Status, TimesSent: read.Offers}
 	record.Outcome, reader.known = ended.Outcome()
 	record.Outcome.RetryAfter = read.RetryAfterMillis
-	if read.Reason == ending.LoadWait {
+	if read.Reason == ending.AdapterNotReady {
 		record.Detail = fmt.Sprintf("the request could wait %d ms, a load was expected to take %d ms, %d adapters were on their way and %d waited",
 			reader.waited.PatienceMillis, reader.waited.LoadMillis, reader.waited.Loading, reader.waited.Queued)
 	}
-	if read.Reason == ending.OverLimit {
+	if read.Reason == ending.AccountLimit {
 		over := reader.over
 		record.Detail = fmt.Sprintf("account %s had %.0f units left and the request counts %.0f; its limit is %.0f a second; %d of %d daemons were counted together",
 			over.Account, over.LeftUnits, over.Units, over.LimitPerSecond, over.DaemonsCounted, over.Daemons)
--- a/internal/direct/retry/budget.go
+++ b/internal/direct/retry/budget.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Left returns how many repeats are left now.
-func (budget *Budget) Left(now clock.Millis, daemons int) float64 {
+// Remaining returns how many repeats are left now.
+func (budget *Budget) Remaining(now clock.Millis, daemons int) float64 {
 	budget.advance(now)
 	return budget.limit(daemons) - float64(sum(budget.repeats))
 }
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -15,32 +15,32 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// Word is what a server said last of its limit, as daemons tell each other. Of two words on
+// ServerLimit is what a server said last of its limit, as daemons tell each other. Of two words on
 // one process of a server the one with the higher number counts, of the same number the
 // lower limit.
-type Word struct {
-	Server  string
-	Born    int64 // start of the server's process, 0 where it is not known
-	Number  int64 // rises with each change
-	Limited bool
-	Rate    float64 // requests a second
+type ServerLimit struct {
+	Server    string
+	StartedAt int64 // start of the server's process, 0 where it is not known
+	Number    int64 // rises with each change
+	Limited   bool
+	Rate      float64 // requests a second
 }
 
 // after reports whether a word replaces another one on the same server.
-func (word Word) after(other Word) bool {
+func (serverLimit ServerLimit) after(other ServerLimit) bool {
 	switch {
-	case word.Born != other.Born:
-		return word.Born > other.Born
-	case word.Number != other.Number:
-		return word.Number > other.Number
+	case serverLimit.StartedAt != other.StartedAt:
+		return serverLimit.StartedAt > other.StartedAt
+	case serverLimit.Number != other.Number:
+		return serverLimit.Number > other.Number
 	default:
-		return word.Limited && (!other.Limited || word.Rate < other.Rate)
+		return serverLimit.Limited && (!other.Limited || serverLimit.Rate < other.Rate)
 	}
 }
 
 // entry is the last word on a server, and this daemon's part of its limit.
 type entry struct {
-	word   Word
+	word   ServerLimit
 	at     clock.Millis // when this daemon came to know the word
 	change int64        // of the limits, by which it did
 	part   part
@@ -60,15 +60,15 @@
 	return &Limits{self: self, daemons: []string{self}, entries: make(map[string]*entry)}
 }
 
-// Heard notes what an answer of a server said of its limit; its number is left open. An
+// ApplyResponse notes what an answer of a server said of its limit; its number is left open. An
 // answer to a request from before the limit was known does not lift it: answers overtake
 // each other. It reports whether that is news.
-func (limits *Limits) Heard(now, sentAt clock.Millis, word Word) bool {
+func (limits *Limits) ApplyResponse(now, sentAt clock.Millis, word ServerLimit) bool {
 	known := limits.of(word.Server)
 	switch {
-	case word.Born < known.word.Born:
+	case word.StartedAt < known.word.StartedAt:
 		return false
-	case word.Born > known.word.Born: // nothing of before holds
+	case word.StartedAt > known.word.StartedAt: // nothing of before holds
 		if !word.Limited && !known.word.Limited {
 			return false
 		}
@@ -83,7 +83,7 @@
 }
 
 // Merge takes over what another daemon knows. It reports whether that is news.
-func (limits *Limits) Merge(now clock.Millis, words []Word) bool {
+func (limits *Limits) Merge(now clock.Millis, words []ServerLimit) bool {
 	news := false
 	for _, word := range words {
 		if known, ok := limits.entries[word.Server]; !ok || word.after(known.word) {
@@ -95,10 +95,10 @@
 }
 
 // take replaces what is known of a server. A part that this daemon has of its limit is kept.
-func (limits *Limits) take(now clock.Millis, word Word) {
+func (limits *Limits) take(now clock.Millis, word ServerLimit) {
 	limits.changes++
 	known, ok := limits.entries[word.Server]
-	if !ok || !known.word.Limited || !word.Limited || known.word.Born != word.Born {
+	if !ok || !known.word.Limited || !word.Limited || known.word.StartedAt != word.StartedAt {
 		known = &entry{}
 	}
 	known.word, known.at, known.change = word, now, limits.changes
@@ -109,17 +109,17 @@
 	}
 }
 
-// Changes rises with each change of the limits.
-func (limits *Limits) Changes() int64 {
+// Revision rises with each change of the limits.
+func (limits *Limits) Revision() int64 {
 	return limits.changes
 }
 
-// Since returns the words that have changed after a change of the limits.
-func (limits *Limits) Since(change int64) []Word {
+// ChangedSince returns the words that have changed after a change of the limits.
+func (limits *Limits) ChangedSince(change int64) []ServerLimit {
 	if change >= limits.changes {
 		return nil
 	}
-	var words []Word
+	var words []ServerLimit
 	for _, known := range limits.entries {
 		if known.change > change {
 			words = append(words, known.word)
--- a/internal/direct/topology/topology.go
+++ b/internal/direct/topology/topology.go
@@ -52,8 +52,8 @@
 	Retired               // gives orders to the servers that it has, and claims no more
 )
 
-// GivesOrders reports whether a daemon in this role may give orders to servers.
-func (role Role) GivesOrders() bool {
+// SendsOrders reports whether a daemon in this role may give orders to servers.
+func (role Role) SendsOrders() bool {
 	return role == Candidate || role == Retired
 }
 
@@ -66,7 +66,7 @@
 
 // addsUp reports whether a daemon adds up the work of others.
 func (peer Peer) addsUp() bool {
-	return peer.Hub == "" && peer.Role.GivesOrders()
+	return peer.Hub == "" && peer.Role.SendsOrders()
 }
 
 // Scope is what a target is told.
@@ -81,10 +81,10 @@
 
 // Target is a daemon to tell news to.
 type Target struct {
-	Name    string
-	Address string
-	Scope   Scope
-	Store   bool // what was read of the store as well
+	Name          string
+	Address       string
+	Scope         Scope
+	IncludesStore bool // what was read of the store as well
 }
 
 // Plan is what a daemon has to do.
@@ -100,15 +100,15 @@
 	// Hub is the daemon that tells this one what all others have in progress; it is
 	// empty where this daemon adds up itself, or has found no hub yet.
 	Hub string
-	// Reads reports whether this daemon reads the store itself. In a mesh each
+	// ReadsStore reports whether this daemon reads the store itself. In a mesh each
 	// does: passing entries on costs more there than the calls that it saves.
-	Reads bool
+	ReadsStore bool
 }
 
-// Of returns the plan of self. Known are the daemons that are taken to live, heard those
+// PlanFor returns the plan of self. Known are the daemons that are taken to live, heard those
 // of them that are heard directly; neither need include self. Orders tells that self gives
 // orders to servers.
-func Of(self Daemon, known []Daemon, heard []Peer, orders bool) Plan {
+func PlanFor(self Daemon, known []Daemon, heard []Peer, orders bool) Plan {
 	all := append(slices.Clone(known), self)
 	if len(all) <= MeshLimit {
 		return mesh(self, all, heard)
@@ -120,7 +120,7 @@
 	}
 	plan.Links = links(self, plan.Role == Candidate || orders, candidates)
 	plan.Hub = hubOf(self, candidates[self.DataCentre], heard)
-	plan.Reads = plan.Hub == ""
+	plan.ReadsStore = plan.Hub == ""
 	plan.Targets = targets(self, plan, heard)
 	return plan
 }
@@ -134,7 +134,7 @@
 }
 
 func mesh(self Daemon, all []Daemon, heard []Peer) Plan {
-	plan := Plan{Mesh: true, Role: Candidate, Reads: true}
+	plan := Plan{Mesh: true, Role: Candidate, ReadsStore: true}
 	slices.SortFunc(all, better)
 	for _, daemon := range all {
 		if daemon.Name != self.Name {
@@ -213,7 +213,7 @@
 		target := Target{Name: peer.Name, Address: peer.Address}
 		switch {
 		case peer.Hub == self.Name:
-			target.Scope, target.Store = Sums, true
+			target.Scope, target.IncludesStore = Sums, true
 		case plan.Hub != "" && peer.Name != plan.Hub:
 			continue
 		case plan.Hub == "" && !peer.addsUp():
--- a/internal/direct/topology/topology_test.go
+++ b/internal/direct/topology/topology_test.go
@@ -28,7 +28,7 @@
 		next := make(map[string]topology.Plan)
 		for i, daemon := range daemons {
 			others := append(append([]topology.Daemon{}, daemons[:i]...), daemons[i+1:]...)
-			next[daemon.Name] = topology.Of(daemon, others, heard(daemon, others, plans), false)
+			next[daemon.Name] = topology.PlanFor(daemon, others, heard(daemon, others, plans), false)
 		}
 		plans = next
 	}
@@ -156,21 +156,21 @@
 	self, first := daemons[member], plans[daemons[member].Name].Hub
 	others := slices.DeleteFunc(slices.Clone(daemons), func(daemon topology.Daemon) bool { return daemon == self })
 	left := slices.DeleteFunc(heard(self, others, plans), func(peer topology.Peer) bool { return peer.Name == first })
-	plan := topology.Of(self, others, left, false)
+	plan := topology.PlanFor(self, others, left, false)
 	require.Len(t, left, 1)
 	require.Equal(t, left[0].Name, plan.Hub)
 	second := slices.IndexFunc(daemons, func(daemon topology.Daemon) bool { return daemon.Name == plan.Hub })
-	chosen := topology.Of(daemons[second], others, []topology.Peer{{Daemon: self, Hub: plan.Hub}, {Daemon: daemons[0], Role: topology.Candidate}}, false)
+	chosen := topology.PlanFor(daemons[second], others, []topology.Peer{{Daemon: self, Hub: plan.Hub}, {Daemon: daemons[0], Role: topology.Candidate}}, false)
 	require.Empty(t, chosen.Hub, "who is chosen adds up itself")
 	require.Equal(t, topology.Candidate, chosen.Role)
-	require.True(t, chosen.Reads)
+	require.True(t, chosen.ReadsStore)
 }
 
 func TestSomebodyReadsTheStore(t *testing.T) {
 	for _, count := range []int{1, 7, 69} {
 		readers := 0
 		for _, plan := range settle(site(count)) {
-			if plan.Reads {
+			if plan.ReadsStore {
 				readers++
 			}
 		}
@@ -185,7 +185,7 @@
 		daemons := site(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
-				topology.Of(daemons[0], daemons[1:], nil, false)
+				topology.PlanFor(daemons[0], daemons[1:], nil, false)
 			}
 		})
 	}
--- a/internal/direct/upstream/check.go
+++ b/internal/direct/upstream/check.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// Presence is what trying to connect to an address shows.
-type Presence int
+// CheckResult is what trying to connect to an address shows.
+type CheckResult int
 
 // Presences.
 const (
-	Unknown Presence = iota // no connection came about, for whatever reason
-	Listens
-	Refuses // nothing listens there: the server has ended
+	Unknown CheckResult = iota // no connection came about, for whatever reason
+	Listening
+	ConnectionRefused // nothing listens there: the server has ended
 )
 
 // Check tries to connect to a server of which a connection broke. A connection that comes
 // about is kept for requests.
-func (pool *Pool) Check(ctx context.Context, address string) Presence {
+func (pool *Pool) Check(ctx context.Context, address string) CheckResult {
 	opened, err := pool.dial(ctx, address)
 	switch {
 	case err == nil:
 		pool.keep(opened, 0)
-		return Listens
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refuses
+		return ConnectionRefused
 	default:
 		return Unknown
 	}
