--- a/internal/decide/owner/backlog.go
+++ b/internal/decide/owner/backlog.go
@@ -193,7 +193,7 @@
 func (owner *Owner) nextClass() (class config.Class, found bool) {
 	urgent, routine := owner.backlog.ready.Len(config.Urgent), owner.backlog.ready.Len(config.Routine)
 	switch {
-	case routine > 0 && owner.urgentInRow >= owner.options.RoutineFloor && owner.batchHasRoom(config.Urgent):
+	case routine > 0 && owner.urgentInRow >= owner.options.MaxUrgentInRow && owner.batchHasRoom(config.Urgent):
 		return config.Routine, true
 	case urgent > 0 && owner.batchHasRoom(config.Urgent):
 		return config.Urgent, true
--- a/internal/decide/owner/loading.go
+++ b/internal/decide/owner/loading.go
@@ -62,7 +62,7 @@
 		return
 	}
 	next := wanted.demand()
-	if next == wanted.requested && now-wanted.requestedAt < owner.options.AskInterval {
+	if next == wanted.requested && now-wanted.requestedAt < owner.options.LoadRequestInterval {
 		return
 	}
 	wanted.requested, wanted.requestedAt = next, now
@@ -94,9 +94,9 @@
 	})
 }
 
-// Granted handles the broker's permission to load an adapter now. If the load is
+// LoadGranted handles the broker's permission to load an adapter now. If the load is
 // not needed or not possible any more, the lease is returned unused.
-func (owner *Owner) Granted(now clock.Millis, adapter ident.Adapter) []effect.Effect {
+func (owner *Owner) LoadGranted(now clock.Millis, adapter ident.Adapter) []effect.Effect {
 	owner.version++
 	wanted := owner.backlog.wanted[adapter]
 	at := -1
@@ -122,8 +122,8 @@
 	return owner.takeEffects()
 }
 
-// Loaded handles the end of a load order.
-func (owner *Owner) Loaded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
+// LoadEnded handles the end of a load order.
+func (owner *Owner) LoadEnded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
 	at, held := owner.resident[adapter]
 	if !held || owner.slots[at].state != slotLoading {
 		return nil
@@ -161,10 +161,10 @@
 	})
 }
 
-// Judged handles the broker's answer to a load request. After a refusal, requests
+// LoadDecided handles the broker's answer to a load request. After a refusal, requests
 // that cannot be served in time are refused, and the load is requested again for
 // those with later deadlines.
-func (owner *Owner) Judged(now clock.Millis, decision message.LoadDecision) []effect.Effect {
+func (owner *Owner) LoadDecided(now clock.Millis, decision message.LoadDecision) []effect.Effect {
 	wanted := owner.backlog.wanted[decision.Adapter]
 	if wanted != nil {
 		wanted.unansweredSince = 0
@@ -182,9 +182,9 @@
 	return owner.takeEffects()
 }
 
-// Unanswered returns the adapter whose load request has waited longest for an
+// LongestUnanswered returns the adapter whose load request has waited longest for an
 // answer of the broker, if it has waited for at least the span.
-func (owner *Owner) Unanswered(now, span clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
+func (owner *Owner) LongestUnanswered(now, span clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
 	for _, candidate := range owner.backlog.wantedInOrder() {
 		wanted := owner.backlog.wanted[candidate]
 		overdue := wanted.unansweredSince > 0 && !wanted.loadStarted && now-wanted.unansweredSince >= span
--- a/internal/decide/owner/owner.go
+++ b/internal/decide/owner/owner.go
@@ -33,16 +33,16 @@
 	ResumeTries int
 	// CancelInterval is the time after which an unconfirmed cancel is repeated.
 	CancelInterval clock.Millis
-	// AskInterval is the time after which a load request that was not granted is
+	// LoadRequestInterval is the time after which a load request that was not granted is
 	// repeated, because the broker may have restarted and lost its queue.
-	AskInterval clock.Millis
-	// RoutineFloor is the number of urgent dispatches in a row after which a ready
+	LoadRequestInterval clock.Millis
+	// MaxUrgentInRow is the number of urgent dispatches in a row after which a ready
 	// routine request goes next.
-	RoutineFloor int
-	// RoomWait is the time that a routine request waits for an idle slot before a
+	MaxUrgentInRow int
+	// YieldDelay is the time that a routine request waits for an idle slot before a
 	// slot yields, that is, gets no further runs so that it becomes idle. With 0 no
 	// slot yields, also not for urgent requests.
-	RoomWait clock.Millis
+	YieldDelay clock.Millis
 	// Eviction ranks the adapters that could be evicted.
 	Eviction EvictionPolicy
 	// HalfLife is the time after which a request counts half in an adapter's use
@@ -59,12 +59,12 @@
 		LoadTries:     3,
 		ResumeTries:   2,
 
-		CancelInterval: clock.Second,
-		AskInterval:    3 * clock.Second,
-		RoutineFloor:   16,
-		RoomWait:       2 * clock.Second,
-		Eviction:       DecayedFrequency{},
-		HalfLife:       5 * clock.Minute,
+		CancelInterval:      clock.Second,
+		LoadRequestInterval: 3 * clock.Second,
+		MaxUrgentInRow:      16,
+		YieldDelay:          2 * clock.Second,
+		Eviction:            DecayedFrequency{},
+		HalfLife:            5 * clock.Minute,
 	}
 }
 
@@ -137,8 +137,8 @@
 	return len(owner.runs) > 0
 }
 
-// Known reports whether the engine has reported to this owner yet.
-func (owner *Owner) Known() bool {
+// HasReport reports whether the engine has reported to this owner yet.
+func (owner *Owner) HasReport() bool {
 	return owner.boot != ""
 }
 
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/owner/owner_test.go
@@ -73,7 +73,7 @@
 	case message.LoadRequest:
 		harness.loadRequests = append(harness.loadRequests, sent)
 		if harness.grantLoads && !sent.Withdraw {
-			harness.apply(harness.owner.Granted(harness.now, sent.Adapter))
+			harness.apply(harness.owner.LoadGranted(harness.now, sent.Adapter))
 		}
 	}
 }
@@ -102,10 +102,10 @@
 	unloads, loads := harness.unloads, harness.loads
 	harness.unloads, harness.loads = nil, nil
 	for _, adapter := range unloads {
-		harness.apply(harness.owner.Unloaded(harness.now, adapter, false))
+		harness.apply(harness.owner.UnloadEnded(harness.now, adapter, false))
 	}
 	for _, adapter := range loads {
-		harness.apply(harness.owner.Loaded(harness.now, adapter, failed))
+		harness.apply(harness.owner.LoadEnded(harness.now, adapter, failed))
 	}
 }
 
@@ -178,7 +178,7 @@
 	harness.submit(0, config.Urgent, true)
 	harness.finishLoads(false)
 	routine := harness.submit(0, config.Routine, true)
-	limit := owner.DefaultOptions().RoutineFloor
+	limit := owner.DefaultOptions().MaxUrgentInRow
 	for range limit + 2 {
 		harness.submit(0, config.Urgent, true)
 	}
@@ -222,7 +222,7 @@
 	harness.advance(10 * clock.Second)
 	late := harness.submit(0, config.Routine, true)
 	request := harness.loadRequests[0]
-	harness.apply(harness.owner.Judged(harness.now, message.LoadDecision{
+	harness.apply(harness.owner.LoadDecided(harness.now, message.LoadDecision{
 		Store: request.Store, Engine: request.Engine, Adapter: request.Adapter, Refused: true, Wait: 25 * clock.Second,
 	}))
 	require.Equal(t, outcome.Refused(outcome.DeadlineUnreachable, 25*clock.Second), harness.ended[early])
--- a/internal/decide/owner/slot.go
+++ b/internal/decide/owner/slot.go
@@ -153,8 +153,8 @@
 	})
 }
 
-// Unloaded handles the end of an unload order.
-func (owner *Owner) Unloaded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
+// UnloadEnded handles the end of an unload order.
+func (owner *Owner) UnloadEnded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
 	for i := range owner.slots {
 		slot := &owner.slots[i]
 		if slot.state != slotUnloading || slot.adapter != adapter {
--- a/internal/decide/owner/takeover.go
+++ b/internal/decide/owner/takeover.go
@@ -64,25 +64,25 @@
 	}
 }
 
-// AwaitNumber prevents evictions until the engine has received this owner's fencing
+// AwaitFence prevents evictions until the engine has received this owner's fencing
 // number. Until then, the engine accepts orders of a former owner that does not know
 // about this one.
-func (owner *Owner) AwaitNumber() {
+func (owner *Owner) AwaitFence() {
 	owner.takeover.fenceUnconfirmed = true
 }
 
-// NumberSeen records that the engine now refuses older fencing numbers. Reports
+// FenceConfirmed records that the engine now refuses older fencing numbers. Reports
 // created at the given time or later show everything that former owners started.
-func (owner *Owner) NumberSeen(quietUntil clock.Millis) {
+func (owner *Owner) FenceConfirmed(quietUntil clock.Millis) {
 	if owner.takeover.fenceUnconfirmed {
 		owner.takeover.fenceUnconfirmed = false
 		owner.takeover.quietUntil = max(owner.takeover.quietUntil, quietUntil)
 	}
 }
 
-// NumberUnseen reports whether the engine may not have received the fencing number
+// FenceUnconfirmed reports whether the engine may not have received the fencing number
 // yet.
-func (owner *Owner) NumberUnseen() bool {
+func (owner *Owner) FenceUnconfirmed() bool {
 	return owner.takeover.fenceUnconfirmed
 }
 
@@ -92,16 +92,16 @@
 	owner.takeover.suspended = suspended
 }
 
-// Ordering reports whether an unload order is in progress. An engine that ignores
+// UnloadInProgress reports whether an unload order is in progress. An engine that ignores
 // fencing numbers would carry it out even after a handover.
-func (owner *Owner) Ordering() bool {
+func (owner *Owner) UnloadInProgress() bool {
 	return slices.ContainsFunc(owner.slots, func(slot slot) bool {
 		return slot.state == slotUnloading && !slot.unloadFailed
 	})
 }
 
-// HandedRuns returns the unfinished runs, for the next owner.
-func (owner *Owner) HandedRuns() []message.UnfinishedRun {
+// UnfinishedRuns returns the unfinished runs, for the next owner.
+func (owner *Owner) UnfinishedRuns() []message.UnfinishedRun {
 	var unfinished []message.UnfinishedRun
 	for _, run := range owner.sortedRuns() {
 		if run.state != runWaiting {
@@ -134,9 +134,9 @@
 	return owner.takeEffects()
 }
 
-// TakeWaiting removes the requests that were not dispatched and returns them in
+// RemoveWaiting removes the requests that were not dispatched and returns them in
 // order of their streams, for the next owner.
-func (owner *Owner) TakeWaiting(now clock.Millis) []message.Submit {
+func (owner *Owner) RemoveWaiting(now clock.Millis) []message.Submit {
 	var submits []message.Submit
 	for _, run := range owner.sortedRuns() {
 		if run.state != runWaiting {
@@ -393,9 +393,9 @@
 	}
 }
 
-// Residency returns a version that increases with every change of the loaded or
+// ResidencyVersion returns a version that increases with every change of the loaded or
 // wanted adapters.
-func (owner *Owner) Residency(resident, wanted []ident.Adapter) uint64 {
+func (owner *Owner) ResidencyVersion(resident, wanted []ident.Adapter) uint64 {
 	takeover := &owner.takeover
 	if takeover.residencyVersion == 0 || !slices.Equal(resident, takeover.lastResident) || !slices.Equal(wanted, takeover.lastWanted) {
 		takeover.residencyVersion++
--- a/internal/decide/owner/takeover_test.go
+++ b/internal/decide/owner/takeover_test.go
@@ -118,7 +118,7 @@
 // its load.
 func requestQuoteLoad(successor *owner.Owner, now clock.Millis) []effect.Effect {
 	effects := successor.Submit(now, "daemon-0", submitFor(9, quote, false))
-	return append(effects, successor.Granted(now, quote)...)
+	return append(effects, successor.LoadGranted(now, quote)...)
 }
 
 // TestTakeoverEvictsNothingAtFirst checks that a new owner evicts an adapter only
@@ -134,11 +134,11 @@
 	successor.ReportedAt(1000, 1000, running)
 	require.Empty(t, effectsOf[effect.Unload](requestQuoteLoad(successor, 1001)))
 	successor.ReportedAt(2000, 2000, idle)
-	require.Empty(t, effectsOf[effect.Unload](successor.Granted(2001, quote)), "in the quiet period")
+	require.Empty(t, effectsOf[effect.Unload](successor.LoadGranted(2001, quote)), "in the quiet period")
 	successor.ReportedAt(6000, 6000, running)
-	require.Empty(t, effectsOf[effect.Unload](successor.Granted(6001, quote)), "with a reported run")
+	require.Empty(t, effectsOf[effect.Unload](successor.LoadGranted(6001, quote)), "with a reported run")
 	successor.ReportedAt(7000, 7000, idle)
-	require.Len(t, effectsOf[effect.Unload](successor.Granted(7001, quote)), 1)
+	require.Len(t, effectsOf[effect.Unload](successor.LoadGranted(7001, quote)), 1)
 }
 
 // TestFailedUnloadWaitsForReport checks that a failed unload is not repeated before a
@@ -148,10 +148,10 @@
 	successor := newSuccessor(true, 1)
 	successor.ReportedAt(1000, 1000, idle)
 	require.Len(t, effectsOf[effect.Unload](requestQuoteLoad(successor, 1001)), 1)
-	require.Empty(t, effectsOf[effect.Unload](successor.Unloaded(1002, review, true)))
+	require.Empty(t, effectsOf[effect.Unload](successor.UnloadEnded(1002, review, true)))
 	require.Empty(t, effectsOf[effect.Unload](successor.Tick(1050)))
 	successor.ReportedAt(2000, 1999, idle)
-	require.Len(t, effectsOf[effect.Unload](successor.Granted(2001, quote)), 1)
+	require.Len(t, effectsOf[effect.Unload](successor.LoadGranted(2001, quote)), 1)
 }
 
 // TestLateResultOfEarlierOrder repeats a Submit after a restart of the engine has
--- a/internal/decide/owner/yield.go
+++ b/internal/decide/owner/yield.go
@@ -13,10 +13,10 @@
 // delay. At most one slot yields at a time.
 func (owner *Owner) yieldSlot(now clock.Millis, wanted *wantedAdapter) {
 	urgent := wanted.demand().class == config.Urgent
-	if owner.options.RoomWait == 0 {
+	if owner.options.YieldDelay == 0 {
 		return
 	}
-	if !urgent && now-wanted.wantedSince < owner.options.RoomWait || !owner.mayEvict() {
+	if !urgent && now-wanted.wantedSince < owner.options.YieldDelay || !owner.mayEvict() {
 		return
 	}
 	at := owner.yieldingSlot()
--- a/internal/decide/ownership/options.go
+++ b/internal/decide/ownership/options.go
@@ -6,38 +6,38 @@
 // margin, order delay) are assumptions: the ownership of an engine that ignores
 // fencing numbers is exclusive only as long as they hold.
 type Options struct {
-	// ViewAge is the maximum age of the VM list at which an owner gives orders.
-	ViewAge clock.Millis
+	// MaxListAge is the maximum age of the VM list at which an owner gives orders.
+	MaxListAge clock.Millis
 	// ListLag is the maximum delay until the VM list shows a change.
 	ListLag clock.Millis
 	// ClockMargin is the maximum difference between the wall clocks of two VMs.
 	ClockMargin clock.Millis
-	// HandoverSpan is the maximum age of a handover that replaces the hold-down.
-	HandoverSpan clock.Millis
-	// OrderSpan is the maximum time from the decision to give an order until it
+	// MaxHandoverAge is the maximum age of a handover that replaces the hold-down.
+	MaxHandoverAge clock.Millis
+	// MaxOrderDelay is the maximum time from the decision to give an order until it
 	// arrives at the engine.
-	OrderSpan clock.Millis
+	MaxOrderDelay clock.Millis
 	// ReportLag is the maximum time by which a report is older than its stated age.
 	ReportLag clock.Millis
-	// Suspicion is the time without messages after which a daemon of the same data
+	// SilenceTimeout is the time without messages after which a daemon of the same data
 	// centre is skipped as a candidate for engines that check fencing numbers.
-	Suspicion clock.Millis
-	// Pause is the longest gap between two steps that does not count as a pause of
+	SilenceTimeout clock.Millis
+	// MaxStepGap is the longest gap between two steps that does not count as a pause of
 	// the process.
-	Pause clock.Millis
+	MaxStepGap clock.Millis
 }
 
 // DefaultOptions returns the time limits used if the settings do not set them.
 func DefaultOptions() Options {
 	return Options{
-		ViewAge:      2 * clock.Second,
-		ListLag:      clock.Second,
-		ClockMargin:  250 * clock.Millisecond,
-		HandoverSpan: 250 * clock.Millisecond,
-		OrderSpan:    250 * clock.Millisecond,
-		ReportLag:    500 * clock.Millisecond,
-		Suspicion:    2 * clock.Second,
-		Pause:        500 * clock.Millisecond,
+		MaxListAge:     2 * clock.Second,
+		ListLag:        clock.Second,
+		ClockMargin:    250 * clock.Millisecond,
+		MaxHandoverAge: 250 * clock.Millisecond,
+		MaxOrderDelay:  250 * clock.Millisecond,
+		ReportLag:      500 * clock.Millisecond,
+		SilenceTimeout: 2 * clock.Second,
+		MaxStepGap:     500 * clock.Millisecond,
 	}
 }
 
@@ -47,5 +47,5 @@
 // lag and acted on it up to the maximum list age, and its last order or handover
 // arrived within its own maximum delay.
 func (options Options) HoldDown() clock.Millis {
-	return options.ViewAge + options.ListLag + options.ClockMargin + options.HandoverSpan + options.OrderSpan
+	return options.MaxListAge + options.ListLag + options.ClockMargin + options.MaxHandoverAge + options.MaxOrderDelay
 }
--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -57,15 +57,15 @@
 	First bool
 	// ChecksFencing is set if the engine refuses old fencing numbers.
 	ChecksFencing bool
-	// Fresh is set if the VM list was read recently enough to act on it.
-	Fresh bool
-	// Occupied is set if another daemon owns the engine and is not silent. It is used
+	// ListFresh is set if the VM list was read recently enough to act on it.
+	ListFresh bool
+	// OwnedByLiveDaemon is set if another daemon owns the engine and is not silent. It is used
 	// only for engines that check fencing numbers.
-	Occupied bool
+	OwnedByLiveDaemon bool
 	// ListReadAt is when the VM list that First is based on was read.
 	ListReadAt clock.Millis
-	// Asked is set if the first candidate has requested a handover.
-	Asked bool
+	// HandoverRequested is set if the first candidate has requested a handover.
+	HandoverRequested bool
 	// HandedOver is set if the former owner has handed over the engine recently enough
 	// to replace the hold-down.
 	HandedOver bool
@@ -106,7 +106,7 @@
 		tenureTable.Must(&tenure.state, wait)
 		tenure.waitingSince = now
 	}
-	if tenure.state == Waiting && facts.Fresh && tenure.mayClaim(now, facts) {
+	if tenure.state == Waiting && facts.ListFresh && tenure.mayClaim(now, facts) {
 		tenureTable.Must(&tenure.state, claim)
 		return Claim
 	}
@@ -122,7 +122,7 @@
 	case Waiting:
 		tenureTable.Must(&tenure.state, withdraw)
 	case Owning:
-		if facts.Asked || now >= tenure.OrdersUntil() {
+		if facts.HandoverRequested || now >= tenure.OrdersUntil() {
 			tenureTable.Must(&tenure.state, yield)
 			return Yield
 		}
@@ -134,7 +134,7 @@
 // last VM list that made this daemon the first candidate. It must be obeyed for
 // engines that ignore fencing numbers.
 func (tenure *Tenure) OrdersUntil() clock.Millis {
-	return tenure.lastFirstAt + tenure.options.ViewAge
+	return tenure.lastFirstAt + tenure.options.MaxListAge
 }
 
 // mayClaim reports whether no former owner can give orders any more, or the engine
@@ -146,7 +146,7 @@
 	case now < tenure.notBefore:
 		return false
 	case facts.ChecksFencing:
-		return !facts.Occupied || now-tenure.waitingSince >= tenure.options.HoldDown()
+		return !facts.OwnedByLiveDaemon || now-tenure.waitingSince >= tenure.options.HoldDown()
 	default:
 		return now-tenure.waitingSince >= tenure.options.HoldDown()
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-// Heard is the claim to an engine with the highest fencing number that a daemon has
+// EngineClaim is the claim to an engine with the highest fencing number that a daemon has
 // received.
-type Heard struct {
+type EngineClaim struct {
 	Owner       ident.DaemonID
 	Incarnation ident.Incarnation
 	Fence       ident.Fence
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -13,12 +13,12 @@
 var options = ownership.DefaultOptions()
 
 func TestClaimWaits(t *testing.T) {
-	first := ownership.Facts{First: true, Fresh: true}
-	checked := ownership.Facts{First: true, Fresh: true, ChecksFencing: true}
+	first := ownership.Facts{First: true, ListFresh: true}
+	checked := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
 	occupied := checked
-	occupied.Occupied = true
+	occupied.OwnedByLiveDaemon = true
 	stale := first
-	stale.Fresh = false
+	stale.ListFresh = false
 	handed := first
 	handed.HandedOver = true
 	for _, example := range []struct {
@@ -52,7 +52,7 @@
 
 func TestInterruptRestartsWait(t *testing.T) {
 	tenure := ownership.New(options, 0)
-	facts := ownership.Facts{First: true, Fresh: true}
+	facts := ownership.Facts{First: true, ListFresh: true}
 	tenure.Revise(0, facts)
 	tenure.Interrupt(options.HoldDown() - 1)
 	require.Equal(t, ownership.NoAction, tenure.Revise(options.HoldDown(), facts))
@@ -62,18 +62,18 @@
 func TestOwnerYieldsOnRequestOrStaleList(t *testing.T) {
 	for _, asked := range []bool{true, false} {
 		tenure := ownership.New(options, 0)
-		tenure.Revise(0, ownership.Facts{First: true, Fresh: true, HandedOver: true, ListReadAt: 1})
+		tenure.Revise(0, ownership.Facts{First: true, ListFresh: true, HandedOver: true, ListReadAt: 1})
 		require.Equal(t, ownership.Owning, tenure.State())
-		notFirst := ownership.Facts{Fresh: true, Asked: asked}
+		notFirst := ownership.Facts{ListFresh: true, HandoverRequested: asked}
 		require.Equal(t, asked, tenure.Revise(2, notFirst) == ownership.Yield)
-		tenure.Revise(1+options.ViewAge, notFirst)
+		tenure.Revise(1+options.MaxListAge, notFirst)
 		require.Equal(t, ownership.Yielding, tenure.State())
 	}
 }
 
 func TestOutbidDaemonWaits(t *testing.T) {
 	tenure := ownership.New(options, 0)
-	facts := ownership.Facts{First: true, Fresh: true, ChecksFencing: true}
+	facts := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
 	require.Equal(t, ownership.Claim, tenure.Revise(0, facts))
 	tenure.Withdraw(0, true)
 	require.Equal(t, ownership.NoAction, tenure.Revise(options.HoldDown()-1, facts))
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -22,26 +22,26 @@
 // Weights are the costs that rank candidates. The unit is the wait for one full batch
 // of the engine's requests.
 type Weights struct {
-	// Load is the cost of a load of the adapter.
-	Load float64
-	// Spare is the cost of each recent request for the adapter that would be evicted,
+	// LoadCost is the cost of a load of the adapter.
+	LoadCost float64
+	// SpareCost is the cost of each recent request for the adapter that would be evicted,
 	// as counted by the engine's owner.
-	Spare float64
-	// Batch is the gain of joining a full batch instead of an empty one, for an
+	SpareCost float64
+	// BatchGain is the gain of joining a full batch instead of an empty one, for an
 	// adapter that must be loaded. It concentrates requests in large batches at a few
 	// engines.
-	Batch float64
-	// Affinity is the cost of each position in the affinity set after the first.
-	Affinity float64
-	// Set is the number of engines in an affinity set.
-	Set int
-	// Silence is the maximum age of an engine's state that is used.
-	Silence clock.Millis
+	BatchGain float64
+	// AffinityCost is the cost of each position in the affinity set after the first.
+	AffinityCost float64
+	// AffinitySetSize is the number of engines in an affinity set.
+	AffinitySetSize int
+	// MaxStateAge is the maximum age of an engine's state that is used.
+	MaxStateAge clock.Millis
 }
 
 // DefaultWeights returns the weights used if the settings do not set them.
 func DefaultWeights() Weights {
-	return Weights{Load: 4, Spare: 1, Batch: 0.25, Affinity: 0.01, Set: 9, Silence: 10 * clock.Second}
+	return Weights{LoadCost: 4, SpareCost: 1, BatchGain: 0.25, AffinityCost: 0.01, AffinitySetSize: 9, MaxStateAge: 10 * clock.Second}
 }
 
 // Affinity is the policy that daemons use. It is not safe for concurrent use.
@@ -54,7 +54,7 @@
 
 // New returns an Affinity policy with the given weights.
 func New(weights Weights) *Affinity {
-	return &Affinity{weights: weights, affinitySets: newAffinitySets(weights.Set)}
+	return &Affinity{weights: weights, affinitySets: newAffinitySets(weights.AffinitySetSize)}
 }
 
 // choice is the best engine so far.
@@ -113,7 +113,7 @@
 // best so far.
 func (affinity *Affinity) consider(now clock.Millis, query Query, views *Views, engine *config.Engine, step int, best *choice) {
 	view := views.View(engine.Name)
-	candidate := candidateOf(now, engine, view, query.Tried, affinity.weights.Silence)
+	candidate := candidateOf(now, engine, view, query.Tried, affinity.weights.MaxStateAge)
 	affinity.candidates = append(affinity.candidates, candidate)
 	if candidate.Verdict != outcome.RankedLower {
 		return
@@ -131,6 +131,6 @@
 	if views.holds(engine.Name, query.Adapter) {
 		return queue
 	}
-	return queue + weights.Load + weights.Spare*view.State.Spare + weights.Affinity*float64(step) -
-		weights.Batch*min(1, batch)
+	return queue + weights.LoadCost + weights.SpareCost*view.State.Spare + weights.AffinityCost*float64(step) -
+		weights.BatchGain*min(1, batch)
 }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -27,7 +27,7 @@
 }
 
 func weights() placement.Weights {
-	return placement.Weights{Load: 2, Spare: 1, Affinity: 0.01, Set: 2, Silence: 10 * clock.Second}
+	return placement.Weights{LoadCost: 2, SpareCost: 1, AffinityCost: 0.01, AffinitySetSize: 2, MaxStateAge: 10 * clock.Second}
 }
 
 func TestHolderComesFirst(t *testing.T) {
@@ -92,7 +92,7 @@
 		views.Update(now, message.EngineState{Engine: name, Fence: 1, Version: 1, Spare: spare})
 	}
 	wide := weights()
-	wide.Set = 3
+	wide.AffinitySetSize = 3
 	engine, _ := placement.New(wide).Choose(now, placement.Query{Adapter: adapterOf(1), Pool: pool}, views)
 	require.Equal(t, ident.EngineID("b"), engine.Name)
 }
@@ -145,7 +145,7 @@
 	pool, views := newSmallFleet()
 	views.Update(now, message.EngineState{Engine: "a", Owner: "gone", Fence: 1, Version: 1, Resident: []ident.Adapter{adapterOf(1)}})
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool}
-	views.LoseOwner("gone")
+	views.MarkOwnerLost("gone")
 	engine, _ := placement.New(weights()).Choose(now, query, views)
 	require.NotEqual(t, ident.EngineID("a"), engine.Name)
 	views.Update(now, message.EngineState{Engine: "a", Owner: "next", Fence: 2, Resident: []ident.Adapter{adapterOf(1)}})
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -32,11 +32,11 @@
 	switch {
 	case engine.Leaving || view != nil && view.State.Leaving:
 		return outcome.EngineAway
-	case view == nil || view.Lost:
+	case view == nil || view.OwnerLost:
 		return outcome.OwnerUnknown
 	case view.State.Quarantined:
 		return outcome.Quarantined
-	case now-view.HeardAt > maxAge:
+	case now-view.ConfirmedAt > maxAge:
 		return outcome.EngineSilent
 	}
 	for _, engineID := range tried {
@@ -81,7 +81,7 @@
 func candidateOf(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, maxAge clock.Millis) outcome.Candidate {
 	candidate := outcome.Candidate{Engine: engine.Name, Verdict: verdictOn(now, engine, view, tried, maxAge)}
 	if view != nil {
-		candidate.Age = now - view.HeardAt
+		candidate.Age = now - view.ConfirmedAt
 	}
 	return candidate
 }
--- a/internal/decide/placement/views.go
+++ b/internal/decide/placement/views.go
@@ -13,13 +13,13 @@
 // View is what a daemon knows about one engine.
 type View struct {
 	State message.EngineState
-	// HeardAt is when the owner last sent or confirmed the state.
-	HeardAt clock.Millis
+	// ConfirmedAt is when the owner last sent or confirmed the state.
+	ConfirmedAt clock.Millis
 	// Sent is the number of requests submitted since then, which the state does not
 	// include.
 	Sent int
-	// Lost is set if the connection to the owner was lost since then.
-	Lost bool
+	// OwnerLost is set if the connection to the owner was lost since then.
+	OwnerLost bool
 }
 
 // Views is what a daemon knows about all engines, with an index by adapter.
@@ -68,16 +68,16 @@
 		return false
 	}
 	views.reindex(state.Engine, known.State, state)
-	*known = View{State: state, HeardAt: now}
+	*known = View{State: state, ConfirmedAt: now}
 	return true
 }
 
-// LoseOwner records that the connection to a daemon was lost. Its engines are not
+// MarkOwnerLost records that the connection to a daemon was lost. Its engines are not
 // chosen until something is received from it again.
-func (views *Views) LoseOwner(owner ident.DaemonID) {
+func (views *Views) MarkOwnerLost(owner ident.DaemonID) {
 	for _, known := range views.byEngine {
 		if known.State.Owner == owner {
-			known.Lost = true
+			known.OwnerLost = true
 		}
 	}
 }
