--- a/internal/decide/admission/bound.go
+++ b/internal/decide/admission/bound.go
@@ -27,7 +27,7 @@
 
 // Leave stops counting an item that has entered.
 func (bound *Bound) Leave(class config.Class) {
-	invariant.Check(bound.counts[class] > 0, "an item leaves a queue only after it entered one", "class %s", class)
+	invariant.Check(bound.counts[class] > 0, "only what entered a queue leaves it", "class %s", class)
 	bound.counts[class]--
 }
 
