--- a/internal/decide/home/vouch.go
+++ b/internal/decide/home/vouch.go
@@ -135,9 +135,9 @@
 // canVouch reports whether this home would have a record of an earlier attempt under
 // the key. By the clock of its home, no attempt is granted earlier than ClockMargin
 // before the key's issue time. That clock differs from this one by at most
-// ClockMargin, and a home acts on a list that may have been current as long as
-// MaxViewAge and ListLag ago. So this daemon must have been the key's home under
-// every list that was current since then.
+// ClockMargin, and a home acts on a list that may be out of date by the maximum age
+// of a list plus its lag. So this daemon must have been the key's home under every
+// list that was current since then.
 func (home *Home) canVouch(now clock.Millis, key Key, issuedAt clock.Millis) bool {
 	margin := home.options.ClockMargin
 	if issuedAt > now+margin || issuedAt < now-home.options.Retention+2*margin {
--- a/internal/decide/rollout/peers.go
+++ b/internal/decide/rollout/peers.go
@@ -83,12 +83,12 @@
 		vm, _ := view.Daemon(daemon)
 		later[vm.Region] = append(later[vm.Region], daemon)
 	}
-	var contacts []ident.DaemonID
+	var peers []ident.DaemonID
 	for _, other := range slices.Sorted(maps.Keys(later)) {
-		contact, _ := ownership.First("contact/"+string(self), later[other])
-		contacts = append(contacts, contact)
+		peer, _ := ownership.First("contact/"+string(self), later[other])
+		peers = append(peers, peer)
 	}
-	return contacts
+	return peers
 }
 
 func (rollout *Rollout) withoutSelf(daemons []ident.DaemonID) []ident.DaemonID {
