--- a/internal/direct/gateway/group.go
+++ b/internal/direct/gateway/group.go
@@ -4,20 +4,20 @@
 	"maps"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
-// groupShare is what a hub and those that have chosen it have in progress, with the
-// number under which it was told.
-type groupShare struct {
-	number int64
-	share  tally.Share
+// groupSnapshot is what a hub and the daemons that have chosen it have in progress, with its
+// sequence number.
+type groupSnapshot struct {
+	number   int64
+	snapshot inflight.Share
 }
 
-// renewGroup adds up, as a hub, what this daemon and those that have chosen it have in
-// progress.
-func (core *core) renewGroup() {
+// updateGroup aggregates, on a hub, what this daemon and the daemons that have chosen it have
+// in progress.
+func (core *core) updateGroup() {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.members.Plan().Mesh || core.hub != "" {
@@ -30,102 +30,103 @@
 		}
 	}
 	share := core.work.Group(group)
-	if changes := share.Changes(core.group.share); !changes.Empty() {
-		core.group = groupShare{number: core.group.number + 1, share: share}
+	if changes := share.DeltaFrom(core.groupSnapshot.snapshot); !changes.Empty() {
+		core.groupSnapshot = groupSnapshot{number: core.groupSnapshot.number + 1, snapshot: share}
 		core.groupChanges = changes
 	}
 }
 
-// renewOwners takes down, as a hub, who gives orders to which server and what it has
-// learned of the weight store. The mutex is held.
-func (core *core) renewOwners(now clock.Millis) {
+// updateOwners records, on a hub, the owner of each server and the load rates learned from the
+// weight store. The mutex must be held.
+func (core *core) updateOwners(now clock.Millis) {
 	if core.members.Plan().Mesh || core.hub != "" {
 		return
 	}
-	owners, learned := core.ownersNow(now), core.loadRate.Learned()
-	if maps.Equal(owners, core.owners) && learned.Like(core.learned) {
+	owners, learned := core.currentOwners(now), core.loadRate.Estimate()
+	if maps.Equal(owners, core.owners) && learned.SimilarTo(core.learnedRates) {
 		return
 	}
-	core.owners, core.learned = owners, learned
-	core.ownersNumber++
-	core.hurry()
+	core.owners, core.learnedRates = owners, learned
+	core.ownersVersion++
+	core.requestDelta()
 }
 
-// groupNews returns the group's share, or what has changed since a target was told. The
-// mutex is held.
-func (core *core) groupNews(told *toldState) *peers.GroupShare {
-	if told.group == core.group.number {
+// unsentGroup returns the group's snapshot, or its changes if the target has the previous one.
+// It returns nil if the target is up to date. The mutex must be held.
+func (core *core) unsentGroup(sent *sentState) *peers.GroupShare {
+	if sent.group == core.groupSnapshot.number {
 		return nil
 	}
-	news := &peers.GroupShare{Number: core.group.number, Whole: true, Share: core.group.share}
-	if told.group == core.group.number-1 && told.group > 0 {
-		news.Whole, news.Share = false, core.groupChanges
+	unsent := &peers.GroupShare{Number: core.groupSnapshot.number, Whole: true, Share: core.groupSnapshot.snapshot}
+	if sent.group == core.groupSnapshot.number-1 && sent.group > 0 {
+		unsent.Whole, unsent.Share = false, core.groupChanges
 	}
-	told.group = core.group.number
-	return news
+	sent.group = core.groupSnapshot.number
+	return unsent
 }
 
-// takeGroup takes over the share of another hub. The mutex is held.
-func (core *core) takeGroup(now clock.Millis, from string, news *peers.GroupShare) {
+// applyGroup applies the group snapshot of another hub. The mutex must be held.
+func (core *core) applyGroup(now clock.Millis, from string, received *peers.GroupShare) {
 	known, ok := core.groups[from]
 	switch {
-	case news.Whole:
-		known = groupShare{number: news.Number, share: news.Share}
-	case ok && news.Number == known.number+1:
-		known = groupShare{number: news.Number, share: known.share.With(news.Share)}
+	case received.Whole:
+		known = groupSnapshot{number: received.Number, snapshot: received.Share}
+	case ok && received.Number == known.number+1:
+		known = groupSnapshot{number: received.Number, snapshot: known.snapshot.ApplyDelta(received.Share)}
 	default:
-		return // the whole share was lost with its connection, and comes with the next one
+		return // the full snapshot was lost with its connection; the next connection begins with one
 	}
 	core.groups[from] = known
 	if core.hub == "" {
-		core.countUses(now, core.work.Peer(from, known.share))
+		core.countUses(now, core.work.SetPeer(from, known.snapshot))
 	}
 }
 
-// ownersNow returns which daemons give orders to servers. The mutex is held.
-func (core *core) ownersNow(now clock.Millis) map[string]string {
+// currentOwners returns the known owners, by server. The mutex must be held.
+func (core *core) currentOwners(now clock.Millis) map[string]string {
 	owners := make(map[string]string)
 	for _, member := range core.fleet.Members() {
-		if owner, ok := core.tenure.Owner(now, member.ID); ok {
+		if owner, ok := core.claims.Owner(now, member.ID); ok {
 			owners[member.ID] = owner
 		}
 	}
 	return owners
 }
 
-// ownerNews returns who gives orders, if a target was told otherwise. The mutex is held.
-func (core *core) ownerNews(told *toldState) *peers.Owners {
-	if told.owners == core.ownersNumber {
+// unsentOwners returns the owners of servers if they have changed since they were last sent to
+// a target. The mutex must be held.
+func (core *core) unsentOwners(sent *sentState) *peers.Owners {
+	if sent.owners == core.ownersVersion {
 		return nil
 	}
-	told.owners = core.ownersNumber
-	return &peers.Owners{By: core.owners, Learned: core.learned}
+	sent.owners = core.ownersVersion
+	return &peers.Owners{By: core.owners, Learned: core.learnedRates}
 }
 
-// reportNews returns what servers say themselves that no daemon has told of, where a
-// target does not know it. The mutex is held.
-func (core *core) reportNews(told *toldState) []peers.Reported {
-	if told.reports == core.fleet.Reports() {
+// unsentReports returns the holdings from servers' own reports that a target has not been sent.
+// They are used for servers without an owner's table. The mutex must be held.
+func (core *core) unsentReports(sent *sentState) []peers.ServerReport {
+	if sent.reports == core.fleet.ReportCount() {
 		return nil
 	}
-	told.reports = core.fleet.Reports()
-	var news []peers.Reported
+	sent.reports = core.fleet.ReportCount()
+	var unsent []peers.ServerReport
 	for _, member := range core.fleet.Members() {
-		born, holdings, ok := member.Reported()
-		if ok && told.reported[member.ID] < born {
-			told.reported[member.ID] = born
-			news = append(news, peers.Reported{Server: member.ID, Born: born, Holdings: holdings})
+		startedAt, holdings, ok := member.Reported()
+		if ok && sent.reported[member.ID] < startedAt {
+			sent.reported[member.ID] = startedAt
+			unsent = append(unsent, peers.ServerReport{Server: member.ID, Born: startedAt, Holdings: holdings})
 		}
 	}
-	return news
+	return unsent
 }
 
-// takeReported takes over what servers say. The mutex is held.
-func (core *core) takeReported(news []peers.Reported) {
-	for _, reported := range news {
-		core.fleet.SetReported(reported.Server, reported.Born, reported.Holdings)
+// applyReported applies holdings from servers' own reports. The mutex must be held.
+func (core *core) applyReported(reports []peers.ServerReport) {
+	for _, reported := range reports {
+		core.fleet.SetReport(reported.Server, reported.Born, reported.Holdings)
 	}
-	if len(news) > 0 {
-		core.notify()
+	if len(reports) > 0 {
+		core.wakeWaitingRequests()
 	}
 }
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -12,41 +12,41 @@
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/content"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// job is a caller's request on its way through this daemon.
+// job is the state of a caller's request in this daemon.
 type job struct {
-	call     port.Call
-	incoming *http.Request
-	body     []byte
-	content  content.ID
-	config   int64 // version of the configuration that it is served by
-	route    *catalog.Route
-	service  string
-	engine   bool
-	accounts bool            // the configuration lists accounts
-	account  account.Account // the caller's; without a name where there is none
-	cost     float64         // units taken of the account's limit
-	rank     int             // 0 is the most urgent
-	adapter  port.Adapter    // empty for a plain service
-	hash     uint64
-	places   int // for adapters at each server of the service
-	arrived  clock.Millis
-	deadline clock.Millis // the caller's or the route's, whichever is first
+	headers        platformapi.RequestHeaders
+	incoming       *http.Request
+	body           []byte
+	content        content.ID
+	config         int64 // version of the configuration that the request is served with
+	route          *catalog.Route
+	service        string
+	engine         bool
+	accountsListed bool                // the configuration lists accounts
+	account        account.Account     // of the caller; unnamed if there is none
+	charged        float64             // units charged to the account's limit
+	rank           int                 // 0 is the most urgent
+	adapter        platformapi.Adapter // empty for a plain service
+	adapterHash    uint64
+	adapterSlots   int // of each server of the service
+	arrived        clock.Millis
+	deadline       clock.Millis // the earlier of the caller's and the route's
 
-	tried    []string     // servers not to try again
-	sends    int          // servers that may have run it
-	offers   int          // times that it was sent
-	waited   clock.Millis // for its adapter, or held
-	held     clock.Millis // of it, while its engine read other prompts
-	started  bool         // the head of an answer went to the caller
-	heardAt  clock.Millis // when the caller last got something; its arrival until then
-	lastSent string       // the last event that went to the caller whole
-	firstAt  clock.Millis
-	// longestGap is the longest time between two events of the answer as they came.
+	triedServers []string     // servers that are not tried again
+	mayHaveRun   int          // number of servers that may have run the request
+	timesSent    int          // times that the request was sent to a server
+	waited       clock.Millis // total wait for an adapter or for other prompts
+	holdTime     clock.Millis // part of waited in which the engine was reading (prefilling) other prompts
+	headSent     bool         // the head of an answer has been sent to the caller
+	lastEventAt  clock.Millis // when the caller was last sent something; the arrival until then
+	lastEventID  string       // of the last complete event sent to the caller
+	firstEventAt clock.Millis
+	// longestGap is the longest time between two events of the answer as they arrived.
 	longestGap clock.Millis
-	comeBack   clock.Millis // after which a refused caller was told to come back
+	retryAfter clock.Millis // sent to a refused caller
 }
 
 // ServeHTTP serves a caller's request.
@@ -60,46 +60,46 @@
 		writer.Header().Set("Connection", "close")
 	}
 	if config == nil {
-		gateway.refuse(writer, &job{incoming: request, arrived: core.now()}, http.StatusServiceUnavailable, ending.NotReady)
+		gateway.refuse(writer, &job{incoming: request, arrived: core.now()}, http.StatusServiceUnavailable, ending.NoConfiguration)
 		return
 	}
-	job, status, why := gateway.accept(writer, request, config)
-	defer gateway.settle(job)
+	job, status, reason := gateway.accept(writer, request, config)
+	defer gateway.refundUnrun(job)
 	if status != 0 {
-		gateway.refuse(writer, job, status, why)
+		gateway.refuse(writer, job, status, reason)
 		return
 	}
 	gateway.dispatch(writer, job)
 }
 
-// accept reads a request whole and finds its route. A status other than 0
-// refuses it.
+// accept finds the route of a request, admits the caller and reads the body. A status other
+// than 0 refuses the request.
 func (gateway *Gateway) accept(writer http.ResponseWriter, request *http.Request, config *catalog.Catalog) (*job, int, ending.Reason) {
 	core := gateway.core
 	now := core.now()
-	job := &job{incoming: request, arrived: now, heardAt: now, config: config.Version}
-	call, err := gateway.protocol.Call(request)
-	job.call = call
+	job := &job{incoming: request, arrived: now, lastEventAt: now, config: config.Version}
+	headers, err := gateway.protocol.ParseRequest(request)
+	job.headers = headers
 	if err != nil || strings.HasPrefix(request.RequestURI, "//") {
 		return job, http.StatusBadRequest, ending.BadRequest
 	}
-	route, ok := config.Match(hostOf(request.Host), request.URL.Path)
+	route, ok := config.Match(hostWithoutPort(request.Host), request.URL.Path)
 	if !ok {
 		return job, http.StatusNotFound, ending.NoRoute
 	}
 	job.route = route
 	job.rank = route.Rank
-	if status, why := gateway.admit(job, config); status != 0 {
-		return job, status, why
+	if status, reason := gateway.admit(job, config); status != 0 {
+		return job, status, reason
 	}
-	job.service = route.Service(call.Attempt)
+	job.service = route.Service(headers.Attempt)
 	job.deadline = deadlineOf(job)
 	service := config.Services[job.service]
 	job.engine = service != nil && service.Engine != nil
 	if job.engine {
-		job.adapter = port.Adapter{Model: call.Model, Name: call.Adapter}
-		job.hash = hashOf(job.adapter)
-		job.places = service.Engine.AdapterSlots
+		job.adapter = platformapi.Adapter{Model: headers.Model, Name: headers.Adapter}
+		job.adapterHash = adapterHash(job.adapter)
+		job.adapterSlots = service.Engine.AdapterSlots
 	}
 	limit := gateway.options.BodyBytes
 	if config.Limits.BodyBytes > 0 {
@@ -120,19 +120,19 @@
 	return job, 0, ""
 }
 
-// hostOf takes the port off a host.
-func hostOf(host string) string {
+// hostWithoutPort removes the port from a host.
+func hostWithoutPort(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return name
 }
 
-// longest is the time given to a request when neither caller nor route bounds it.
-const longest = 60 * clock.Second
+// defaultTimeout applies to a request whose caller and route set no time limit.
+const defaultTimeout = 60 * clock.Second
 
 func deadlineOf(job *job) clock.Millis {
-	span := longest
-	if job.call.Left > 0 {
-		span = min(span, job.call.Left)
+	span := defaultTimeout
+	if job.headers.TimeLeft > 0 {
+		span = min(span, job.headers.TimeLeft)
 	}
 	if job.route.Timeout > 0 {
 		span = min(span, job.route.Timeout)
@@ -141,26 +141,26 @@
 }
 
 // refuse answers a request that no server answers.
-func (gateway *Gateway) refuse(writer http.ResponseWriter, job *job, status int, why ending.Reason) {
-	if ending.PromisesNotRun(status) && job.comeBack == 0 {
-		job.comeBack = gateway.options.RetryAfter
+func (gateway *Gateway) refuse(writer http.ResponseWriter, job *job, status int, reason ending.Reason) {
+	if ending.PromisesNotRun(status) && job.retryAfter == 0 {
+		job.retryAfter = gateway.options.RetryAfter
 	}
-	gateway.protocol.Refusal(writer.Header(), job.comeBack)
-	gateway.ended(job, status, why)
-	http.Error(writer, string(why), status)
+	gateway.protocol.SetRefusalHeaders(writer.Header(), job.retryAfter)
+	gateway.logEnd(job, status, reason)
+	http.Error(writer, string(reason), status)
 }
 
-// ended writes the line that says how a request ended.
-func (gateway *Gateway) ended(job *job, status int, why ending.Reason) {
+// logEnd logs how a request ended, and counts it.
+func (gateway *Gateway) logEnd(job *job, status int, reason ending.Reason) {
 	now := gateway.core.now()
 	line := []any{
-		"Request", job.call.Attempt, "Status", status, "Reason", string(why), "Millis", now - job.arrived,
-		"Offers", job.offers, "WaitedMillis", job.waited, "Config", job.config, "Daemon", gateway.settings.Name,
+		"Request", job.headers.Attempt, "Status", status, "Reason", string(reason), "Millis", now - job.arrived,
+		"Offers", job.timesSent, "WaitedMillis", job.waited, "Config", job.config, "Daemon", gateway.settings.Name,
 	}
-	if job.comeBack > 0 {
-		line = append(line, "RetryAfterMillis", job.comeBack)
+	if job.retryAfter > 0 {
+		line = append(line, "RetryAfterMillis", job.retryAfter)
 	}
-	if why == ending.NoRoute {
+	if reason == ending.NoRoute {
 		line = append(line, "Host", job.incoming.Host, "Path", job.incoming.URL.Path)
 	}
 	if job.route != nil {
@@ -170,9 +170,9 @@
 	if job.account.Name != "" {
 		line = append(line, "Account", job.account.Name)
 	}
-	if job.firstAt > 0 {
-		line = append(line, "FirstMillis", job.firstAt-job.arrived, "GapMillis", job.longestGap)
+	if job.firstEventAt > 0 {
+		line = append(line, "FirstMillis", job.firstEventAt-job.arrived, "GapMillis", job.longestGap)
 	}
-	gateway.log.Info(ending.MessageEnded, line...)
-	gateway.counters.ended(job, status, why, now)
+	gateway.log.Info(ending.MessageRequestEnded, line...)
+	gateway.counters.recordEnd(job, status, reason, now)
 }
--- a/internal/direct/gateway/leaving.go
+++ b/internal/direct/gateway/leaving.go
@@ -4,31 +4,32 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// noteLeaving notes whether an answer says that its server leaves, and tells peers. The store
-// may take that word late, and the server may be gone soon; answered names what was answered.
-func (gateway *Gateway) noteLeaving(server port.Server, leaving bool, answered string) {
-	if leaving && gateway.core.heardLeaving(server, answered) {
-		gateway.tellWarnings()
+// handleLeaving checks whether an answer says that its server is leaving, and notifies peers:
+// the store may show that late, when the server is already gone. The parameter answered names
+// what the answer belongs to.
+func (gateway *Gateway) handleLeaving(server platformapi.Server, leaving bool, answered string) {
+	if leaving && gateway.core.markLeavingByReply(server, answered) {
+		gateway.sendWarnings()
 	}
 }
 
-// heardLeaving reports whether it is news that a server leaves.
-func (core *core) heardLeaving(server port.Server, answered string) bool {
+// markLeavingByReply records that a server is leaving, and reports whether that is new.
+func (core *core) markLeavingByReply(server platformapi.Server, answered string) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.leaves(core.now(), fleet.Departure{Server: server.ID, Born: server.Born}, answered)
+	return core.markLeaving(core.now(), fleet.DrainNotice{Server: server.ID, StartedAt: server.StartedAt}, answered)
 }
 
-// leaves takes over that a server leaves, and reports whether that is news; by names what said
-// so. The mutex is held.
-func (core *core) leaves(now clock.Millis, word fleet.Departure, by string) bool {
-	if !core.fleet.Leaving(now, word) {
+// markLeaving records a server's notice that it is leaving, and reports whether that is new; by
+// names the source of the notice. The mutex must be held.
+func (core *core) markLeaving(now clock.Millis, notice fleet.DrainNotice, by string) bool {
+	if !core.fleet.ApplyDrainNotice(now, notice) {
 		return false
 	}
-	core.log.Info(ending.MessageServerLeaving, "Server", word.Server, "Born", word.Born, "By", by)
-	core.notify()
+	core.log.Info(ending.MessageServerLeaving, "Server", notice.Server, "Born", notice.StartedAt, "By", by)
+	core.wakeWaitingRequests()
 	return true
 }
--- a/internal/direct/gateway/limits.go
+++ b/internal/direct/gateway/limits.go
@@ -5,47 +5,48 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/throttle"
 )
 
-// noteLimit notes what an answer says of its server's limit. One without a limit lifts it,
-// if it is the answer of a server that takes requests.
-func (gateway *Gateway) noteLimit(to placed, status int, reply port.Reply) {
-	if !reply.Limited && (reply.NotRun || status != http.StatusOK) {
+// handleLimit updates a server's request limit from an answer. An answer without a limit
+// removes the limit, if the server ran the request successfully.
+func (gateway *Gateway) handleLimit(to assignment, status int, reply platformapi.AnswerHeaders) {
+	if !reply.HasLimit && (reply.NotRun || status != http.StatusOK) {
 		return
 	}
-	if gateway.core.limitNews(to, reply) {
-		gateway.tellWarnings()
+	if gateway.core.applyLimit(to, reply) {
+		gateway.sendWarnings()
 	}
 }
 
-// limitNews reports whether an answer says something else of its server's limit than is
-// known, and takes it over.
-func (core *core) limitNews(to placed, reply port.Reply) bool {
+// applyLimit applies a server's limit from an answer, and reports whether it differs from the
+// known one.
+func (core *core) applyLimit(to assignment, reply platformapi.AnswerHeaders) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	word := throttle.Word{Server: to.server.ID, Born: to.server.Born, Limited: reply.Limited, Rate: reply.Limit}
+	limit := throttle.ServerLimit{Server: to.server.ID, StartedAt: to.server.StartedAt, Limited: reply.HasLimit, Rate: reply.Limit}
 	now := core.now()
-	if reply.Limited {
-		core.limits.SetDaemons(now, core.members.Alive())
+	if reply.HasLimit {
+		core.serverLimits.SetDaemons(now, core.members.AliveNames())
 	}
-	if !core.limits.Heard(now, to.at, word) {
+	if !core.serverLimits.ApplyResponse(now, to.at, limit) {
 		return false
 	}
 	message := ending.MessageLimitLifted
-	if reply.Limited {
-		message = ending.MessageLimitNamed
+	if reply.HasLimit {
+		message = ending.MessageLimitAnnounced
 	}
 	core.log.Info(message, "Server", to.server.ID, "RatePerSecond", reply.Limit)
 	return true
 }
 
-// barred returns which servers must not get a request now because of their limits; at is the
-// one at which the request counts already. Nil where no server has a limit. The mutex is held.
-func (core *core) barred(now clock.Millis, at string) func(server string) bool {
-	if core.limits.Limited() == 0 {
+// overLimit returns a function that reports whether a server must not get a request now because
+// of its limit. The server named by at is exempt, as the request already counts there. The
+// result is nil if no server has a limit. The mutex must be held.
+func (core *core) overLimit(now clock.Millis, at string) func(server string) bool {
+	if core.serverLimits.Limited() == 0 {
 		return nil
 	}
-	return func(server string) bool { return server != at && !core.limits.Allows(now, server) }
+	return func(server string) bool { return server != at && !core.serverLimits.Allows(now, server) }
 }
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -9,151 +9,152 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/content"
 	"teaselmoor/internal/direct/ending"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/upstream"
 )
 
-// examinePause is how long after a request was lost its server is looked at: those that
-// are lost with it are then known too.
-const examinePause = 20 * clock.Millisecond
+// probeDelay is the time between a lost request and the probe of its server. Requests lost
+// together with it are then known too.
+const probeDelay = 20 * clock.Millisecond
 
-// A look may show nothing, where packets get lost or a link is cut. It is repeated for some
-// seconds: by then a server that ended may be back.
+// A probe may be inconclusive if packets are lost or a link is cut. It is repeated for some
+// seconds at most: after that a server that ended may have restarted.
 const (
-	examineTries = 4
-	examineAgain = 400 * clock.Millisecond
+	probeTries         = 4
+	probeRetryInterval = 400 * clock.Millisecond
 )
 
-// lossKept is how long a loss at a server is remembered that was found to listen: it may have
-// started again meanwhile, which its entry in the store says later.
-const lossKept = 5 * clock.Second
+// lossRetention is how long losses are kept for a server that accepted the probe: it may have
+// restarted in the meantime, which its store entry shows only later.
+const lossRetention = 5 * clock.Second
 
-// mostLosses bounds what is remembered of a server.
-const mostLosses = 256
+// maxEarlierLosses bounds the losses that are kept of one server.
+const maxEarlierLosses = 256
 
-// losses are requests that were lost at a server of late.
-type losses struct {
-	fresh   []content.ID // the server has not been looked at since
-	earlier []content.ID // it was found to listen, or could not be looked at
-	at      clock.Millis // of the last one
-	looking bool         // the server is being looked at
+// lostAtServer holds requests that were recently lost at one server.
+type lostAtServer struct {
+	unprobed []content.ID // lost since the last probe
+	earlier  []content.ID // lost before a probe that was accepted or inconclusive
+	lastAt   clock.Millis // time of the last loss
+	probing  bool         // a probe of the server is running
 }
 
-// add notes one more.
-func (losses *losses) add(now clock.Millis, id content.ID) {
-	losses.at = now
-	losses.fresh = append(losses.fresh, id)
+// add records a lost request.
+func (lostAtServer *lostAtServer) add(now clock.Millis, id content.ID) {
+	lostAtServer.lastAt = now
+	lostAtServer.unprobed = append(lostAtServer.unprobed, id)
 }
 
-// survived notes that the server has not been found to have ended.
-func (losses *losses) survived() {
-	losses.earlier = append(losses.earlier, losses.fresh...)
-	losses.earlier = losses.earlier[max(0, len(losses.earlier)-mostLosses):]
-	losses.fresh = nil
-	losses.looking = false
+// keepAsEarlier keeps the losses after a probe that did not show that the server has ended.
+func (lostAtServer *lostAtServer) keepAsEarlier() {
+	lostAtServer.earlier = append(lostAtServer.earlier, lostAtServer.unprobed...)
+	lostAtServer.earlier = lostAtServer.earlier[max(0, len(lostAtServer.earlier)-maxEarlierLosses):]
+	lostAtServer.unprobed = nil
+	lostAtServer.probing = false
 }
 
-// lostAt notes that a server closed the connection of a request before its answer was
-// whole, and has it looked at whether the server has ended.
-func (gateway *Gateway) lostAt(job *job, server port.Server, err error) {
+// recordLoss records that a server closed the connection before its answer was complete, and
+// starts a probe of the server.
+func (gateway *Gateway) recordLoss(job *job, server platformapi.Server, err error) {
 	if !upstream.ClosedByServer(err) {
 		return
 	}
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	lost, ok := core.losses[server.ID]
+	lost, ok := core.lostRequests[server.ID]
 	if !ok {
-		lost = &losses{}
-		core.losses[server.ID] = lost
+		lost = &lostAtServer{}
+		core.lostRequests[server.ID] = lost
 	}
 	lost.add(core.now(), job.content)
-	if lost.looking {
+	if lost.probing {
 		return
 	}
-	lost.looking = true
-	gateway.group.Go("examine "+server.ID, func(ctx context.Context) error {
-		gateway.examine(ctx, server)
+	lost.probing = true
+	gateway.tasks.Go("examine "+server.ID, func(ctx context.Context) error {
+		gateway.probe(ctx, server)
 		return nil
 	})
 }
 
-// examine looks whether a server at which requests were lost has ended.
-func (gateway *Gateway) examine(ctx context.Context, server port.Server) {
+// probe finds out whether a server at which requests were lost has ended.
+func (gateway *Gateway) probe(ctx context.Context, server platformapi.Server) {
 	ended := gateway.hasEnded(ctx, server)
 	core := gateway.core
 	core.mutex.Lock()
-	core.examined(server, ended)
+	core.applyProbe(server, ended)
 	core.mutex.Unlock()
-	gateway.tellWarnings()
+	gateway.sendWarnings()
 }
 
-// examined notes whether a server was found to have ended. One that was to leave has not
-// ended under its requests. The mutex is held.
-func (core *core) examined(server port.Server, ended bool) {
-	lost, ok := core.losses[server.ID]
+// applyProbe applies the result of a probe. The end of a draining server is expected and not
+// blamed on its requests. The mutex must be held.
+func (core *core) applyProbe(server platformapi.Server, ended bool) {
+	lost, ok := core.lostRequests[server.ID]
 	if !ok {
-		return // its restart was seen meanwhile
+		return // a restart was detected in the meantime
 	}
 	member, known := core.fleet.Member(server.ID)
 	if !ended || known && member.Draining {
-		lost.survived()
+		lost.keepAsEarlier()
 		return
 	}
-	core.ended(server, lost.fresh)
+	core.handleServerEnd(server, lost.unprobed)
 }
 
-// restarted notes that a server has started again without a word that it would leave. The
-// mutex is held.
-func (core *core) restarted(server port.Server) {
-	if lost, ok := core.losses[server.ID]; ok {
-		core.ended(server, append(lost.earlier, lost.fresh...))
+// handleRestart records that a server has restarted without announcing that it would leave. The
+// mutex must be held.
+func (core *core) handleRestart(server platformapi.Server) {
+	if lost, ok := core.lostRequests[server.ID]; ok {
+		core.handleServerEnd(server, append(lost.earlier, lost.unprobed...))
 	}
 }
 
-// ended notes what was in progress at a server when it ended. The mutex is held.
-func (core *core) ended(server port.Server, lost []content.ID) {
+// handleServerEnd records the requests that were lost when a server ended. The mutex must be
+// held.
+func (core *core) handleServerEnd(server platformapi.Server, lost []content.ID) {
 	now := core.now()
-	delete(core.losses, server.ID)
-	core.log.Info(ending.MessageServerEnded, "Server", server.ID, "Lost", spell(lost))
+	delete(core.lostRequests, server.ID)
+	core.log.Info(ending.MessageServerEnded, "Server", server.ID, "Lost", contentNames(lost))
 	for _, id := range lost {
-		core.quarantine.Ended(now, id, processOf(server))
+		core.quarantine.ServerEnded(now, id, processID(server))
 	}
-	core.notify()
+	core.wakeWaitingRequests()
 }
 
-// processOf names a server's process: it may start again under its id.
-func processOf(server port.Server) string {
-	return fmt.Sprintf("%s@%d", server.ID, server.Born)
+// processID identifies a server's process, as a server keeps its id when it restarts.
+func processID(server platformapi.Server) string {
+	return fmt.Sprintf("%s@%d", server.ID, server.StartedAt)
 }
 
-// pruneLosses forgets the losses of servers that have not ended. The mutex is held.
+// pruneLosses removes losses at servers that have not ended. The mutex must be held.
 func (core *core) pruneLosses(now clock.Millis) {
-	maps.DeleteFunc(core.losses, func(_ string, lost *losses) bool { return !lost.looking && now-lost.at >= lossKept })
+	maps.DeleteFunc(core.lostRequests, func(_ string, lost *lostAtServer) bool { return !lost.probing && now-lost.lastAt >= lossRetention })
 }
 
-// hasEnded reports whether nobody listens at a server's address.
-func (gateway *Gateway) hasEnded(ctx context.Context, server port.Server) bool {
-	pause := examinePause
-	for range examineTries {
+// hasEnded reports whether the address of a server refuses connections.
+func (gateway *Gateway) hasEnded(ctx context.Context, server platformapi.Server) bool {
+	pause := probeDelay
+	for range probeTries {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-time.After(pause.Duration()):
 		}
 		if shown := gateway.pool.Check(ctx, server.Address); shown != upstream.Unknown {
-			return shown == upstream.Refuses
+			return shown == upstream.ConnectionRefused
 		}
-		pause = examineAgain
+		pause = probeRetryInterval
 	}
 	return false
 }
 
-// spell spells names of contents for a log line.
-func spell(lost []content.ID) []string {
-	spelled := make([]string, len(lost))
+// contentNames formats content ids for the log.
+func contentNames(lost []content.ID) []string {
+	names := make([]string, len(lost))
 	for i, id := range lost {
-		spelled[i] = id.String()
+		names[i] = id.String()
 	}
-	return spelled
+	return names
 }
--- a/internal/direct/gateway/metrics.go
+++ b/internal/direct/gateway/metrics.go
@@ -10,13 +10,13 @@
 	"teaselmoor/internal/direct/quota"
 )
 
-// gauge is one figure of the present state.
+// gauge is a metric of the current state.
 type gauge struct {
 	name  string
 	value float64
 }
 
-// serveMetrics writes counters and gauges as text that common collectors read.
+// serveMetrics writes counters and gauges in the Prometheus text format.
 func (gateway *Gateway) serveMetrics(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	gateway.counters.write(writer)
@@ -32,10 +32,10 @@
 }
 
 func writeGauge(out io.Writer, gauge gauge) {
-	_, _ = fmt.Fprintf(out, "%s %g\n", gauge.name, gauge.value) // the collector may have left
+	_, _ = fmt.Fprintf(out, "%s %g\n", gauge.name, gauge.value) // the collector may have disconnected
 }
 
-// writeGauges writes what this daemon believes, and how old that is.
+// writeGauges writes gauges of this daemon's state, accounts and retry budgets.
 func (core *core) writeGauges(out io.Writer) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -47,12 +47,12 @@
 		writeUse(out, status)
 	}
 	for service := range core.budgets {
-		left := core.budgets[service].Left(now, core.daemons())
+		left := core.budgets[service].Remaining(now, core.budgetDaemons())
 		_, _ = fmt.Fprintf(out, "teaselmoor_retry_budget_left{service=%q} %g\n", service, left)
 	}
 }
 
-// writeUse writes what an account uses. The names are those of the configuration.
+// writeUse writes an account's use of its limit. Account names come from the configuration.
 func writeUse(out io.Writer, status quota.Status) {
 	for _, each := range []gauge{
 		{"teaselmoor_account_rate", status.Rate}, {"teaselmoor_account_limit", status.Limit}, {"teaselmoor_account_left", status.Left},
@@ -61,7 +61,7 @@
 	}
 }
 
-// gauges returns the beliefs. The mutex is held.
+// gauges returns the gauges without labels. The mutex must be held.
 func (core *core) gauges(now clock.Millis) []gauge {
 	version := int64(0)
 	if core.catalog != nil {
@@ -71,25 +71,25 @@
 	if core.store.lostAt > 0 {
 		lost = now - core.store.lostAt
 	}
-	loading, queued := core.coming()
+	loading, queued := core.incomingAdapters()
 	own := 0
 	for _, load := range core.work.Own().Loads {
 		own += load.Runs
 	}
 	return []gauge{
-		{"teaselmoor_servers_limited", float64(core.limits.Limited())},
-		{"teaselmoor_servers_resting", float64(core.restingServers(now))},
-		{"teaselmoor_contents_refused", float64(core.quarantine.Refused(now))},
+		{"teaselmoor_servers_limited", float64(core.serverLimits.Limited())},
+		{"teaselmoor_servers_resting", float64(core.pausedServers(now))},
+		{"teaselmoor_contents_refused", float64(core.quarantine.RefusedCount(now))},
 		{"teaselmoor_config_version", float64(version)},
 		{"teaselmoor_store_revision", float64(core.store.revision)},
 		{"teaselmoor_store_away_millis", float64(lost)},
 		{"teaselmoor_peers", float64(len(core.members.Peers()))},
 		{"teaselmoor_servers", float64(len(core.fleet.Members()))},
-		{"teaselmoor_servers_ordered", float64(len(core.orders))},
+		{"teaselmoor_servers_ordered", float64(len(core.orderWorkers))},
 		{"teaselmoor_adapters_loading", float64(loading)},
 		{"teaselmoor_adapters_queued", float64(queued)},
 		{"teaselmoor_requests_in_progress", float64(own)},
-		{"teaselmoor_orders_total", float64(core.ordersGiven)},
+		{"teaselmoor_orders_total", float64(core.ordersSent)},
 		{"teaselmoor_limit_daemons_counted", float64(core.ledger.Site().Reached)},
 	}
 }
--- a/internal/direct/gateway/models.go
+++ b/internal/direct/gateway/models.go
@@ -10,40 +10,42 @@
 	"teaselmoor/internal/direct/loading"
 )
 
-// models returns what is known of the base models of a service's servers. No more travel
-// at once than the weight store allows to begin in a second, whatever was learned. The
-// mutex is held.
-func (core *core) models(name string, engine *catalog.Engine) loading.Models {
-	turns, most := core.turnsOf(name), max(1, int(engine.LoadsPerS))
-	models := loading.Models{AtOnce: min(turns.AtOnce(), most), Trial: min(turns.Trial(), most), LoadTime: slowest(engine)}
+// modelStates returns the state of base models on a service's servers. The number of concurrent
+// loads never exceeds the loads that the weight store allows to start in one second, whatever
+// rate was learned. The mutex must be held.
+func (core *core) modelStates(name string, engine *catalog.Engine) loading.Models {
+	turns, maxLoads := core.turnsOf(name), max(1, int(engine.LoadsPerS))
+	models := loading.Models{FullSpeedLoads: min(turns.FullSpeedLoads(), maxLoads), TrialLoads: min(turns.TrialLoads(), maxLoads), LoadTime: slowestModelLoad(engine)}
 	var waiting []*fleet.Member
 	for _, member := range core.fleet.Members() {
 		switch {
 		case member.Service != name:
-		case !member.Bare():
+		case !member.HasNoModel():
 			models.Holding = append(models.Holding, member.ID)
-		case fromDisk(member, engine):
-		case member.ModelComing():
+		case hasModelOnDisk(member, engine):
+		case member.LoadingModel():
 			models.Loading = append(models.Loading, member.ID)
 		case !member.Draining:
 			waiting = append(waiting, member)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *fleet.Member) int { return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(waiting, func(a, b *fleet.Member) int {
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
+	})
 	for _, member := range waiting {
 		models.Waiting = append(models.Waiting, member.ID)
 	}
 	return models
 }
 
-// fromDisk reports whether a server has held a model of the engine, which it need not
-// fetch from the weight store then.
-func fromDisk(member *fleet.Member, engine *catalog.Engine) bool {
+// hasModelOnDisk reports whether a server has held a model of the engine before, and so need
+// not fetch it from the weight store.
+func hasModelOnDisk(member *fleet.Member, engine *catalog.Engine) bool {
 	return slices.ContainsFunc(engine.Models, func(model catalog.Model) bool { return member.OnDisk(model.Name) })
 }
 
-// slowest returns how long the slowest base model of an engine takes.
-func slowest(engine *catalog.Engine) clock.Millis {
+// slowestModelLoad returns the longest load time among the base models of an engine.
+func slowestModelLoad(engine *catalog.Engine) clock.Millis {
 	longest := clock.Millis(0)
 	for _, model := range engine.Models {
 		longest = max(longest, model.LoadTime)
@@ -51,39 +53,40 @@
 	return longest
 }
 
-// noteModels takes down which base models are on their way. The mutex is held.
-func (core *core) noteModels(now clock.Millis) {
+// updateModelTurns records which base models are being loaded. The mutex must be held.
+func (core *core) updateModelTurns(now clock.Millis) {
 	if core.catalog == nil {
 		return
 	}
 	for name, service := range core.catalog.Services {
 		if service.Engine != nil {
-			core.turnsOf(name).Note(now, core.models(name, service.Engine))
+			core.turnsOf(name).Update(now, core.modelStates(name, service.Engine))
 		}
 	}
 }
 
-// turnsOf returns the turns of a service's servers. The mutex is held.
+// turnsOf returns the turns for loading base models on a service's servers. The mutex must be
+// held.
 func (core *core) turnsOf(service string) *loading.Turns {
-	turns, ok := core.turns[service]
+	turns, ok := core.modelTurns[service]
 	if !ok {
 		turns = loading.NewTurns()
-		core.turns[service] = turns
+		core.modelTurns[service] = turns
 	}
 	return turns
 }
 
-// modelTurn reports whether a server may be ordered to load its base model. The mutex
-// is held.
-func (core *core) modelTurn(now clock.Millis, server *fleet.Member) bool {
+// mayLoadModel reports whether a server may be ordered to load its base model now. The mutex
+// must be held.
+func (core *core) mayLoadModel(now clock.Millis, server *fleet.Member) bool {
 	service := core.catalog.Services[server.Service]
-	if service == nil || service.Engine == nil || !server.Bare() || server.ModelComing() || fromDisk(server, service.Engine) {
+	if service == nil || service.Engine == nil || !server.HasNoModel() || server.LoadingModel() || hasModelOnDisk(server, service.Engine) {
 		return true
 	}
-	return core.turnsOf(server.Service).May(now, server.ID, core.models(server.Service, service.Engine))
+	return core.turnsOf(server.Service).MayLoad(now, server.ID, core.modelStates(server.Service, service.Engine))
 }
 
-// isEngine reports whether the servers of a service run models. The mutex is held.
+// isEngine reports whether the servers of a service run models. The mutex must be held.
 func (core *core) isEngine(name string) bool {
 	service, ok := core.catalog.Services[name]
 	return ok && service.Engine != nil
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -7,37 +7,37 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/catalog"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
-	"teaselmoor/internal/direct/tally"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/topology"
 )
 
-// poke has the worker of a server look again.
-func (ordering *ordering) poke() {
+// wakeUp makes the worker check whether an order is due.
+func (orderWorker *orderWorker) wakeUp() {
 	select {
-	case ordering.wake <- struct{}{}:
+	case orderWorker.wake <- struct{}{}:
 	default:
 	}
 }
 
-// claim takes over the servers whose orders fall to this daemon, and gives up
-// those that another one has claimed.
-func (gateway *Gateway) claim(now clock.Millis) {
-	if gateway.claimed(now) {
-		gateway.tellOrderers(now)
+// updateClaims claims the servers that this daemon is to own, and releases those that another
+// daemon has claimed.
+func (gateway *Gateway) updateClaims(now clock.Millis) {
+	if gateway.claimServers(now) {
+		gateway.sendUpdateToOrderers(now)
 	}
 }
 
-// claimed reports whether anything was claimed.
-func (gateway *Gateway) claimed(now clock.Millis) bool {
+// claimServers updates claims, and reports whether any server was newly claimed.
+func (gateway *Gateway) claimServers(now clock.Millis) bool {
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.catalog == nil || core.leaving {
 		return false
 	}
-	core.dropOrders()
+	core.dropOrderWorkers()
 	if core.members.Role() != topology.Candidate {
 		return false
 	}
@@ -47,51 +47,51 @@
 			servers = append(servers, member.ID)
 		}
 	}
-	taken := core.tenure.Claim(now, servers)
+	taken := core.claims.Claim(now, servers)
 	for _, server := range taken {
-		gateway.startOrders(server)
+		gateway.startOrderWorker(server)
 	}
 	return len(taken) > 0
 }
 
-// dropOrders gives up the servers that are gone or that another daemon has
-// claimed. The mutex is held.
-func (core *core) dropOrders() {
-	for server, held := range core.orders {
-		_, claimed := core.tenure.Holds(server)
+// dropOrderWorkers stops the workers of servers that are gone or that another daemon has
+// claimed. The mutex must be held.
+func (core *core) dropOrderWorkers() {
+	for server, worker := range core.orderWorkers {
+		_, claimed := core.claims.Holds(server)
 		_, known := core.fleet.Member(server)
 		if claimed && known {
 			continue
 		}
-		core.log.Info("orders given up", "Server", server, "Claimed", claimed, "Known", known)
-		held.stop()
-		delete(core.orders, server)
+		core.log.Info("server ownership released", "Server", server, "Claimed", claimed, "Known", known)
+		worker.stop()
+		delete(core.orderWorkers, server)
 		if !known {
-			core.tenure.Forget(server)
+			core.claims.Forget(server)
 		}
 	}
 }
 
-// startOrders begins to give orders to a server. The mutex is held.
-func (gateway *Gateway) startOrders(server string) {
+// startOrderWorker starts the worker that sends orders to a server. The mutex must be held.
+func (gateway *Gateway) startOrderWorker(server string) {
 	core := gateway.core
-	fence, _ := core.tenure.Holds(server)
-	ctx, cancel := context.WithCancel(gateway.group.Context())
-	atHand := func(adapter port.Adapter) bool {
+	fence, _ := core.claims.Holds(server)
+	ctx, cancel := context.WithCancel(gateway.tasks.Context())
+	recentlyHeld := func(adapter platformapi.Adapter) bool {
 		member, ok := core.fleet.Member(server)
-		return ok && member.AtHand(adapter)
+		return ok && member.RecentlyHeld(adapter)
 	}
-	held := &ordering{
-		planner: loading.New(core.options.Loading, loading.Limits{}, core.loadRate, atHand), fence: fence,
-		wake: make(chan struct{}, 1), stop: cancel, askers: make(askers),
+	worker := &orderWorker{
+		planner: loading.New(core.options.Loading, loading.Limits{}, core.loadRate, recentlyHeld), fence: fence,
+		wake: make(chan struct{}, 1), stop: cancel, waiting: make(waitingPeers),
 	}
-	core.orders[server] = held
-	core.log.Info("orders taken over", "Server", server, "Fence", fence, "Live", core.tenure.Live(core.now()))
-	gateway.group.Go("orders "+server, func(context.Context) error { return gateway.order(ctx, server, held) })
+	core.orderWorkers[server] = worker
+	core.log.Info("server ownership taken over", "Server", server, "Fence", fence, "Live", core.claims.Live(core.now()))
+	gateway.tasks.Go("orders "+server, func(context.Context) error { return gateway.runOrderWorker(ctx, server, worker) })
 }
 
-// limitsOf returns what a server of a service can hold. The mutex is held.
-func limitsOf(service *catalog.Service) loading.Limits {
+// engineLimits returns what a server of a service can hold.
+func engineLimits(service *catalog.Service) loading.Limits {
 	limits := loading.Limits{
 		ModelMB: make(map[string]float64), AdapterMB: make(map[string]float64), ModelTime: make(map[string]clock.Millis),
 	}
@@ -108,20 +108,20 @@
 	return limits
 }
 
-// idleLook is how often a worker without orders looks whether it may order again.
-const idleLook = 100 * clock.Millisecond
+// idleCheckInterval is how often a worker that may not send orders checks whether it may again.
+const idleCheckInterval = 100 * clock.Millisecond
 
-// order gives a server its orders, one at a time, until the context ends.
-func (gateway *Gateway) order(ctx context.Context, server string, held *ordering) error {
+// runOrderWorker sends a server its orders, one at a time, until the context ends.
+func (gateway *Gateway) runOrderWorker(ctx context.Context, server string, worker *orderWorker) error {
 	for ctx.Err() == nil {
-		wait := gateway.orderOnce(ctx, server, held)
+		wait := gateway.orderOnce(ctx, server, worker)
 		if wait <= 0 {
 			continue
 		}
 		timer := time.NewTimer(wait.Duration())
 		select {
 		case <-ctx.Done():
-		case <-held.wake:
+		case <-worker.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -129,30 +129,32 @@
 	return nil
 }
 
-// orderOnce reads the report or gives an order, where one is due. It returns the
-// time to wait before the next.
-func (gateway *Gateway) orderOnce(ctx context.Context, server string, held *ordering) clock.Millis {
+// orderOnce reads the server's report or sends an order if one is due. It returns the time to
+// wait before the next call.
+func (gateway *Gateway) orderOnce(ctx context.Context, server string, worker *orderWorker) clock.Millis {
 	core := gateway.core
 	core.mutex.Lock()
 	now := core.now()
 	member, known := core.fleet.Member(server)
-	fence, may := core.tenure.MayOrder(now, server)
-	if !known || !may || member.Suspect(now) || member.Draining || member.Rests(now) > 0 {
+	fence, allowed := core.claims.MayOrder(now, server)
+	if !known || !allowed || member.Suspect(now) || member.Draining || member.PausedFor(now) > 0 {
 		core.mutex.Unlock()
-		return idleLook
+		return idleCheckInterval
 	}
 	target := member.Server
-	held.fence = fence
-	held.planner.SetLimits(limitsOf(core.catalog.Services[member.Service]))
-	if needed, from := held.planner.NeedsReport(); needed {
+	worker.fence = fence
+	worker.planner.SetLimits(engineLimits(core.catalog.Services[member.Service]))
+	if needed, from := worker.planner.NeedsReport(); needed {
 		core.mutex.Unlock()
 		if now < from {
 			return from - now
 		}
-		return gateway.readReport(ctx, target, held)
+		return gateway.readReport(ctx, target, worker)
 	}
-	uses := func(adapter port.Adapter) int { return core.work.Uses(tally.Use{Server: server, Adapter: adapter}) }
-	order, ok, at := held.planner.Next(now, uses, core.newest, core.traffic(), core.modelTurn(now, member))
+	uses := func(adapter platformapi.Adapter) int {
+		return core.work.Uses(inflight.Use{Server: server, Adapter: adapter})
+	}
+	order, ok, at := worker.planner.NextOrder(now, uses, core.newestVersion, core.traffic(), core.mayLoadModel(now, member))
 	if !ok {
 		core.mutex.Unlock()
 		if at == 0 {
@@ -160,26 +162,27 @@
 		}
 		return max(1, at-now)
 	}
-	if order.Load && order.Adapter.Name == "" && member.Bare() && !member.ModelComing() {
-		core.log.Info("base model ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).Ends(now))
+	if order.Load && order.Adapter.Name == "" && member.HasNoModel() && !member.LoadingModel() {
+		core.log.Info("base model load ordered", "Server", server, "Model", order.Adapter.Model, "Ends", core.turnsOf(member.Service).RemainingTimes(now))
 	}
-	order.Holder, order.Fence = core.settings.Name, fence
-	core.tenure.Ordered(now, server)
+	order.Owner, order.Fence = core.settings.Name, fence
+	core.claims.Ordered(now, server)
 	core.mutex.Unlock()
-	gateway.give(ctx, target, held, order)
+	gateway.sendOrder(ctx, target, worker, order)
 	return 0
 }
 
-func (gateway *Gateway) give(ctx context.Context, target port.Server, held *ordering, order port.Order) {
-	answer, err := gateway.servers.Order(ctx, target, order)
-	gateway.noteLeaving(target, answer.Leaving, "order")
+// sendOrder sends an order to a server and passes the result to the planner.
+func (gateway *Gateway) sendOrder(ctx context.Context, target platformapi.Server, worker *orderWorker, order platformapi.Order) {
+	answer, err := gateway.servers.SendOrder(ctx, target, order)
+	gateway.handleLeaving(target, answer.Leaving, "order")
 	result := answer.Result
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	core.tenure.Ordered(now, target.ID)
-	core.ordersGiven++
+	core.claims.Ordered(now, target.ID)
+	core.ordersSent++
 	line := []any{
 		"Server", target.ID, "Load", order.Load, "Model", order.Adapter.Model, "Adapter", order.Adapter.Name,
 		"Version", order.Version, "Fence", order.Fence, "Result", result.String(),
@@ -187,73 +190,73 @@
 	if err != nil {
 		line = append(line, "Error", err.Error())
 	}
-	core.log.Info("order given", line...)
-	if result == port.Fenced {
-		core.tenure.Fenced(now, target.ID)
+	core.log.Info("order sent", line...)
+	if result == platformapi.Fenced {
+		core.claims.Fenced(now, target.ID)
 	}
-	if result == port.Unknown {
-		core.fleet.Unreachable(now, target.ID)
+	if result == platformapi.Unknown {
+		core.fleet.MarkUnreachable(now, target.ID)
 	}
-	held.planner.Done(now, order, result, core.traffic())
-	gateway.publish(target.ID, held)
+	worker.planner.HandleResult(now, order, result, core.traffic())
+	gateway.publishTable(target.ID, worker)
 }
 
-// coming returns how many adapters are on their way to all servers, and how many
-// wait for their load to begin. The mutex is held.
-func (core *core) coming() (loading, queued int) {
+// incomingAdapters returns how many adapters are being loaded on all servers, and how many
+// loads are queued. The mutex must be held.
+func (core *core) incomingAdapters() (loading, queued int) {
 	for _, member := range core.fleet.Members() {
-		loadingHere, queuedHere := member.Coming()
+		loadingHere, queuedHere := member.LoadCounts()
 		loading += loadingHere
 		queued += queuedHere
 	}
 	return loading, queued
 }
 
-// traffic is what is on its way from the weight store. The mutex is held.
+// traffic returns the loads in flight from the weight store. The mutex must be held.
 func (core *core) traffic() loading.Traffic {
-	onWay, _ := core.coming()
-	return loading.Traffic{OnWay: onWay, Servers: core.engines()}
+	inFlight, _ := core.incomingAdapters()
+	return loading.Traffic{InFlight: inFlight, Servers: core.engineCount()}
 }
 
-// engines is how many servers adapters are loaded to. The mutex is held.
-func (core *core) engines() int {
+// engineCount is the number of servers that adapters are loaded on. The mutex must be held.
+func (core *core) engineCount() int {
 	return len(core.fleet.Tables())
 }
 
-// publish makes a planner's table known here and to peers. Until the server's report
-// was read there is none: an empty table under a new claim would hide what the server
-// holds, as the former daemon's table has it. The mutex is held.
-func (gateway *Gateway) publish(server string, held *ordering) {
-	if !held.planner.Knows() {
+// publishTable publishes a planner's table to this daemon and its peers. Nothing is published
+// before the server's report was read: an empty table under a new claim would replace the
+// former owner's table and hide what the server holds. The mutex must be held.
+func (gateway *Gateway) publishTable(server string, worker *orderWorker) {
+	if !worker.planner.HoldingsKnown() {
 		return
 	}
 	core := gateway.core
-	number, models, slots := held.planner.Table()
-	table := fleet.Table{Server: server, Born: held.born, Fence: held.fence, Number: number, Models: models, Slots: slots}
+	number, models, slots := worker.planner.Table()
+	table := fleet.Table{Server: server, Born: worker.serverStart, Fence: worker.fence, Number: number, Models: models, Slots: slots}
 	if core.fleet.SetTable(table) {
-		core.notify()
-		core.hurry()
-		gateway.tellAskers(held.askers, table)
+		core.wakeWaitingRequests()
+		core.requestDelta()
+		gateway.sendTableToWaiting(worker.waiting, table)
 	}
 }
 
-// readReport learns what a server holds before it is given orders.
-func (gateway *Gateway) readReport(ctx context.Context, target port.Server, held *ordering) clock.Millis {
-	report, err := gateway.servers.Report(ctx, target)
-	target.Born = max(report.Born, target.Born)
-	gateway.noteLeaving(target, report.Leaving, "report")
+// readReport reads what a server holds before it is sent orders.
+func (gateway *Gateway) readReport(ctx context.Context, target platformapi.Server, worker *orderWorker) clock.Millis {
+	report, err := gateway.servers.ReadReport(ctx, target)
+	target.StartedAt = max(report.StartedAt, target.StartedAt)
+	gateway.handleLeaving(target, report.Leaving, "report")
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
 	if err != nil {
-		core.log.Warn("report not read", "Server", target.ID, "Error", err.Error())
-		core.fleet.Unreachable(now, target.ID)
-		return idleLook
+		core.log.Warn("cannot read server report", "Server", target.ID, "Error", err.Error())
+		core.fleet.MarkUnreachable(now, target.ID)
+		return idleCheckInterval
 	}
-	held.born = target.Born
-	held.planner.SetReport(now, report)
-	core.log.Info("report read", "Server", target.ID, "Born", report.Born, "Models", len(report.Models), "Incoming", len(report.Incoming))
-	gateway.publish(target.ID, held)
+	worker.serverStart = target.StartedAt
+	worker.planner.SetReport(now, report)
+	core.log.Info("report read", "Server", target.ID, "Born", report.StartedAt, "Models", len(report.Models), "Incoming", len(report.Incoming))
+	gateway.publishTable(target.ID, worker)
 	return 0
 }
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/patience.go
@@ -4,58 +4,58 @@
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// patience is how long a request may wait for its adapter: callers abandon a
-// stream that is silent for longer than its goals suggest.
-func (core *core) patience(now clock.Millis, job *job) clock.Millis {
-	silence := max(leastSilence, goalSilence*job.route.Goal, gapSilence*job.route.GapGoal)
-	byCaller := clock.Millis(core.options.LoadPatience * float64(job.heardAt+silence-now))
+// maxAdapterWait is how long a request may wait for its adapter. Callers abandon a stream that
+// is silent for too long compared with its goals.
+func (core *core) maxAdapterWait(now clock.Millis, job *job) clock.Millis {
+	silence := max(minSilence, goalSilenceFactor*job.route.Goal, gapSilenceFactor*job.route.GapGoal)
+	byCaller := clock.Millis(core.options.LoadPatience * float64(job.lastEventAt+silence-now))
 	byDeadline := clock.Millis(core.options.LoadPatience * float64(job.deadline-now))
 	return min(byCaller, byDeadline)
 }
 
-// Callers abandon a stream after the longest of these silences: a fixed one, and
-// multiples of the route's goals for the first event and for gaps.
+// Callers are expected to abandon a stream after the longest of these silences: a fixed one,
+// and multiples of the route's goals for the first event and for gaps.
 const (
-	leastSilence = 2 * clock.Second
-	goalSilence  = 4
-	gapSilence   = 8
+	minSilence        = 2 * clock.Second
+	goalSilenceFactor = 4
+	gapSilenceFactor  = 8
 )
 
-// hopeless reports whether an adapter that nobody has asked for yet comes too late at a
-// server.
-func (core *core) hopeless(server *fleet.Member, patience clock.Millis) bool {
-	onWay, queued := core.coming()
-	return loading.Hopeless(onWay+queued, core.loadWait(server), patience)
+// loadTooLate reports whether an adapter that has not been requested yet would arrive too late
+// on a server.
+func (core *core) loadTooLate(server *fleet.Member, maxWait clock.Millis) bool {
+	inFlight, queued := core.incomingAdapters()
+	return loading.LoadTooLate(inFlight+queued, core.expectedLoadTime(server), maxWait)
 }
 
-// loadWait is how long an adapter that nobody has asked for yet will take at a
-// server: the weight store sends a number at a time to all servers, and the server
-// takes a number at a time; those that wait go first.
-func (core *core) loadWait(server *fleet.Member) clock.Millis {
+// expectedLoadTime estimates how long an adapter that has not been requested yet takes to
+// arrive on a server. Both the weight store and the server limit the number of concurrent
+// loads, and loads that already wait go first.
+func (core *core) expectedLoadTime(server *fleet.Member) clock.Millis {
 	options := core.options.Loading
-	loading, queued := core.coming()
-	atOnce := core.loadRate.AtOnce(core.engines())
-	everywhere := turnsAhead(loading+queued, atOnce)
+	loading, queued := core.incomingAdapters()
+	atOnce := core.loadRate.FullSpeedLoads(core.engineCount())
+	storeRounds := loadRoundsAhead(loading+queued, atOnce)
 	incoming := options.MostIncoming
 	if loading+queued >= atOnce {
 		incoming = options.CrowdedIncoming
 	}
-	loadingHere, queuedHere := server.Coming()
-	here := turnsAhead(loadingHere+queuedHere, incoming)
+	loadingHere, queuedHere := server.LoadCounts()
+	serverRounds := loadRoundsAhead(loadingHere+queuedHere, incoming)
 	loadTime := core.loadRate.LoadTime()
-	return loadTime + clock.Millis(float64(loadTime)*max(everywhere, here))
+	return loadTime + clock.Millis(float64(loadTime)*max(storeRounds, serverRounds))
 }
 
-// turnsAhead is how many loads one after another come before the next one.
-func turnsAhead(waiting, atOnce int) float64 {
+// loadRoundsAhead is the number of consecutive loads that finish before the next one starts.
+func loadRoundsAhead(waiting, atOnce int) float64 {
 	return float64(max(0, waiting-atOnce)) / float64(atOnce)
 }
 
-// coming reports whether an adapter is on its way to a server.
-func coming(member *fleet.Member, adapter port.Adapter) bool {
+// isIncoming reports whether an adapter is being loaded or queued on a server.
+func isIncoming(member *fleet.Member, adapter platformapi.Adapter) bool {
 	slot, ok := member.Slot(adapter)
 	return ok && slot.Coming
 }
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -10,231 +10,237 @@
 	"teaselmoor/internal/direct/choose"
 	"teaselmoor/internal/direct/ending"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
-	"teaselmoor/internal/direct/tally"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// placed is the server that a request goes to.
-type placed struct {
-	server  port.Server
-	use     tally.Use
+// assignment is the server that a request is sent to.
+type assignment struct {
+	server  platformapi.Server
+	use     inflight.Use
 	version int
 	cost    float64
 	alone   bool         // no other prompt was being read there
-	at      clock.Millis // when it was chosen
+	at      clock.Millis // when the server was chosen
 }
 
-// placement counts a request at its server until end.
-type placement struct {
-	gateway *Gateway
-	to      placed
-	prompt  int
-	firstAt clock.Millis // of the answer's first event; 0: none has come
+// activeRequest counts a request at its server until end is called.
+type activeRequest struct {
+	gateway      *Gateway
+	to           assignment
+	unreadTokens int
+	firstEventAt clock.Millis // when the answer's first event arrived; 0: not yet
 }
 
-// first notes the first event of the answer.
-func (placement *placement) first() {
-	core := placement.gateway.core
+// recordFirstEvent records that the first event of the answer has arrived.
+func (activeRequest *activeRequest) recordFirstEvent() {
+	core := activeRequest.gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.work.First(placement.to.use, placement.prompt)
-	core.worked()
-	placement.firstAt = core.now()
-	if placement.to.alone {
-		core.readRate.Observe(placement.prompt, placement.firstAt-placement.to.at)
+	core.work.FirstEvent(activeRequest.to.use, activeRequest.unreadTokens)
+	core.markWorkChanged()
+	activeRequest.firstEventAt = core.now()
+	if activeRequest.to.alone {
+		core.readRate.Observe(activeRequest.unreadTokens, activeRequest.firstEventAt-activeRequest.to.at)
 	}
-	placement.prompt = 0
+	activeRequest.unreadTokens = 0
 }
 
-func (placement *placement) end() {
-	core := placement.gateway.core
+// end removes the request from its server's count.
+func (activeRequest *activeRequest) end() {
+	core := activeRequest.gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.work.End(placement.to.use, placement.prompt)
-	core.worked()
-	if placement.firstAt > 0 {
-		core.slotTime.Observe(core.now() - placement.firstAt)
+	core.work.End(activeRequest.to.use, activeRequest.unreadTokens)
+	core.markWorkChanged()
+	if activeRequest.firstEventAt > 0 {
+		core.slotTime.Observe(core.now() - activeRequest.firstEventAt)
 	}
-	if held, ok := core.orders[placement.to.use.Server]; ok {
-		held.poke()
+	if worker, ok := core.orderWorkers[activeRequest.to.use.Server]; ok {
+		worker.wakeUp()
 	}
 }
 
-// spot is the server at which a request that is being placed counts.
-type spot struct {
-	use    tally.Use
-	prompt int // tokens that count as being read there
+// countedUse is the server that a request counts at while it is being placed.
+type countedUse struct {
+	use           inflight.Use
+	readingTokens int // prompt tokens counted as being read there
 }
 
-// move counts a request at another server and in its limit, or with an empty use at none.
-// The mutex is held.
-func (core *core) move(from *spot, use tally.Use, prompt int) {
+// moveCount moves a request's count to another server, including that server's rate limit. An
+// empty use removes the count. The mutex must be held.
+func (core *core) moveCount(from *countedUse, use inflight.Use, prompt int) {
 	if from.use.Server != use.Server {
 		now := core.now()
-		core.limits.Return(now, from.use.Server)
-		core.limits.Take(now, use.Server)
+		core.serverLimits.Return(now, from.use.Server)
+		core.serverLimits.Take(now, use.Server)
 	}
 	if from.use.Server != "" {
-		core.work.End(from.use, from.prompt)
+		core.work.End(from.use, from.readingTokens)
 	}
-	*from = spot{use: use, prompt: prompt}
+	*from = countedUse{use: use, readingTokens: prompt}
 	if use.Server != "" {
 		core.work.Begin(use, prompt)
 	}
-	core.worked()
+	core.markWorkChanged()
 }
 
-// place chooses a server and waits there for the adapter where it is not held.
-func (gateway *Gateway) place(ctx context.Context, job *job) (placed, *verdict) {
+// place chooses a server for a request, and waits for the adapter if the server does not hold
+// it.
+func (gateway *Gateway) place(ctx context.Context, job *job) (assignment, *tryResult) {
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	started := core.now()
-	frequent := core.frequent(started, job)
-	patience := core.patience(started, job)
-	asked := clock.Millis(0)
-	at := &spot{}
+	frequent := core.markRequested(started, job)
+	maxWait := core.maxAdapterWait(started, job)
+	lastRequest := clock.Millis(0)
+	counted := &countedUse{}
 	for {
 		now := core.now()
-		if refused := core.quarantined(now, job); refused != nil {
-			core.move(at, tally.Use{}, 0)
+		if refused := core.refuseQuarantined(now, job); refused != nil {
+			core.moveCount(counted, inflight.Use{}, 0)
 			job.waited += now - started
-			return placed{}, refused
+			return assignment{}, refused
 		}
-		choice, ok := core.choose(core.query(now, job, at.use.Server, frequent), job.hash)
+		choice, ok := core.choose(core.query(now, job, counted.use.Server, frequent), job.adapterHash)
 		if !ok {
-			core.move(at, tally.Use{}, 0)
-			return placed{}, core.unplaced(now, job)
+			core.moveCount(counted, inflight.Use{}, 0)
+			return assignment{}, core.noServerResult(now, job)
 		}
-		use := tally.Use{Server: choice.Member.ID, Adapter: job.adapter}
-		if use != at.use {
-			core.move(at, use, job.call.Prompt)
-			asked = 0
+		use := inflight.Use{Server: choice.Member.ID, Adapter: job.adapter}
+		if use != counted.use {
+			core.moveCount(counted, use, job.headers.PromptTokens)
+			lastRequest = 0
 		}
-		if choice.Held && ctx.Err() == nil && core.holds(now, now-started, job, use.Server) {
-			core.move(at, use, 0)
-			gateway.await(ctx, core.options.Hold.Look)
-			job.held += core.now() - now
+		if choice.Ready && ctx.Err() == nil && core.shouldDelay(now, now-started, job, use.Server) {
+			core.moveCount(counted, use, 0)
+			gateway.waitForChange(ctx, core.options.Hold.Look)
+			job.holdTime += core.now() - now
 			continue
 		}
-		if choice.Held {
-			core.move(at, use, job.call.Prompt)
-			if choice.Copy != nil {
-				gateway.askCopy(job, choice.Copy, now)
+		if choice.Ready {
+			core.moveCount(counted, use, job.headers.PromptTokens)
+			if choice.CopyTo != nil {
+				gateway.requestCopy(job, choice.CopyTo, now)
 			}
-			return core.settled(now, started, job, choice, use), nil
+			return core.assign(now, started, job, choice, use), nil
 		}
-		hopeless := asked == 0 && !coming(choice.Member, job.adapter) && core.hopeless(choice.Member, patience)
-		if hopeless || now-started >= patience || ctx.Err() != nil {
-			core.move(at, tally.Use{}, 0)
+		tooLate := lastRequest == 0 && !isIncoming(choice.Member, job.adapter) && core.loadTooLate(choice.Member, maxWait)
+		if tooLate || now-started >= maxWait || ctx.Err() != nil {
+			core.moveCount(counted, inflight.Use{}, 0)
 			job.waited += now - started
-			core.logNotPlaced(now, job, choice.Member, hopeless, patience)
-			return placed{}, notPlaced(ctx, job)
+			core.logAdapterNotReady(now, job, choice.Member, tooLate, maxWait)
+			return assignment{}, waitEndedResult(ctx, job)
 		}
-		if asked == 0 || now-asked >= core.options.WantInterval {
-			asked = now
-			gateway.ask(job, use, now, patience-(now-started))
+		if lastRequest == 0 || now-lastRequest >= core.options.WantInterval {
+			lastRequest = now
+			gateway.requestAdapter(job, use, now, maxWait-(now-started))
 		}
-		gateway.await(ctx, min(core.options.WantInterval, patience-(now-started)))
+		gateway.waitForChange(ctx, min(core.options.WantInterval, maxWait-(now-started)))
 	}
 }
 
-// holds reports whether a request waits for prompts that are being read at its server.
-// The mutex is held.
-func (core *core) holds(now, waited clock.Millis, job *job, server string) bool {
+// shouldDelay reports whether a request has to wait for prompts that its server is still
+// reading. The mutex must be held.
+func (core *core) shouldDelay(now, waited clock.Millis, job *job, server string) bool {
 	if !job.engine {
 		return false
 	}
 	rate := core.readRate.TokensPerMS()
-	prompt := choose.Prompt{Tokens: job.call.Prompt, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
-	return core.options.Hold.Holds(prompt, core.intake.Tokens(now, server, rate), rate)
+	prompt := choose.Prompt{Tokens: job.headers.PromptTokens, Goal: job.route.Goal, GapGoal: job.route.GapGoal, Waited: job.waited + waited}
+	return core.options.Hold.ShouldDelay(prompt, core.promptBuckets.Level(now, server, rate), rate)
 }
 
-// frequentSpan is how long ago an adapter may have been asked for here last to count
-// as one that is asked for often.
-const frequentSpan = 10 * clock.Second
+// frequentWindow is the time since the last request for an adapter within which it counts as
+// frequently used.
+const frequentWindow = 10 * clock.Second
 
-// frequent reports whether callers asked for the adapter here of late, and notes
-// that one does now. The mutex is held.
-func (core *core) frequent(now clock.Millis, job *job) bool {
+// markRequested records that a caller requests an adapter here, and reports whether it was
+// requested recently before. The mutex must be held.
+func (core *core) markRequested(now clock.Millis, job *job) bool {
 	if job.adapter.Name == "" {
 		return false
 	}
-	last, ok := core.askedAt[job.adapter]
-	core.askedAt[job.adapter] = now
-	return ok && now-last < frequentSpan
+	last, ok := core.requestedAt[job.adapter]
+	core.requestedAt[job.adapter] = now
+	return ok && now-last < frequentWindow
 }
 
+// query returns the inputs for choosing a server; waiting is the server at which the request
+// waits already. The mutex must be held.
 func (core *core) query(now clock.Millis, job *job, waiting string, frequent bool) choose.Query {
 	return choose.Query{
-		Now:        now,
-		Service:    job.service,
-		DataCentre: core.settings.DataCentre,
-		Attempt:    xxhash.Sum64String(job.call.Attempt),
-		Adapter:    job.adapter,
-		Version:    core.required(now, job.adapter),
-		Prompt:     job.call.Prompt,
-		Places:     job.places,
-		Tried:      job.tried,
-		Barred:     core.barred(now, waiting),
-		Ordered:    func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
-		Frequent:   frequent,
-		Many:       !core.members.Plan().Mesh,
-		Waiting:    waiting,
+		Now:          now,
+		Service:      job.service,
+		DataCentre:   core.settings.DataCentre,
+		Attempt:      xxhash.Sum64String(job.headers.Attempt),
+		Adapter:      job.adapter,
+		Version:      core.requiredVersion(now, job.adapter),
+		Prompt:       job.headers.PromptTokens,
+		AdapterSlots: job.adapterSlots,
+		Tried:        job.triedServers,
+		Blocked:      core.overLimit(now, waiting),
+		HasOwner:     func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
+		Frequent:     frequent,
+		ManyDaemons:  !core.members.Plan().Mesh,
+		WaitingAt:    waiting,
 	}
 }
 
-func (core *core) settled(now, started clock.Millis, job *job, choice choose.Choice, use tally.Use) placed {
+// assign records that a request is sent to the chosen server, and returns the assignment. The
+// mutex must be held.
+func (core *core) assign(now, started clock.Millis, job *job, choice choose.Choice, use inflight.Use) assignment {
 	job.waited += now - started
 	if job.engine {
-		core.intake.Add(now, use.Server, job.call.Prompt, core.readRate.TokensPerMS())
-		core.sentTokens[use.Server] += job.call.Prompt
+		core.promptBuckets.Add(now, use.Server, job.headers.PromptTokens, core.readRate.TokensPerMS())
+		core.sentTokens[use.Server] += job.headers.PromptTokens
 	}
-	if held, ok := core.orders[use.Server]; ok {
-		held.planner.Used(now, job.adapter, 1)
+	if worker, ok := core.orderWorkers[use.Server]; ok {
+		worker.planner.RecordUse(now, job.adapter, 1)
 	}
-	result := placed{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.call.Prompt, at: now}
-	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newest(job.adapter) > 0 && slot.Version >= core.newest(job.adapter) {
-		result.version = core.newest(job.adapter)
+	result := assignment{server: choice.Member.Server, use: use, cost: choice.Cost, alone: core.work.Load(use.Server).Reading == job.headers.PromptTokens, at: now}
+	if slot, ok := choice.Member.Slot(job.adapter); ok && core.newestVersion(job.adapter) > 0 && slot.Version >= core.newestVersion(job.adapter) {
+		result.version = core.newestVersion(job.adapter)
 	}
 	return result
 }
 
-// copyCrowd is how crowded the weight store may be for loads that no request
-// waits for, as a share of what it sends at full speed.
-const copyCrowd = 0.5
+// copyMaxStoreLoad is the highest load of the weight store at which copies that no request
+// waits for are loaded, as a share of the loads in flight at full speed.
+const copyMaxStoreLoad = 0.5
 
-// copyLife is how long the want of a copy stands: some loads.
-const copyLife = 1 * clock.Second
+// copyRequestLifetime is how long a request for a copy stays valid: a few load times.
+const copyRequestLifetime = 1 * clock.Second
 
-// askCopy asks for a further copy of an adapter. The mutex is held.
-func (gateway *Gateway) askCopy(job *job, server *fleet.Member, now clock.Millis) {
-	if gateway.storeCrowded() {
+// requestCopy requests a further copy of an adapter. The mutex must be held.
+func (gateway *Gateway) requestCopy(job *job, server *fleet.Member, now clock.Millis) {
+	if gateway.storeBusy() {
 		return
 	}
-	gateway.ask(job, tally.Use{Server: server.ID, Adapter: job.adapter}, now, copyLife)
+	gateway.requestAdapter(job, inflight.Use{Server: server.ID, Adapter: job.adapter}, now, copyRequestLifetime)
 }
 
-// ask tells the daemon that orders a server which adapter is needed. The mutex
-// is held.
-func (gateway *Gateway) ask(job *job, use tally.Use, now, left clock.Millis) {
+// requestAdapter requests an adapter from the owner of a server. The mutex must be held.
+func (gateway *Gateway) requestAdapter(job *job, use inflight.Use, now, left clock.Millis) {
 	core := gateway.core
-	want := peers.Want{Server: use.Server, Adapter: use.Adapter, Version: core.newest(use.Adapter), Rank: job.rank, Left: left}
+	request := peers.AdapterRequest{Server: use.Server, Adapter: use.Adapter, Version: core.newestVersion(use.Adapter), Rank: job.rank, Left: left}
 	owner, ok := core.ownerOf(now, use.Server)
-	gateway.log.Info(ending.MessageAskedFor, "Request", job.call.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
+	gateway.log.Info(ending.MessageAdapterRequested, "Request", job.headers.Attempt, "Server", use.Server, "Adapter", use.Adapter.Name, "Owner", owner)
 	if !ok && core.hub == "" {
 		return
 	}
-	gateway.sendWant(owner, want)
+	gateway.sendAdapterRequest(owner, request)
 }
 
-// await releases the mutex until holdings change or the time is over.
-func (gateway *Gateway) await(ctx context.Context, most clock.Millis) {
+// waitForChange releases the mutex until holdings change, the time is over or the context ends.
+// The mutex must be held.
+func (gateway *Gateway) waitForChange(ctx context.Context, timeout clock.Millis) {
 	core := gateway.core
-	changed := core.changed
+	changed := core.holdingsChanged
 	core.mutex.Unlock()
-	timer := time.NewTimer(max(1, most).Duration())
+	timer := time.NewTimer(max(1, timeout).Duration())
 	select {
 	case <-changed:
 	case <-timer.C:
--- a/internal/direct/gateway/quarantine.go
+++ b/internal/direct/gateway/quarantine.go
@@ -7,29 +7,29 @@
 	"teaselmoor/internal/direct/ending"
 )
 
-// quarantined refuses a request whose content is refused now. The mutex is held.
-func (core *core) quarantined(now clock.Millis, job *job) *verdict {
-	left := core.quarantine.Refuses(now, job.content)
+// refuseQuarantined refuses a request whose content is in quarantine. The mutex must be held.
+func (core *core) refuseQuarantined(now clock.Millis, job *job) *tryResult {
+	left := core.quarantine.RefusedFor(now, job.content)
 	if left == 0 {
 		return nil
 	}
-	if job.sends == 0 {
-		job.comeBack = left
+	if job.mayHaveRun == 0 {
+		job.retryAfter = left
 	}
-	core.log.Info(ending.MessageQuarantined, "Request", job.call.Attempt, "Content", job.content.String(),
-		"Servers", core.quarantine.Servers(job.content), "LeftMillis", left)
-	return &verdict{status: http.StatusServiceUnavailable, reason: ending.Quarantined}
+	core.log.Info(ending.MessageContentRefused, "Request", job.headers.Attempt, "Content", job.content.String(),
+		"Servers", core.quarantine.ServerCount(job.content), "LeftMillis", left)
+	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Quarantined}
 }
 
-// answeredWhole notes that a server has answered a request whole and with success.
-func (gateway *Gateway) answeredWhole(job *job, to placed) {
+// recordSuccess records that a server has answered a request completely and successfully.
+func (gateway *Gateway) recordSuccess(job *job, to assignment) {
 	core := gateway.core
 	core.mutex.Lock()
 	now := core.now()
-	core.fleet.Answered(now, to.server.ID, false)
+	core.fleet.RecordAnswer(now, to.server.ID, false)
 	cleared := core.quarantine.Answered(now, job.content)
 	core.mutex.Unlock()
 	if cleared {
-		gateway.tellWarnings()
+		gateway.sendWarnings()
 	}
 }
--- a/internal/direct/gateway/reading.go
+++ b/internal/direct/gateway/reading.go
@@ -2,26 +2,26 @@
 
 import (
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
-// idleReading is how often a daemon that has no word on prompts to tell looks whether it
-// has: a daemon of a large site wakes 50 times a second less.
-const idleReading = 500 * clock.Millisecond
+// idleReadingInterval is how often a daemon outside a mesh checks whether it is in one. It
+// saves a daemon of a large site 50 wake-ups a second.
+const idleReadingInterval = 500 * clock.Millisecond
 
-// tellReadings tells the daemons of a mesh about prompts, and returns the time until it is
-// to do so again.
-func (gateway *Gateway) tellReadings() clock.Millis {
+// sendReadingsIfMesh sends the daemons of a mesh changes of prompts being read, and returns the
+// time until the next call.
+func (gateway *Gateway) sendReadingsIfMesh() clock.Millis {
 	if !gateway.core.inMesh() {
-		return idleReading
+		return idleReadingInterval
 	}
-	gateway.tellReading()
+	gateway.sendReadings()
 	return gateway.options.ReadingInterval
 }
 
-// inMesh reports whether this daemon tells each other one. What it does not tell is
-// forgotten.
+// inMesh reports whether this daemon is in a mesh. Outside a mesh it drops the counts of sent
+// tokens, as they are not sent.
 func (core *core) inMesh() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -32,10 +32,10 @@
 	return mesh
 }
 
-// tellReading tells the daemons of a mesh which prompts have begun or ceased to be read
-// since it told last. An engine reads one in some ten milliseconds: what the digests say
-// of it is over when they come.
-func (gateway *Gateway) tellReading() {
+// sendReadings sends the daemons of a mesh the servers where prompts being read (prefilled)
+// have changed. An engine reads a prompt in some ten milliseconds, so the regular deltas come
+// too late for this.
+func (gateway *Gateway) sendReadings() {
 	core := gateway.core
 	core.mutex.Lock()
 	targets := core.members.Plan().Targets
@@ -44,58 +44,60 @@
 	if len(loads) == 0 || len(targets) == 0 {
 		return
 	}
-	encoded, err := peers.Encode(peers.Message{Digest: &peers.Digest{Loads: loads}})
+	encoded, err := peers.Encode(peers.Message{Delta: &peers.Delta{Loads: loads}})
 	if err != nil {
-		gateway.log.Error("news not encoded", "Error", err.Error())
+		gateway.log.Error("cannot encode delta", "Error", err.Error())
 		return
 	}
 	for _, target := range targets {
-		gateway.mesh.SendEncoded(target.Address, encoded)
+		gateway.network.SendEncoded(target.Address, encoded)
 	}
 }
 
-// changedReading returns this daemon's work at the servers where the prompts being read
-// have changed since it was called last. The mutex is held.
-func (core *core) changedReading() map[string]peers.Work {
+// changedReading returns this daemon's work at the servers where the prompts being read have
+// changed, or prompts were sent, since the last call. The mutex must be held.
+func (core *core) changedReading() map[string]peers.ServerLoad {
 	own := core.work.Own().Loads
-	changed := make(map[string]peers.Work)
+	changed := make(map[string]peers.ServerLoad)
 	for server, load := range own {
-		if load.Reading != core.toldReading[server] {
-			changed[server] = peers.Work{Load: load}
+		if load.Reading != core.sentReading[server] {
+			changed[server] = peers.ServerLoad{Load: load}
 		}
 	}
-	for server := range core.toldReading {
+	for server := range core.sentReading {
 		if _, ok := own[server]; !ok {
-			changed[server] = peers.Work{}
+			changed[server] = peers.ServerLoad{}
 		}
 	}
 	for server, sent := range core.sentTokens {
-		changed[server] = peers.Work{Load: own[server], Sent: sent}
+		changed[server] = peers.ServerLoad{Load: own[server], Sent: sent}
 	}
 	clear(core.sentTokens)
-	core.noteTold(changed)
+	core.recordSentReading(changed)
 	return changed
 }
 
-// noteTold remembers what peers are told. The mutex is held.
-func (core *core) noteTold(changed map[string]peers.Work) {
+// recordSentReading records the prompt tokens being read as they are sent to peers. The mutex
+// must be held.
+func (core *core) recordSentReading(changed map[string]peers.ServerLoad) {
 	for server, work := range changed {
 		if work.Reading == 0 {
-			delete(core.toldReading, server)
+			delete(core.sentReading, server)
 			continue
 		}
-		core.toldReading[server] = work.Reading
+		core.sentReading[server] = work.Reading
 	}
 }
 
-// takeWork takes over what a peer has in progress and has sent. The mutex is held.
-func (core *core) takeWork(now clock.Millis, from string, news map[string]peers.Work) {
-	loads := make(map[string]tally.Load, len(news))
-	for server, work := range news {
+// applyPeerWork applies a peer's work in progress and the prompt tokens that it has sent. The
+// mutex must be held.
+func (core *core) applyPeerWork(now clock.Millis, from string, received map[string]peers.ServerLoad) {
+	loads := make(map[string]inflight.Load, len(received))
+	for server, work := range received {
 		loads[server] = work.Load
 		if work.Sent > 0 {
-			core.intake.Add(now, server, work.Sent, core.readRate.TokensPerMS())
+			core.promptBuckets.Add(now, server, work.Sent, core.readRate.TokensPerMS())
 		}
 	}
-	core.work.PeerLoads(from, loads)
+	core.work.SetPeerLoads(from, loads)
 }
--- a/internal/direct/gateway/relay.go
+++ b/internal/direct/gateway/relay.go
@@ -15,14 +15,14 @@
 	"teaselmoor/internal/direct/upstream"
 )
 
-// maxFailureBytes bounds the body of a failure, maxWholeBytes that of an answer
-// that is passed on in one piece.
+// maxFailureBytes bounds the body of a failed answer, maxWholeBytes that of an answer that is
+// passed on in one piece.
 const (
 	maxFailureBytes = 64 << 10
 	maxWholeBytes   = 16 << 20
 )
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders apply to a single connection and are not passed on.
 var connectionHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
 
 func copyHeader(to, from http.Header) {
@@ -32,129 +32,131 @@
 		}
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil // keep net/http from guessing one
+		to["Content-Type"] = nil // prevents net/http from guessing one
 	}
 }
 
-// whole reads an answer to its end before the caller sees any of it: an answer
-// that broke off can then be replaced.
-func (gateway *Gateway) whole(ctx context.Context, writer http.ResponseWriter, job *job, to placed, answer *upstream.Answer) verdict {
+// relayWhole reads an answer to its end before the caller sees any of it, so that an answer
+// that breaks off can still be replaced by another server's.
+func (gateway *Gateway) relayWhole(ctx context.Context, writer http.ResponseWriter, job *job, to assignment, answer *upstream.Answer) tryResult {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeBytes))
 	answer.Close(err == nil)
 	if err != nil {
-		gateway.note(to, true)
-		job.tried = append(job.tried, to.server.ID)
-		return gateway.broken(ctx, job, to, err)
+		gateway.recordOutcome(to, true)
+		job.triedServers = append(job.triedServers, to.server.ID)
+		return gateway.handleBrokenAnswer(ctx, job, to, err)
 	}
-	gateway.answeredWhole(job, to)
+	gateway.recordSuccess(job, to)
 	copyHeader(writer.Header(), answer.Header)
-	gateway.ended(job, answer.StatusCode, ending.Complete)
-	job.started = true
+	gateway.logEnd(job, answer.StatusCode, ending.Complete)
+	job.headSent = true
 	writer.WriteHeader(answer.StatusCode)
-	_, _ = writer.Write(body) // the caller may have left
-	return verdict{done: true}
+	_, _ = writer.Write(body) // the caller may have disconnected
+	return tryResult{done: true}
 }
 
-// broken judges an answer that broke off before the caller saw any of it.
-func (gateway *Gateway) broken(ctx context.Context, job *job, to placed, err error) verdict {
-	gateway.log.Info(ending.MessageBroken, "Request", job.call.Attempt, "Error", err.Error())
+// handleBrokenAnswer decides how to go on after an answer that broke off before the caller saw
+// any of it.
+func (gateway *Gateway) handleBrokenAnswer(ctx context.Context, job *job, to assignment, err error) tryResult {
+	gateway.log.Info(ending.MessageAnswerBroken, "Request", job.headers.Attempt, "Error", err.Error())
 	if job.incoming.Context().Err() != nil {
-		gateway.ended(job, 0, ending.CallerLeft)
-		return verdict{done: true}
+		gateway.logEnd(job, 0, ending.CallerLeft)
+		return tryResult{done: true}
 	}
 	if ctx.Err() != nil {
-		return verdict{status: http.StatusGatewayTimeout, reason: ending.Timeout}
+		return tryResult{status: http.StatusGatewayTimeout, reason: ending.Timeout}
 	}
-	gateway.lostAt(job, to.server, err)
-	return gateway.lost(job, http.StatusBadGateway, ending.Lost)
+	gateway.recordLoss(job, to.server, err)
+	return gateway.lostResult(job, http.StatusBadGateway, ending.AnswerLost)
 }
 
-// stream passes events on as they arrive. An event is passed on whole, so that a
-// resumed stream goes on behind it.
-func (gateway *Gateway) stream(ctx context.Context, writer http.ResponseWriter, job *job, to placed, held *placement, answer *upstream.Answer) verdict {
+// relayStream passes events on as they arrive, each only when it is complete, so that a stream
+// can be resumed after the last event sent.
+func (gateway *Gateway) relayStream(ctx context.Context, writer http.ResponseWriter, job *job, to assignment, active *activeRequest, answer *upstream.Answer) tryResult {
 	control := http.NewResponseController(writer)
-	// A caller that does not read must not keep the stream beyond its deadline.
+	// A caller that does not read must not keep the stream open beyond its deadline.
 	_ = control.SetWriteDeadline(time.Now().Add((job.deadline - gateway.core.now()).Duration()))
-	relayed := &events{answer: answer, buffer: make([]byte, 0, eventBuffer)}
+	relayed := &eventReader{answer: answer, buffer: make([]byte, 0, eventBuffer)}
 	for {
 		event, err := relayed.next()
 		if len(event) > 0 {
 			now := gateway.core.now()
-			if !job.started {
-				gateway.begin(writer, job, answer)
-				held.first()
+			if !job.headSent {
+				gateway.sendHead(writer, job, answer)
+				active.recordFirstEvent()
 			} else {
-				job.longestGap = max(job.longestGap, now-job.heardAt)
+				job.longestGap = max(job.longestGap, now-job.lastEventAt)
 			}
 			if _, failed := writer.Write(event); failed != nil {
 				answer.Close(false)
-				gateway.ended(job, answer.StatusCode, ending.CallerLeft)
-				return verdict{done: true}
+				gateway.logEnd(job, answer.StatusCode, ending.CallerLeft)
+				return tryResult{done: true}
 			}
 			_ = control.Flush() // a failure shows at the next write
-			job.lastSent = relayed.lastID
-			job.heardAt = now
+			job.lastEventID = relayed.lastID
+			job.lastEventAt = now
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			return gateway.streamEnded(writer, job, to, answer)
+			return gateway.finishStream(writer, job, to, answer)
 		}
 		answer.Close(false)
-		gateway.note(to, ctx.Err() == nil)
-		job.tried = append(job.tried, to.server.ID)
-		return gateway.streamBroken(ctx, job, to, err)
+		gateway.recordOutcome(to, ctx.Err() == nil)
+		job.triedServers = append(job.triedServers, to.server.ID)
+		return gateway.handleBrokenStream(ctx, job, to, err)
 	}
 }
 
-// begin sends the head of an answer. Until then nothing of it is set, so that a
-// refusal in its place bears no signature of the server.
-func (gateway *Gateway) begin(writer http.ResponseWriter, job *job, answer *upstream.Answer) {
-	job.started = true
-	job.firstAt = gateway.core.now()
+// sendHead sends the head of an answer. No header of the answer is set before, so that a
+// refusal sent in its place does not carry the server's signature.
+func (gateway *Gateway) sendHead(writer http.ResponseWriter, job *job, answer *upstream.Answer) {
+	job.headSent = true
+	job.firstEventAt = gateway.core.now()
 	copyHeader(writer.Header(), answer.Header)
 	writer.WriteHeader(answer.StatusCode)
 }
 
-func (gateway *Gateway) streamEnded(writer http.ResponseWriter, job *job, to placed, answer *upstream.Answer) verdict {
+// finishStream ends a stream that the server has completed.
+func (gateway *Gateway) finishStream(writer http.ResponseWriter, job *job, to assignment, answer *upstream.Answer) tryResult {
 	answer.Close(true)
-	gateway.answeredWhole(job, to)
-	if !job.started {
-		gateway.begin(writer, job, answer)
+	gateway.recordSuccess(job, to)
+	if !job.headSent {
+		gateway.sendHead(writer, job, answer)
 	}
-	gateway.ended(job, answer.StatusCode, ending.Complete)
-	return verdict{done: true}
+	gateway.logEnd(job, answer.StatusCode, ending.Complete)
+	return tryResult{done: true}
 }
 
-// streamBroken judges a stream that broke off. Only one that may be resumed goes
-// on at another server.
-func (gateway *Gateway) streamBroken(ctx context.Context, job *job, to placed, err error) verdict {
-	if job.started && job.incoming.Context().Err() == nil && ctx.Err() == nil {
-		gateway.log.Info(ending.MessageStreamCut, "Request", job.call.Attempt, "After", job.lastSent, "Error", err.Error())
-		gateway.lostAt(job, to.server, err)
-		result := gateway.lost(job, http.StatusBadGateway, ending.StreamBroke)
-		result.again = result.again && job.lastSent != ""
+// handleBrokenStream decides how to go on after a stream that broke off. Only a resumable
+// stream continues on another server.
+func (gateway *Gateway) handleBrokenStream(ctx context.Context, job *job, to assignment, err error) tryResult {
+	if job.headSent && job.incoming.Context().Err() == nil && ctx.Err() == nil {
+		gateway.log.Info(ending.MessageStreamBroken, "Request", job.headers.Attempt, "After", job.lastEventID, "Error", err.Error())
+		gateway.recordLoss(job, to.server, err)
+		result := gateway.lostResult(job, http.StatusBadGateway, ending.StreamBroken)
+		result.retry = result.retry && job.lastEventID != ""
 		return result
 	}
-	if job.started {
-		why := ending.Timeout
+	if job.headSent {
+		reason := ending.Timeout
 		if job.incoming.Context().Err() != nil {
-			why = ending.CallerLeft
+			reason = ending.CallerLeft
 		}
-		return verdict{status: http.StatusGatewayTimeout, reason: why}
+		return tryResult{status: http.StatusGatewayTimeout, reason: reason}
 	}
-	return gateway.broken(ctx, job, to, err)
+	return gateway.handleBrokenAnswer(ctx, job, to, err)
 }
 
-// eventBuffer holds some events of usual size; it grows for larger ones.
+// eventBuffer holds several events of usual size; it grows for larger ones.
 const eventBuffer = 1024
 
-// events splits a stream into whole events.
-type events struct {
-	answer *upstream.Answer
-	buffer []byte
-	done   int // bytes at the start of buffer that were returned
-	lastID string
-	err    error
+// eventReader splits a stream into complete events.
+type eventReader struct {
+	answer   *upstream.Answer
+	buffer   []byte
+	returned int // bytes at the start of buffer that the last call of next returned
+	lastID   string
+	err      error
 }
 
 var (
@@ -162,43 +164,44 @@
 	idField  = []byte("id:")
 )
 
-// next returns the whole events that have arrived, or the error that ended the
-// stream. io.EOF means that it ended as it should.
-func (events *events) next() ([]byte, error) {
-	events.buffer = append(events.buffer[:0], events.buffer[events.done:]...)
-	events.done = 0
+// next returns the complete events that have arrived, or the error that ended the stream.
+// io.EOF means that the stream ended normally.
+func (eventReader *eventReader) next() ([]byte, error) {
+	eventReader.buffer = append(eventReader.buffer[:0], eventReader.buffer[eventReader.returned:]...)
+	eventReader.returned = 0
 	for {
-		if end := bytes.LastIndex(events.buffer, eventEnd); end >= 0 {
-			events.done = end + len(eventEnd)
-			whole := events.buffer[:events.done]
-			events.lastID = lastID(whole, events.lastID)
+		if end := bytes.LastIndex(eventReader.buffer, eventEnd); end >= 0 {
+			eventReader.returned = end + len(eventEnd)
+			whole := eventReader.buffer[:eventReader.returned]
+			eventReader.lastID = lastID(whole, eventReader.lastID)
 			return whole, nil
 		}
-		if events.err != nil {
-			return nil, events.ending()
+		if eventReader.err != nil {
+			return nil, eventReader.endError()
 		}
-		events.read()
+		eventReader.read()
 	}
 }
 
-func (events *events) read() {
-	if len(events.buffer) == cap(events.buffer) {
-		events.buffer = slices.Grow(events.buffer, eventBuffer)
+func (eventReader *eventReader) read() {
+	if len(eventReader.buffer) == cap(eventReader.buffer) {
+		eventReader.buffer = slices.Grow(eventReader.buffer, eventBuffer)
 	}
-	read, err := events.answer.Body.Read(events.buffer[len(events.buffer):cap(events.buffer)])
-	events.buffer = events.buffer[:len(events.buffer)+read]
-	events.err = err
+	read, err := eventReader.answer.Body.Read(eventReader.buffer[len(eventReader.buffer):cap(eventReader.buffer)])
+	eventReader.buffer = eventReader.buffer[:len(eventReader.buffer)+read]
+	eventReader.err = err
 }
 
-// ending is the error of a stream: one that ends inside an event broke off.
-func (events *events) ending() error {
-	if errors.Is(events.err, io.EOF) && len(events.buffer) > 0 {
+// endError returns the error that ended the stream. A stream that ends inside an event broke
+// off.
+func (eventReader *eventReader) endError() error {
+	if errors.Is(eventReader.err, io.EOF) && len(eventReader.buffer) > 0 {
 		return io.ErrUnexpectedEOF
 	}
-	return events.err
+	return eventReader.err
 }
 
-// lastID returns the id of the last event that has one.
+// lastID returns the id of the last event that has one, or the former id.
 func lastID(whole []byte, former string) string {
 	at := bytes.LastIndex(whole, idField)
 	if at < 0 {
--- a/internal/direct/gateway/rest.go
+++ b/internal/direct/gateway/rest.go
@@ -5,26 +5,26 @@
 	"teaselmoor/internal/direct/ending"
 )
 
-// noteRest notes that a server wants nothing from this daemon for a while, and has requests
-// that wait there placed anew.
-func (core *core) noteRest(server string, rest clock.Millis) {
+// recordPause records that a server wants no requests from this daemon for a while, and has the
+// requests that wait there placed again.
+func (core *core) recordPause(server string, rest clock.Millis) {
 	if rest == 0 {
 		return
 	}
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.fleet.Rest(server, core.now()+rest)
-	core.log.Info(ending.MessageServerRests, "Server", server, "Millis", rest)
-	core.notify()
+	core.fleet.Pause(server, core.now()+rest)
+	core.log.Info(ending.MessageServerPaused, "Server", server, "Millis", rest)
+	core.wakeWaitingRequests()
 }
 
-// resting returns how long until the first of the resting servers of a request's service
-// takes requests again; 0 where none rests. Other daemons may not have been asked to rest, so
-// that a caller may come back earlier. The mutex is held.
-func (core *core) resting(now clock.Millis, job *job) clock.Millis {
+// shortestPause returns the time until the first paused server of a request's service takes
+// requests again, or 0 if none is paused. A refused caller may retry earlier, as the server may
+// not have asked other daemons to pause. The mutex must be held.
+func (core *core) shortestPause(now clock.Millis, job *job) clock.Millis {
 	first := clock.Millis(0)
 	for _, member := range core.fleet.Usable(job.service) {
-		left := member.Rests(now)
+		left := member.PausedFor(now)
 		if left > 0 && (first == 0 || left < first) {
 			first = left
 		}
@@ -32,11 +32,12 @@
 	return first
 }
 
-// restingServers is how many servers want nothing from this daemon now. The mutex is held.
-func (core *core) restingServers(now clock.Millis) int {
+// pausedServers is the number of servers that want no requests from this daemon now. The mutex
+// must be held.
+func (core *core) pausedServers(now clock.Millis) int {
 	count := 0
 	for _, member := range core.fleet.Members() {
-		if member.Rests(now) > 0 {
+		if member.PausedFor(now) > 0 {
 			count++
 		}
 	}
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -14,46 +14,46 @@
 	"teaselmoor/internal/base/task"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/upstream"
 )
 
-// Platform is what a daemon needs of the platform that it runs on.
+// Platform holds the interfaces to the platform that a daemon runs on.
 type Platform struct {
-	Store    port.Store
-	Decoder  port.Decoder
-	Protocol port.Protocol
-	Servers  port.Servers
+	Store    platformapi.Store
+	Decoder  platformapi.Decoder
+	Protocol platformapi.Protocol
+	Servers  platformapi.ServerClient
 }
 
-// Gateway is a daemon that serves callers.
+// Gateway is a daemon that serves callers' requests.
 type Gateway struct {
-	settings Settings
-	options  Options
-	store    port.Store
-	protocol port.Protocol
-	servers  port.Servers
-	core     *core
-	pool     *upstream.Pool
-	mesh     *peers.Mesh
-	telling  sync.Mutex // held while digests are made and sent; taken before the core's
-	group    *task.Group
-	counters *counters
-	log      *slog.Logger
+	settings   Settings
+	options    Options
+	store      platformapi.Store
+	protocol   platformapi.Protocol
+	servers    platformapi.ServerClient
+	core       *core
+	pool       *upstream.Pool
+	network    *peers.Network
+	deltaMutex sync.Mutex // held while deltas are encoded and sent; acquired before core.mutex
+	tasks      *task.Group
+	counters   *counters
+	log        *slog.Logger
 }
 
-// New returns a daemon whose goroutines end with the context.
+// New returns a daemon whose goroutines end when the context does.
 func New(ctx context.Context, settings Settings, options Options, platform Platform, log *slog.Logger) *Gateway {
 	gateway := &Gateway{
 		settings: settings, options: options, store: platform.Store, protocol: platform.Protocol, servers: platform.Servers,
-		pool: upstream.New(options.Upstream), group: task.New(ctx), counters: newCounters(), log: log,
+		pool: upstream.New(options.Upstream), tasks: task.New(ctx), counters: newCounters(), log: log,
 	}
 	gateway.core = newCore(settings, options, platform.Decoder, clock.Steady(), clock.System, log)
-	gateway.mesh = peers.New(options.Peers, settings.Name, gateway, gateway.group)
+	gateway.network = peers.New(options.Peers, settings.Name, gateway, gateway.tasks)
 	return gateway
 }
 
-// Serve serves until stop is closed, then lets requests in progress end.
+// Serve serves requests until stop is closed, then lets requests in progress finish.
 func (gateway *Gateway) Serve(stop <-chan struct{}) error {
 	listeners, err := gateway.listen()
 	if err != nil {
@@ -64,28 +64,28 @@
 		ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(gateway.log.Handler(), slog.LevelDebug),
 	}
 	gateway.log.Info("started", "Name", gateway.settings.Name, "DataCentre", gateway.settings.DataCentre,
-		"Callers", gateway.settings.CallerAddress, "Peers", gateway.settings.PeerAddress, "Incarnation", gateway.core.born)
+		"Callers", gateway.settings.CallerAddress, "Peers", gateway.settings.PeerAddress, "Incarnation", gateway.core.incarnation)
 	gateway.start(listeners, callers)
-	gateway.group.Go("leave", func(ctx context.Context) error { return gateway.leave(ctx, stop, callers) })
+	gateway.tasks.Go("leave", func(ctx context.Context) error { return gateway.shutDown(ctx, stop, callers) })
 	var failed error
-	gateway.group.Reap(func(end task.End) {
+	gateway.tasks.Reap(func(end task.End) {
 		if end.Err != nil {
 			failed = errors.Wrap(end.Err, end.Name)
-			gateway.group.Stop()
+			gateway.tasks.Stop()
 		}
 	})
 	gateway.log.Info("stopped")
 	return failed
 }
 
-// Limits of callers' requests while no configuration says so. The platform's
-// configuration asks for 3 s and 16 KiB.
+// Limits on callers' requests that the configuration does not set. The platform's configuration
+// asks for 3 s and 16 KiB.
 const (
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 32 << 10
 )
 
-// listeners are the sockets of a daemon.
+// listeners holds the listening sockets of a daemon.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
@@ -114,23 +114,23 @@
 	gateway.serve("callers", opened.callers, callers)
 	gateway.serve("ready", opened.ready, &http.Server{Handler: http.HandlerFunc(gateway.serveReady), ReadHeaderTimeout: headerTimeout})
 	peerMux := http.NewServeMux()
-	peerMux.Handle(peers.Path, gateway.mesh)
+	peerMux.Handle(peers.Path, gateway.network)
 	gateway.serve("peers", opened.peers, &http.Server{Handler: peerMux, ReadHeaderTimeout: headerTimeout})
 	gateway.serve("metrics", opened.metrics, &http.Server{Handler: http.HandlerFunc(gateway.serveMetrics), ReadHeaderTimeout: headerTimeout})
 	reader := mirror.New(gateway.options.Mirror, gateway.store, gateway.core.decoder.Prefix(), gateway.core)
-	gateway.group.Go("mirror", reader.Run)
-	gateway.relink()
-	gateway.group.Go("news", gateway.tellNews)
-	gateway.group.Go("work", gateway.tellWork)
-	gateway.repeat("reading", gateway.tellReadings)
-	gateway.group.Go("usage", gateway.tellUsages)
-	gateway.every("updates", gateway.options.UpdateInterval, gateway.tellUpdates)
+	gateway.tasks.Go("mirror", reader.Run)
+	gateway.updateConnections()
+	gateway.tasks.Go("news", gateway.sendDeltasLoop)
+	gateway.tasks.Go("work", gateway.sendWorkLoop)
+	gateway.repeat("reading", gateway.sendReadingsIfMesh)
+	gateway.tasks.Go("usage", gateway.sendUsageLoop)
+	gateway.every("updates", gateway.options.UpdateInterval, gateway.sendDueUpdates)
 	gateway.every("ticks", tickInterval, func() { gateway.tick(gateway.core.now()) })
-	gateway.every("sweep", sweepInterval, gateway.pool.Sweep)
+	gateway.every("sweep", sweepInterval, gateway.pool.CloseExpired)
 }
 
 func (gateway *Gateway) serve(name string, listener net.Listener, server *http.Server) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer stop()
 		err := server.Serve(listener)
@@ -141,16 +141,16 @@
 	})
 }
 
-// sweepInterval is how often expired connections are looked for.
+// sweepInterval is the time between two removals of expired connections.
 const sweepInterval = clock.Second
 
-// tickInterval is how often the daemon looks at what passing time calls for. It
-// is well below the gap that counts as a pause.
+// tickInterval is the time between two calls of tick. It is well below the gap between ticks
+// that is treated as a pause of the process.
 const tickInterval = 100 * clock.Millisecond
 
-// every does something at intervals until the daemon ends.
+// every calls a function at intervals until the daemon ends.
 func (gateway *Gateway) every(name string, interval clock.Millis, do func()) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		ticker := time.NewTicker(interval.Duration())
 		defer ticker.Stop()
 		for {
@@ -164,9 +164,10 @@
 	})
 }
 
-// repeat does something until the daemon ends, each time after as long as it returned.
+// repeat calls a function until the daemon ends, each time after the wait that the last call
+// returned.
 func (gateway *Gateway) repeat(name string, do func() clock.Millis) {
-	gateway.group.Go(name, func(ctx context.Context) error {
+	gateway.tasks.Go(name, func(ctx context.Context) error {
 		for ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
@@ -178,19 +179,19 @@
 }
 
 func (gateway *Gateway) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	if !gateway.core.ready() {
+	if !gateway.core.isReady() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	writer.WriteHeader(http.StatusOK)
 }
 
-// leave stops the daemon: it is not ready any more, takes the connections that
-// still come, and ends once the requests in progress have. It gives up its servers
-// at once: the later they change hands, the more of them have no orders while daemons
-// are replaced in turn.
-func (gateway *Gateway) leave(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
-	defer gateway.group.Stop()
+// shutDown stops the daemon. It reports not ready, still accepts connections for LeaveSpan, and
+// ends once the requests in progress have. It releases its servers at once: the later their
+// owners change, the more servers are without an owner while daemons are replaced one after
+// another.
+func (gateway *Gateway) shutDown(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
+	defer gateway.tasks.Stop()
 	select {
 	case <-stop:
 	case <-ctx.Done():
@@ -199,10 +200,10 @@
 	core := gateway.core
 	core.mutex.Lock()
 	core.leaving = true
-	core.tenure.Release()
+	core.claims.Release()
 	core.members.Leave()
 	core.mutex.Unlock()
-	gateway.tellUpdate(core.now(), gateway.mesh.Addresses())
+	gateway.sendUpdate(core.now(), gateway.network.ConnectedAddresses())
 	gateway.log.Info("stopping")
 	time.Sleep(gateway.options.LeaveSpan.Duration())
 	core.mutex.Lock()
--- a/internal/direct/gateway/settings.go
+++ b/internal/direct/gateway/settings.go
@@ -1,8 +1,8 @@
-// Package gateway serves callers by sending their requests straight to backend
-// servers. It runs the decisions of its sibling packages: it reads the platform's
-// store, talks to the other daemons, gives orders to the servers that fall to it,
-// and passes requests and answers on. What the platform calls things is behind
-// the interfaces of package port.
+// Package gateway implements the daemon that sends callers' requests directly to backend
+// servers. It connects the decisions of its sibling packages: it reads the platform's store,
+// exchanges state with the other daemons, sends orders to the servers that it owns, and passes
+// requests and answers on. The platform's own formats are hidden behind the interfaces in
+// Platform.
 package gateway
 
 import (
@@ -12,6 +12,7 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/choose"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/fleet"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
@@ -20,11 +21,10 @@
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
 	"teaselmoor/internal/direct/retry"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/upstream"
 )
 
-// Settings say who a daemon is, where it listens and what the platform demands.
+// Settings hold a daemon's identity, its addresses and the demands of the platform.
 type Settings struct {
 	Name           string
 	DataCentre     string
@@ -37,13 +37,13 @@
 	MemoryMB       int64
 	Capacity       int          // in thousandths of a core
 	Fenced         bool         // servers check the fencing numbers of orders
-	Lease          clock.Millis // quiet span between the orders of two daemons to one server
-	Grace          clock.Millis // between the signal to stop and the kill
+	Lease          clock.Millis // time without orders before another daemon may send orders to a server
+	Grace          clock.Millis // time between the signal to stop and the kill
 	Retry          retry.Limits
-	Quota          quota.Tolerance // by how much accounts may exceed their limits
+	Quota          quota.Tolerance // how far accounts may exceed their limits
 }
 
-// Check reports the first setting that is missing or makes no sense.
+// Check reports the first setting that is missing or invalid.
 func (settings *Settings) Check() error {
 	for name, value := range map[string]string{
 		"name": settings.Name, "data centre": settings.DataCentre, "caller address": settings.CallerAddress,
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Changes names the settings that differ between two readings of the file.
+// Changes returns the names of the settings that differ.
 func (settings Settings) Changes(after Settings) []string {
 	var changed []string
 	before, now := reflect.ValueOf(settings), reflect.ValueOf(after)
@@ -77,8 +77,9 @@
 	return changed
 }
 
-// Reload takes over what may change while the daemon runs: seeds, the retry
-// budget, the tolerance of accounts' limits, the grace span. It returns the settings that wait for a restart.
+// Reload applies the settings that may change at run time: seeds, the retry budget, the
+// tolerance of accounts' limits and the grace span. It returns all changed settings, and those
+// that need a restart.
 func (gateway *Gateway) Reload(after Settings) (changed, waiting []string) {
 	core := gateway.core
 	core.mutex.Lock()
@@ -91,83 +92,83 @@
 	core.ledger.SetTolerance(after.Quota)
 	waiting = core.settings.Changes(after)
 	core.mutex.Unlock()
-	gateway.relink()
+	gateway.updateConnections()
 	return before.Changes(after), waiting
 }
 
-// Options are the project's own limits.
+// Options are the daemon's own limits and intervals.
 type Options struct {
 	Fleet      fleet.Options
 	Weights    choose.Weights
-	Hold       choose.Hold
+	Hold       choose.DelayPolicy
 	Loading    loading.Options
 	Mirror     mirror.Options
 	Peers      peers.Options
 	Membership membership.Options
-	Tenure     tenure.Options
+	Tenure     claims.Options
 	Upstream   upstream.Options
 	Quarantine quarantine.Options
 
-	// TellInterval is the time between two digests of the requests in progress, by
-	// which peers place theirs.
+	// TellInterval is the time between two deltas with the requests in progress, which peers
+	// need to place their own.
 	TellInterval clock.Millis
-	// ReadingInterval is the time between two words on which prompts are being read.
+	// ReadingInterval is the time between two messages on which prompts are being read.
 	ReadingInterval clock.Millis
-	// HubInterval is TellInterval of a hub: between hubs and from a hub news takes up to
-	// two of them.
+	// HubInterval replaces TellInterval on a hub. Between hubs, and from a hub to its group,
+	// changes take up to two such intervals.
 	HubInterval clock.Millis
-	// WorkPause is the least time between two words of a daemon to its hub on its own work.
+	// WorkPause is the minimum time between two messages of a daemon to its hub on its own
+	// work.
 	WorkPause clock.Millis
-	// UpdateInterval is the time between two updates, by which daemons hear of each
-	// other and of claims.
+	// UpdateInterval is the time between two updates, which show that a daemon is alive and
+	// what it claims.
 	UpdateInterval clock.Millis
-	// Advertise is the address that peers connect to, where it is not the one that is
-	// listened on, as behind a port mapping; empty: the same.
+	// Advertise is the address that peers connect to if it differs from the one listened on,
+	// for instance behind a port mapping. Empty means the same address.
 	Advertise string
-	// VersionGrace is how long after a new version of an adapter was named an
-	// older one is still used. The platform allows 5 s.
+	// VersionGrace is how long an older version of an adapter is still used after operators
+	// named a new one. The platform allows 5 s.
 	VersionGrace clock.Millis
-	// LoadPatience is the part of a caller's patience that a request may wait for
-	// its adapter; the rest is for the answer's first event.
+	// LoadPatience is the share of the time until a caller is expected to give up that its
+	// request may wait for an adapter. The rest is for the first event of the answer.
 	LoadPatience float64
-	// WantInterval is the time between two asks for the same adapter, in case
-	// the daemon that gives orders has changed.
+	// WantInterval is the time between two requests for the same adapter. It is requested again
+	// in case the owner of the server has changed.
 	WantInterval clock.Millis
-	// RetryAfter is what a refused caller is told to wait.
+	// RetryAfter is the time after which a refused caller is told to retry.
 	RetryAfter clock.Millis
-	// AccountsAge is how long after the store answered last, here or at the daemon that
-	// reads it for this one, a key that is not known may be one of a newer configuration.
+	// AccountsAge is the age of the store's last answer, to this daemon or to the one that
+	// reads the store for it, from which on an unknown key may belong to a newer configuration.
 	AccountsAge clock.Millis
-	// MostSends bounds the servers that one request is tried at.
+	// MostSends bounds the number of servers that a request is sent to.
 	MostSends int
-	// LeaveSpan is how long a stopping daemon still takes connections: the
-	// platform's balancer needs two checks, a second apart, to pass it over.
+	// LeaveSpan is how long a stopping daemon still accepts connections. The platform's load
+	// balancer needs two checks, a second apart, to stop using it.
 	LeaveSpan clock.Millis
-	// ExitMargin is left of the grace span for the process to end.
+	// ExitMargin is the part of the grace span that is left for the process to exit.
 	ExitMargin clock.Millis
-	// IdleTimeout closes callers' idle connections.
+	// IdleTimeout is the time after which idle connections of callers are closed.
 	IdleTimeout clock.Millis
-	// BodyBytes bounds a caller's body while no configuration says so.
+	// BodyBytes bounds a caller's body if the configuration does not.
 	BodyBytes int64
-	// SparePeers is the least number of daemons among which the retry allowance
-	// is divided, so that a daemon that knows few peers yet does not take more
-	// than its part.
+	// SparePeers is the minimum number of daemons that the retry budget is divided by, so that
+	// a daemon that knows few peers yet does not use more than its share.
 	SparePeers int
-	// LoneDaemons is the number of daemons that a daemon that has not met any other one
-	// takes a site to have when it parts the limits of accounts: of daemons that are cut
-	// off when they start, so many use no more than the limit together.
+	// LoneDaemons is the number of daemons that a daemon assumes in its site, when it splits
+	// the limits of accounts, until it has met another one. Up to that many daemons that are
+	// isolated when they start stay within the limits together.
 	LoneDaemons int
-	// LogLines is how many log lines may wait to be written.
+	// LogLines is the number of log lines that may be queued for writing.
 	LogLines int
-	// Dropped tells how many log lines were dropped; nil when nobody counts them.
+	// Dropped returns the number of dropped log lines; nil if nobody counts them.
 	Dropped func() int64 `yaml:"-"`
 }
 
-// DefaultOptions returns the options for the settings' lease.
+// DefaultOptions returns the default options for the lease in the settings.
 func DefaultOptions(settings Settings) Options {
 	return Options{
-		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultHold(), Loading: loading.DefaultOptions(),
-		Mirror: mirror.DefaultOptions(), Peers: peers.DefaultOptions(), Membership: membership.DefaultOptions(), Tenure: tenure.DefaultOptions(settings.Lease, settings.Fenced),
+		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultDelayPolicy(), Loading: loading.DefaultOptions(),
+		Mirror: mirror.DefaultOptions(), Peers: peers.DefaultOptions(), Membership: membership.DefaultOptions(), Tenure: claims.DefaultOptions(settings.Lease, settings.Fenced),
 		Upstream: upstream.DefaultOptions(), Quarantine: quarantine.DefaultOptions(),
 
 		TellInterval: 100, ReadingInterval: 20, HubInterval: 50, WorkPause: 30, UpdateInterval: 500, VersionGrace: 2500,
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/spread.go
@@ -7,62 +7,63 @@
 
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/mirror"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
 	"teaselmoor/internal/direct/topology"
 )
 
-// stamp orders versions of one thing.
-type stamp struct {
+// versionStamp orders versions of the same object.
+type versionStamp struct {
 	major, minor int64
 }
 
-func (stamp stamp) after(other stamp) bool {
-	return stamp.major > other.major || stamp.major == other.major && stamp.minor > other.minor
+func (versionStamp versionStamp) after(other versionStamp) bool {
+	return versionStamp.major > other.major || versionStamp.major == other.major && versionStamp.minor > other.minor
 }
 
-// toldState is what a peer has been told on the present connection to it, or has
-// told itself.
-type toldState struct {
-	members  int64                           // changes of the membership
-	orderers []string                        // nil: none yet
-	updateAt clock.Millis                    // when the last update was told
-	shares   map[string]stamp                // by daemon
-	group    int64                           // number of the last group share
-	owners   int64                           // number of the last owners
-	reported map[string]int64                // start of the servers' processes whose word was told, by server
-	tables   map[string]stamp                // by server
-	tablesAt int64                           // changes of tables when they were last looked at
-	reports  int64                           // reports of servers when they were last looked at
-	sums     map[string]tally.Sum            // by server; nil: none yet
-	uses     map[string]map[port.Adapter]int // by server
-	era      int64                           // of the store
-	revision int64                           // of that era
-	usage    quota.Told
-	usageAt  clock.Millis // when usage was told last
-	warned   warned
+// sentState records what a peer has been sent on the current connection, or has sent itself and
+// so knows.
+type sentState struct {
+	members   int64                                  // number of membership changes sent
+	orderers  []string                               // last sent; nil: none yet
+	updateAt  clock.Millis                           // when the last update was sent
+	snapshots map[string]versionStamp                // last version sent, by daemon
+	group     int64                                  // number of the last group snapshot sent
+	owners    int64                                  // version of the owners last sent
+	reported  map[string]int64                       // process start in the last holdings sent from a server's own report, by server
+	tables    map[string]versionStamp                // last version sent, by server
+	tablesAt  int64                                  // number of table changes when tables were last compared
+	reports   int64                                  // number of servers' reports when they were last compared
+	sums      map[string]inflight.Sum                // last sent, by server; nil: none yet
+	uses      map[string]map[platformapi.Adapter]int // last sent, by server
+	era       int64                                  // of the store
+	revision  int64                                  // of the store, in that era
+	usage     quota.SentTotals
+	usageAt   clock.Millis // when usage was last sent
+	warnings  warningsSent
 }
 
-// toldTo returns what an address has been told. The mutex is held.
-func (core *core) toldTo(address string) *toldState {
-	told, ok := core.told[address]
+// sentTo returns the record of what the peer at an address has been sent. The mutex must be
+// held.
+func (core *core) sentTo(address string) *sentState {
+	sent, ok := core.sent[address]
 	if !ok {
-		told = newTold()
-		core.told[address] = told
+		sent = newSentState()
+		core.sent[address] = sent
 	}
-	return told
+	return sent
 }
 
-func newTold() *toldState {
-	return &toldState{
-		usage: make(quota.Told), shares: make(map[string]stamp), reported: make(map[string]int64), tables: make(map[string]stamp), uses: make(map[string]map[port.Adapter]int),
+func newSentState() *sentState {
+	return &sentState{
+		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[platformapi.Adapter]int),
 	}
 }
 
-// self is this daemon as its peers know it.
+// self describes this daemon to its peers.
 func (core *core) self() topology.Daemon {
 	address := core.settings.PeerAddress
 	if core.options.Advertise != "" {
@@ -74,9 +75,9 @@
 	}
 }
 
-// tellNews tells peers what they have not been told until the context ends: soon
-// after a table has changed, else at intervals.
-func (gateway *Gateway) tellNews(ctx context.Context) error {
+// sendDeltasLoop sends peers deltas until the context ends: soon after a table has changed, and
+// otherwise at intervals.
+func (gateway *Gateway) sendDeltasLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -85,39 +86,39 @@
 			return nil
 		case <-timer.C:
 			began := time.Now()
-			gateway.core.renewShare()
-			gateway.core.renewGroup()
-			gateway.tellDigests(true)
-			timer.Reset(gateway.core.tellInterval(clock.FromDuration(time.Since(began))).Duration())
-		case <-gateway.core.dirty:
-			gateway.tellDigests(false)
+			gateway.core.updateOwnSnapshot()
+			gateway.core.updateGroup()
+			gateway.sendDeltas(true)
+			timer.Reset(gateway.core.deltaInterval(clock.FromDuration(time.Since(began))).Duration())
+		case <-gateway.core.deltaDue:
+			gateway.sendDeltas(false)
 		}
 	}
 }
 
-// A hub that takes long to tell its digests, as one of many daemons before thousands of
-// servers does, rests for a multiple of that time, so that requests do not wait for it.
+// A hub that takes long to send its deltas, as one of many daemons with thousands of servers
+// does, pauses for a multiple of that time, so that requests do not have to wait for it.
 const (
-	tellRest     = 9
-	mostTellRest = 500 * clock.Millisecond
+	deltaPauseFactor = 9
+	maxDeltaPause    = 500 * clock.Millisecond
 )
 
-// tellInterval is the time until the next digests, after some that took so long. What a
-// hub tells differs from round to round; what a daemon of a mesh tells is told to all
-// others.
-func (core *core) tellInterval(took clock.Millis) clock.Millis {
+// deltaInterval is the time until the next deltas, given how long the last ones took. A daemon
+// of a mesh uses a fixed interval, as it sends the same to all others, whereas what a hub sends
+// differs in each round.
+func (core *core) deltaInterval(took clock.Millis) clock.Millis {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.members.Plan().Mesh || core.hub != "" {
 		return core.options.TellInterval
 	}
-	return max(core.options.HubInterval, min(tellRest*took, mostTellRest))
+	return max(core.options.HubInterval, min(deltaPauseFactor*took, maxDeltaPause))
 }
 
-// tellWork tells this daemon's hub its work soon after it has changed, until the context
-// ends. A daemon with few requests sends hardly more messages than at intervals, and the
-// hub knows of each a mean of half an interval earlier.
-func (gateway *Gateway) tellWork(ctx context.Context) error {
+// sendWorkLoop sends this daemon's hub its work soon after it has changed, until the context
+// ends. A daemon with few requests sends hardly more messages than at fixed intervals, and the
+// hub learns of each request half an interval earlier on average.
+func (gateway *Gateway) sendWorkLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -125,8 +126,8 @@
 		case <-gateway.core.workChanged:
 		}
 		if gateway.core.hasHub() {
-			gateway.core.renewShare()
-			gateway.tellDigests(true)
+			gateway.core.updateOwnSnapshot()
+			gateway.sendDeltas(true)
 		}
 		select {
 		case <-ctx.Done():
@@ -136,252 +137,253 @@
 	}
 }
 
-// hasHub reports whether another daemon adds up the work of others for this one.
+// hasHub reports whether another daemon aggregates the work of other daemons for this one.
 func (core *core) hasHub() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.hub != ""
 }
 
-// renewShare takes down what this daemon has in progress, if that has changed.
-func (core *core) renewShare() {
+// updateOwnSnapshot records what this daemon has in progress, unless it had and has nothing.
+func (core *core) updateOwnSnapshot() {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	own := core.work.Own()
-	last := core.shares[core.settings.Name]
+	last := core.snapshots[core.settings.Name]
 	if len(own.Loads) == 0 && len(last.Share.Loads) == 0 {
 		return
 	}
-	core.shares[core.settings.Name] = peers.DaemonShare{
-		Name: core.settings.Name, Incarnation: core.born, Number: last.Number + 1, Share: own.Clone(),
+	core.snapshots[core.settings.Name] = peers.DaemonShare{
+		Name: core.settings.Name, Incarnation: core.incarnation, Number: last.Number + 1, Share: own.Clone(),
 	}
 }
 
-// tellDigests tells each target its news, the requests in progress only if work is set.
-// Digests are made and sent in one order: what a peer is told builds on what it was told
-// before.
-func (gateway *Gateway) tellDigests(work bool) {
-	gateway.telling.Lock()
-	defer gateway.telling.Unlock()
+// sendDeltas sends each target its unsent changes, with requests in progress only if work is
+// set. Deltas are encoded and sent in one order, as each builds on the ones before.
+func (gateway *Gateway) sendDeltas(work bool) {
+	gateway.deltaMutex.Lock()
+	defer gateway.deltaMutex.Unlock()
 	core := gateway.core
 	core.mutex.Lock()
 	targets := core.members.Plan().Targets
 	core.mutex.Unlock()
 	for _, target := range targets {
 		core.mutex.Lock()
-		digest := core.digest(core.now(), target, work)
+		delta := core.delta(core.now(), target, work)
 		core.mutex.Unlock()
-		if digest != nil {
-			gateway.send(target.Address, peers.Message{Digest: digest})
+		if delta != nil {
+			gateway.send(target.Address, peers.Message{Delta: delta})
 		}
 	}
 }
 
-// digest returns the news for a target, or nil. The mutex is held.
-func (core *core) digest(now clock.Millis, target topology.Target, work bool) *peers.Digest {
-	told := core.toldTo(target.Address)
-	digest := &peers.Digest{Tables: core.tableNews(now, target, told)}
+// delta returns the unsent changes for a target, or nil if there are none. The mutex must be
+// held.
+func (core *core) delta(now clock.Millis, target topology.Target, work bool) *peers.Delta {
+	sent := core.sentTo(target.Address)
+	delta := &peers.Delta{Tables: core.unsentTables(now, target, sent)}
 	if work {
-		core.addWork(now, digest, target, told)
+		core.addWork(now, delta, target, sent)
 	}
 	if target.Scope == topology.Sums {
-		digest.Owners = core.ownerNews(told)
-		digest.Reported = core.reportNews(told)
+		delta.Owners = core.unsentOwners(sent)
+		delta.Reported = core.unsentReports(sent)
 	}
-	if target.Store {
-		digest.Store = core.storeNews(now, target.Name, told)
+	if target.IncludesStore {
+		delta.Store = core.unsentStoreItems(now, target.Name, sent)
 	}
-	if reflect.ValueOf(*digest).IsZero() {
+	if reflect.ValueOf(*delta).IsZero() {
 		return nil
 	}
-	return digest
+	return delta
 }
 
-// addWork adds what a target is told of requests in progress. The mutex is held.
-func (core *core) addWork(now clock.Millis, digest *peers.Digest, target topology.Target, told *toldState) {
+// addWork adds the requests in progress that a target is to be sent. The mutex must be held.
+func (core *core) addWork(now clock.Millis, delta *peers.Delta, target topology.Target, sent *sentState) {
 	switch target.Scope {
 	case topology.Sums:
-		digest.Sums = core.sumNews(now, target.Name, told)
+		delta.Sums = core.unsentSums(now, target.Name, sent)
 	case topology.Group:
-		digest.Group = core.groupNews(told)
+		delta.Group = core.unsentGroup(sent)
 	default:
-		digest.Shares = core.shareNews(told)
+		delta.Shares = core.unsentSnapshot(sent)
 	}
 }
 
-// shareNews returns this daemon's share, if a target has not been told of it. The mutex
-// is held.
-func (core *core) shareNews(told *toldState) []peers.DaemonShare {
-	share, ok := core.shares[core.settings.Name]
-	version := stamp{share.Incarnation, share.Number}
-	if !ok || !version.after(told.shares[share.Name]) {
+// unsentSnapshot returns this daemon's snapshot if a target has not been sent it. The mutex
+// must be held.
+func (core *core) unsentSnapshot(sent *sentState) []peers.DaemonShare {
+	share, ok := core.snapshots[core.settings.Name]
+	version := versionStamp{share.Incarnation, share.Number}
+	if !ok || !version.after(sent.snapshots[share.Name]) {
 		return nil
 	}
-	told.shares[share.Name] = version
+	sent.snapshots[share.Name] = version
 	return []peers.DaemonShare{share}
 }
 
-// tableNews returns the tables that a target has not been told. The mutex is held.
-func (core *core) tableNews(now clock.Millis, target topology.Target, told *toldState) []fleet.Table {
+// unsentTables returns the tables that a target has not been sent. The mutex must be held.
+func (core *core) unsentTables(now clock.Millis, target topology.Target, sent *sentState) []fleet.Table {
 	since := int64(0)
 	if target.Scope == topology.Sums {
-		since = told.tablesAt // it is told every table
+		since = sent.tablesAt // such a target is sent every table
 	}
 	changed, changes := core.fleet.TablesSince(since)
-	told.tablesAt = changes
-	var news []fleet.Table
+	sent.tablesAt = changes
+	var unsent []fleet.Table
 	for _, table := range changed {
-		version := stampOf(table)
-		if version.after(told.tables[table.Server]) && core.tellsTable(now, target.Scope, table.Server) {
-			told.tables[table.Server] = version
-			news = append(news, table)
+		version := tableVersion(table)
+		if version.after(sent.tables[table.Server]) && core.sendsTable(now, target.Scope, table.Server) {
+			sent.tables[table.Server] = version
+			unsent = append(unsent, table)
 		}
 	}
-	return news
+	return unsent
 }
 
-// tellsTable reports whether a target is told the table of a server by this daemon.
-// The mutex is held.
-func (core *core) tellsTable(now clock.Millis, scope topology.Scope, server string) bool {
-	if _, own := core.orders[server]; own || scope == topology.Sums {
+// sendsTable reports whether this daemon sends a target the table of a server. The mutex must
+// be held.
+func (core *core) sendsTable(now clock.Millis, scope topology.Scope, server string) bool {
+	if _, own := core.orderWorkers[server]; own || scope == topology.Sums {
 		return true
 	}
 	owner, known := core.ownerOf(now, server)
 	return scope == topology.Group && (!known || core.inGroup(owner))
 }
 
-// inGroup reports whether this daemon is the hub of another one. The mutex is held.
+// inGroup reports whether this daemon is the hub of another daemon. The mutex must be held.
 func (core *core) inGroup(name string) bool {
 	peer, ok := core.members.Peer(name)
 	return ok && peer.Hub == core.settings.Name
 }
 
-func stampOf(table fleet.Table) stamp {
-	return stamp{table.Fence, table.Number}
+func tableVersion(table fleet.Table) versionStamp {
+	return versionStamp{table.Fence, table.Number}
 }
 
-// storeNews returns what was read of the store since a peer was told, and that
-// the store still answers. The mutex is held.
-func (core *core) storeNews(now clock.Millis, target string, told *toldState) *peers.StoreNews {
+// unsentStoreItems returns the store items that a peer has not been sent, and the age of the
+// store's last answer. The mutex must be held.
+func (core *core) unsentStoreItems(now clock.Millis, target string, sent *sentState) *peers.StoreUpdate {
 	if core.store.readAt == 0 {
 		return nil
 	}
-	if told.era != core.store.era {
-		told.era, told.revision = core.store.era, 0
+	if sent.era != core.store.era {
+		sent.era, sent.revision = core.store.era, 0
 	}
 	if peer, ok := core.members.Peer(target); ok && peer.Era == core.store.era {
-		told.revision = max(told.revision, peer.Revision) // it has read that itself
+		sent.revision = max(sent.revision, peer.Revision) // the peer has read up to there itself
 	}
-	news := &peers.StoreNews{StoreItems: core.store.itemsSince(told.revision), Age: now - core.store.readAt}
-	if backAt := core.fleet.BackAt(); backAt > 0 {
-		news.Back = now - backAt
+	unsent := &peers.StoreUpdate{StoreItems: core.store.itemsSince(sent.revision), Age: now - core.store.readAt}
+	if backAt := core.fleet.OutageEnd(); backAt > 0 {
+		unsent.Back = now - backAt
 	}
-	told.revision = core.store.revision
-	return news
+	sent.revision = core.store.revision
+	return unsent
 }
 
-// takeDigest takes over a peer's news.
-func (gateway *Gateway) takeDigest(from string, digest *peers.Digest) {
+// applyDelta applies a peer's delta.
+func (gateway *Gateway) applyDelta(from string, delta *peers.Delta) {
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	told := newTold()
+	sent := newSentState()
 	if peer, ok := core.members.Peer(from); ok {
-		told = core.toldTo(peer.Address)
+		sent = core.sentTo(peer.Address)
 	}
-	for _, share := range digest.Shares {
-		core.takeShare(now, share)
+	for _, share := range delta.Shares {
+		core.applySnapshot(now, share)
 	}
-	if digest.Group != nil {
-		core.takeGroup(now, from, digest.Group)
+	if delta.Group != nil {
+		core.applyGroup(now, from, delta.Group)
 	}
-	if len(digest.Loads) > 0 && core.hub == "" {
-		core.takeWork(now, from, digest.Loads)
+	if len(delta.Loads) > 0 && core.hub == "" {
+		core.applyPeerWork(now, from, delta.Loads)
 	}
-	gateway.takeTables(told, digest.Tables)
-	core.takeReported(digest.Reported)
-	if digest.Owners != nil && from == core.hub {
-		core.owners = digest.Owners.By
-		if !core.members.Role().GivesOrders() {
-			core.loadRate.Adopt(digest.Owners.Learned)
+	gateway.applyTables(sent, delta.Tables)
+	core.applyReported(delta.Reported)
+	if delta.Owners != nil && from == core.hub {
+		core.owners = delta.Owners.By
+		if !core.members.Role().SendsOrders() {
+			core.loadRate.SetEstimate(delta.Owners.Learned)
 		}
 	}
-	if digest.Sums != nil {
-		core.takeSums(now, from, digest.Sums)
+	if delta.Sums != nil {
+		core.applySums(now, from, delta.Sums)
 	}
-	if digest.Store != nil {
-		core.takeStoreNews(now, digest.Store)
+	if delta.Store != nil {
+		core.applyStoreUpdate(now, delta.Store)
 	}
-	if digest.Usage != nil {
-		core.takeUsage(now, from, *digest.Usage)
+	if delta.Usage != nil {
+		core.applyUsage(now, from, *delta.Usage)
 	}
 }
 
-// takeTables takes over what servers hold, from a peer that need not be told of it
-// again. The mutex is held.
-func (gateway *Gateway) takeTables(told *toldState, tables []fleet.Table) {
+// applyTables applies servers' tables from a peer, and records that the peer knows them. The
+// mutex must be held.
+func (gateway *Gateway) applyTables(sent *sentState, tables []fleet.Table) {
 	core := gateway.core
-	news := false
+	changed := false
 	for _, table := range tables {
-		told.tables[table.Server] = stampOf(table)
+		sent.tables[table.Server] = tableVersion(table)
 		if !core.fleet.SetTable(table) {
 			continue
 		}
-		news = true
-		gateway.tellAskers(core.askers[table.Server], table)
+		changed = true
+		gateway.sendTableToWaiting(core.relayedAdapterRequests[table.Server], table)
 	}
-	if news {
-		core.notify()
+	if changed {
+		core.wakeWaitingRequests()
 	}
 }
 
-// takeShare takes over what a daemon has in progress. The mutex is held.
-func (core *core) takeShare(now clock.Millis, share peers.DaemonShare) {
-	known := core.shares[share.Name]
-	newer := stamp{share.Incarnation, share.Number}.after(stamp{known.Incarnation, known.Number})
+// applySnapshot applies the snapshot of what a daemon has in progress. The mutex must be held.
+func (core *core) applySnapshot(now clock.Millis, share peers.DaemonShare) {
+	known := core.snapshots[share.Name]
+	newer := versionStamp{share.Incarnation, share.Number}.after(versionStamp{known.Incarnation, known.Number})
 	if share.Name == core.settings.Name || !newer {
 		return
 	}
-	core.shares[share.Name] = share
+	core.snapshots[share.Name] = share
 	if core.hub == "" {
-		core.countUses(now, core.work.Peer(share.Name, share.Share))
+		core.countUses(now, core.work.SetPeer(share.Name, share.Share))
 	}
 }
 
-// countUses has planners know how often adapters are used through other daemons.
-// The mutex is held.
-func (core *core) countUses(now clock.Millis, uses map[tally.Use]int) {
+// countUses passes uses of adapters through other daemons to the planners. The mutex must be
+// held.
+func (core *core) countUses(now clock.Millis, uses map[inflight.Use]int) {
 	for use, more := range uses {
-		if held, ok := core.orders[use.Server]; ok {
-			held.planner.Used(now, use.Adapter, more)
+		if worker, ok := core.orderWorkers[use.Server]; ok {
+			worker.planner.RecordUse(now, use.Adapter, more)
 		}
 	}
 }
 
-// takeStoreNews takes over what a peer has read of the store. The mutex is held.
-func (core *core) takeStoreNews(now clock.Millis, news *peers.StoreNews) {
-	if news.Back > 0 {
-		core.fleet.Back(now - news.Back)
+// applyStoreUpdate applies store items from a peer that reads the store for this daemon. The
+// mutex must be held.
+func (core *core) applyStoreUpdate(now clock.Millis, received *peers.StoreUpdate) {
+	if received.Back > 0 {
+		core.fleet.RecordOutageEnd(now - received.Back)
 	}
-	if !core.takeStore(news.StoreItems) {
+	if !core.applyStoreItems(received.StoreItems) {
 		return
 	}
-	core.store.coveredAt = max(core.store.coveredAt, now-news.Age)
-	core.store.newsAt = now
+	core.store.coveredAt = max(core.store.coveredAt, now-received.Age)
+	core.store.readerHeardAt = now
 }
 
-// Turn implements mirror.Sink.
-func (core *core) Turn() (bool, mirror.Known) {
+// NextTurn implements mirror.Sink.
+func (core *core) NextTurn() (bool, mirror.Position) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	reads := core.options.Mirror.ReadsNow(mirror.Turn{
-		Reader: core.members.Plan().Reads, Knows: core.store.revision > 0, Hub: core.hub != "",
-		Covered: now - core.store.coveredAt, Unheard: now - core.store.newsAt, Lost: core.store.lostAt > 0, Tried: now - core.store.triedAt,
+	reads := core.options.Mirror.ShouldRead(mirror.ReaderState{
+		ReadsForOthers: core.members.Plan().ReadsStore, HasData: core.store.revision > 0, HasHub: core.hub != "",
+		HubReadAge: now - core.store.coveredAt, HubSilence: now - core.store.readerHeardAt, LastCallFailed: core.store.lostAt > 0, SinceLastCall: now - core.store.triedAt,
 	})
 	if reads {
 		core.store.triedAt = now
 	}
-	return reads, mirror.Known{Era: core.store.era, Revision: core.store.revision}
+	return reads, mirror.Position{Era: core.store.era, Revision: core.store.revision}
 }
--- a/internal/direct/gateway/store.go
+++ b/internal/direct/gateway/store.go
@@ -3,11 +3,11 @@
 import (
 	"teaselmoor/internal/base/clock"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Whole implements mirror.Sink.
-func (core *core) Whole(page port.Page) {
+// ReplaceAll implements mirror.Sink.
+func (core *core) ReplaceAll(page platformapi.Page) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if !core.enterEra(page.Era, true) {
@@ -16,87 +16,87 @@
 	listed := make(map[string]bool, len(page.Items))
 	for _, item := range page.Items {
 		listed[item.Key] = true
-		core.apply(item)
+		core.applyItem(item)
 	}
 	core.removeUnlisted(listed, page.AsOf)
 	core.store.revision = max(core.store.revision, page.AsOf)
 }
 
-// Changed implements mirror.Sink.
-func (core *core) Changed(page port.Page) {
+// ApplyChanges implements mirror.Sink.
+func (core *core) ApplyChanges(page platformapi.Page) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if !core.enterEra(page.Era, false) {
 		return
 	}
 	for _, item := range page.Items {
-		core.apply(item)
+		core.applyItem(item)
 	}
 	core.store.revision = max(core.store.revision, page.AsOf)
 }
 
-// Contact implements mirror.Sink.
-func (core *core) Contact(err error) {
+// RecordContact implements mirror.Sink.
+func (core *core) RecordContact(err error) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
 	if err == nil {
 		if core.store.lostAt > 0 {
-			core.log.Info("store back", "AwayMillis", now-core.store.lostAt)
+			core.log.Info("store reachable again", "AwayMillis", now-core.store.lostAt)
 		}
 		core.store.lostAt = 0
 		core.store.readAt = now
-		core.fleet.StoreBack(now)
+		core.fleet.StoreAvailable(now)
 		return
 	}
 	if core.store.lostAt == 0 {
-		core.log.Warn("store lost", "Error", err.Error())
+		core.log.Warn("store unreachable", "Error", err.Error())
 		core.store.lostAt = now
 	}
-	core.fleet.StoreLost(now)
+	core.fleet.StoreUnavailable(now)
 }
 
-// applyTold changes beliefs by items that a peer has told. The mutex is held.
-func (core *core) applyTold(items []peers.Item) {
+// applyPeerItems applies store items that a peer has sent. The mutex must be held.
+func (core *core) applyPeerItems(items []peers.Item) {
 	for _, item := range items {
-		if !core.store.news(item.Key, item.Revision) {
+		if !core.store.isNewer(item.Key, item.Revision) {
 			continue
 		}
-		read, err := item.Unpack()
+		unpacked, err := item.Unpack()
 		if err != nil {
 			core.log.Warn("entry not understood", "Key", item.Key, "Revision", item.Revision, "Error", err.Error())
 			continue
 		}
 		core.store.put(item)
-		core.believeItem(read)
+		core.decodeAndApply(unpacked)
 	}
 }
 
-// apply changes beliefs by an item that was read. The mutex is held.
-func (core *core) apply(item port.Item) {
-	if core.store.news(item.Key, item.Revision) {
+// applyItem applies a store item that this daemon has read. The mutex must be held.
+func (core *core) applyItem(item platformapi.Item) {
+	if core.store.isNewer(item.Key, item.Revision) {
 		core.store.put(peers.Pack(item))
-		core.believeItem(item)
+		core.decodeAndApply(item)
 		return
 	}
 	if known := core.store.items[item.Key].Revision; item.Revision < known {
-		core.log.Info("older entry ignored", "Key", item.Key, "Revision", item.Revision, "Known", known)
+		core.log.Info("older store entry ignored", "Key", item.Key, "Revision", item.Revision, "Known", known)
 	}
 }
 
-// believeItem changes beliefs by an item that is news. The mutex is held.
-func (core *core) believeItem(item port.Item) {
+// decodeAndApply applies a store item that is newer than the known one. The mutex must be held.
+func (core *core) decodeAndApply(item platformapi.Item) {
 	now := core.now()
-	id, ofServer := core.decoder.ServerOf(item.Key)
+	id, ofServer := core.decoder.ServerID(item.Key)
 	if item.Deleted {
 		if ofServer {
 			core.log.Info("server removed", "Server", id, "Revision", item.Revision)
 			core.fleet.Remove(now, id, item.Revision)
-			core.notify()
+			core.wakeWaitingRequests()
 		}
 		return
 	}
-	belief, err := core.decoder.Decode(item)
+	decoded, err := core.decoder.Decode(item)
 	if err != nil {
 		core.log.Warn("entry not understood", "Key", item.Key, "Revision", item.Revision, "Error", err.Error())
 		if ofServer {
@@ -104,63 +104,67 @@
 		}
 		return
 	}
-	core.believe(now, belief, item.Revision)
+	core.applyDecoded(now, decoded, item.Revision)
 }
 
-func (core *core) believe(now clock.Millis, belief port.Belief, revision int64) {
+// applyDecoded applies the content of a store item. The mutex must be held.
+func (core *core) applyDecoded(now clock.Millis, decoded platformapi.DecodedItem, revision int64) {
 	switch {
-	case belief.Catalog != nil:
-		if core.catalog != nil && belief.Catalog.Version <= core.catalog.Version {
-			core.log.Warn("older configuration ignored", "Version", belief.Catalog.Version, "InForce", core.catalog.Version)
+	case decoded.Catalog != nil:
+		if core.catalog != nil && decoded.Catalog.Version <= core.catalog.Version {
+			core.log.Warn("older configuration ignored", "Version", decoded.Catalog.Version, "InForce", core.catalog.Version)
 			return
 		}
-		core.catalog = belief.Catalog
-		core.ledger.SetLimits(now, belief.Catalog.Accounts)
-		core.log.Info("configuration in force", "Version", belief.Catalog.Version, "Revision", revision)
-	case belief.Version != nil:
-		if belief.Version.Version <= core.newest(belief.Version.Adapter) {
+		core.catalog = decoded.Catalog
+		core.ledger.SetLimits(now, decoded.Catalog.Accounts)
+		core.log.Info("configuration in force", "Version", decoded.Catalog.Version, "Revision", revision)
+	case decoded.AdapterVersion != nil:
+		if decoded.AdapterVersion.Version <= core.newestVersion(decoded.AdapterVersion.Adapter) {
 			return
 		}
-		core.versions[belief.Version.Adapter] = namedVersion{version: belief.Version.Version, at: now}
-		core.log.Info("adapter version named", "Model", belief.Version.Adapter.Model, "Adapter", belief.Version.Adapter.Name,
-			"Version", belief.Version.Version, "Revision", revision)
-		core.wakeOrders()
-	case belief.Server != nil:
-		core.believeServer(*belief.Server, revision)
+		core.versions[decoded.AdapterVersion.Adapter] = namedVersion{version: decoded.AdapterVersion.Version, at: now}
+		core.log.Info("new adapter version", "Model", decoded.AdapterVersion.Adapter.Model, "Adapter", decoded.AdapterVersion.Adapter.Name,
+			"Version", decoded.AdapterVersion.Version, "Revision", revision)
+		core.wakeOrderWorkers()
+	case decoded.Server != nil:
+		core.applyServer(*decoded.Server, revision)
 	}
 }
 
-func (core *core) believeServer(server port.Server, revision int64) {
+// applyServer applies a server entry of the store. The mutex must be held.
+func (core *core) applyServer(server platformapi.Server, revision int64) {
 	before, known := core.fleet.Member(server.ID)
 	former, draining := server, false
 	if known {
 		former, draining = before.Server, before.Draining
 	}
-	restarted := known && before.Born != server.Born
+	restarted := known && before.StartedAt != server.StartedAt
 	newlyDraining := server.Draining && (!known || !before.Draining)
 	if !core.fleet.Put(server, revision) {
 		return
 	}
 	switch {
 	case !known:
-		core.log.Info("server found", "Server", server.ID, "Service", server.Service, "Address", server.Address, "Draining", server.Draining, "Revision", revision)
+		core.log.Info("server discovered", "Server", server.ID, "Service", server.Service, "Address", server.Address, "Draining", server.Draining, "Revision", revision)
 	case restarted:
 		if !draining {
-			core.restarted(former)
+			core.handleRestart(former)
 		}
-		core.log.Info("server restarted", "Server", server.ID, "Born", server.Born, "Revision", revision)
-		if held, ok := core.orders[server.ID]; ok {
-			held.planner.Forget()
-			held.poke()
+		core.log.Info("server restarted", "Server", server.ID, "Born", server.StartedAt, "Revision", revision)
+		if worker, ok := core.orderWorkers[server.ID]; ok {
+			worker.planner.InvalidateReport()
+			worker.wakeUp()
 		}
 	case newlyDraining:
-		core.log.Info("server draining", "Server", server.ID, "LeavesMillis", server.Leaves, "Revision", revision)
+		core.log.Info("server draining", "Server", server.ID, "LeavesMillis", server.LeavesIn, "Revision", revision)
 	}
-	core.notify()
+	core.wakeWaitingRequests()
 }
 
-func (core *core) wakeOrders() {
-	for _, held := range core.orders {
-		held.poke()
+// wakeOrderWorkers wakes the workers of all servers that this daemon owns. The mutex must be
+// held.
+func (core *core) wakeOrderWorkers() {
+	for _, worker := range core.orderWorkers {
+		worker.wakeUp()
 	}
 }
--- a/internal/direct/gateway/storecopy.go
+++ b/internal/direct/gateway/storecopy.go
@@ -7,75 +7,77 @@
 	"teaselmoor/internal/direct/peers"
 )
 
-// storeCopy is what this daemon has read of the store or heard of it from peers.
-// Items are kept as they are passed on. All of it is of one era.
+// storeCopy holds what this daemon has read of the store or received of it from peers. Items
+// are kept in the form in which they are sent to peers. All are of one era.
 type storeCopy struct {
-	items     map[string]peers.Item // removed ones too, with their revision
-	era       int64
-	revision  int64        // all changes up to it are known
-	lostAt    clock.Millis // since when no call was answered; 0: the last one was
-	readAt    clock.Millis // when the store answered last
-	triedAt   clock.Millis // when this daemon last called it
-	newsAt    clock.Millis // when that peer was heard last
-	coveredAt clock.Millis // when it answered the peer last that reads it for this daemon
+	items         map[string]peers.Item // including removed ones, with the revision of the removal
+	era           int64
+	revision      int64        // all changes up to it are known
+	lostAt        clock.Millis // since when calls have failed; 0: the last call was answered
+	readAt        clock.Millis // when the store last answered this daemon
+	triedAt       clock.Millis // when this daemon last called the store
+	readerHeardAt clock.Millis // when the peer that reads the store for this daemon was last heard from
+	coveredAt     clock.Millis // when the store last answered that peer
 }
 
 func newStoreCopy() *storeCopy {
 	return &storeCopy{items: make(map[string]peers.Item)}
 }
 
-// put takes an item over and reports whether it is news.
-func (copied *storeCopy) put(item peers.Item) bool {
-	if !copied.news(item.Key, item.Revision) {
+// put stores an item, and reports whether it is newer than the known one.
+func (storeCopy *storeCopy) put(item peers.Item) bool {
+	if !storeCopy.isNewer(item.Key, item.Revision) {
 		return false
 	}
-	copied.items[item.Key] = item
+	storeCopy.items[item.Key] = item
 	return true
 }
 
-// news reports whether a revision of an item is newer than the one known.
-func (copied *storeCopy) news(key string, revision int64) bool {
-	known, ok := copied.items[key]
+// isNewer reports whether a revision of an item is newer than the known one.
+func (storeCopy *storeCopy) isNewer(key string, revision int64) bool {
+	known, ok := storeCopy.items[key]
 	return !ok || revision > known.Revision
 }
 
 // since returns the items that changed after a revision, small ones first.
-func (copied *storeCopy) since(revision int64) []peers.Item {
+func (storeCopy *storeCopy) since(revision int64) []peers.Item {
 	var items []peers.Item
-	for _, item := range copied.items {
+	for _, item := range storeCopy.items {
 		if item.Revision > revision {
 			items = append(items, item)
 		}
 	}
-	slices.SortFunc(items, peers.BySize)
+	slices.SortFunc(items, peers.CompareBySize)
 	return items
 }
 
-// itemsSince returns the items that changed after a revision, as peers are told.
-func (copied *storeCopy) itemsSince(revision int64) peers.StoreItems {
-	return peers.StoreItems{Items: copied.since(revision), AsOf: copied.revision, Era: copied.era, Whole: revision == 0}
+// itemsSince returns the items that changed after a revision, as a message to peers.
+func (storeCopy *storeCopy) itemsSince(revision int64) peers.StoreItems {
+	return peers.StoreItems{Items: storeCopy.since(revision), AsOf: storeCopy.revision, Era: storeCopy.era, Whole: revision == 0}
 }
 
-// enter begins a later era: whatever is read in it is news, and what is not is not told on.
-func (copied *storeCopy) enter(era int64) {
-	copied.era, copied.revision = era, 0
-	for key, item := range copied.items {
+// startEra begins a later era of the store. Known items get revision 0, so that any item read
+// in the new era replaces them and they are not sent to peers before.
+func (storeCopy *storeCopy) startEra(era int64) {
+	storeCopy.era, storeCopy.revision = era, 0
+	for key, item := range storeCopy.items {
 		if item.Deleted {
-			delete(copied.items, key)
+			delete(storeCopy.items, key)
 			continue
 		}
 		item.Revision = 0
-		copied.items[key] = item
+		storeCopy.items[key] = item
 	}
 }
 
-// tombstones bounds how long a removed item is remembered, in revisions of the
-// store: peers that lag further read the store themselves.
-const tombstones = 20_000
+// tombstoneRevisions is how long a removed item is remembered, in revisions of the store. Peers
+// that lag further behind read the store themselves.
+const tombstoneRevisions = 20_000
 
-func (core *core) forgetRemoved() {
+// pruneTombstones forgets items that were removed long ago. The mutex must be held.
+func (core *core) pruneTombstones() {
 	for key, item := range core.store.items {
-		if item.Deleted && item.Revision < core.store.revision-tombstones {
+		if item.Deleted && item.Revision < core.store.revision-tombstoneRevisions {
 			delete(core.store.items, key)
 		}
 	}
--- a/internal/direct/gateway/sums.go
+++ b/internal/direct/gateway/sums.go
@@ -4,36 +4,36 @@
 	"maps"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/tally"
 )
 
-// sumNews returns the sums that a daemon has not been told, and who uses the
-// servers that it orders. The mutex is held.
-func (core *core) sumNews(now clock.Millis, target string, told *toldState) *peers.Sums {
-	sums := core.work.Others(target)
-	news := &peers.Sums{Whole: told.sums == nil, Servers: changedSums(told.sums, sums)}
-	told.sums = sums
+// unsentSums returns the aggregated counts that a daemon has not been sent, and the uses of
+// adapters by others on the servers that it owns. The mutex must be held.
+func (core *core) unsentSums(now clock.Millis, target string, sent *sentState) *peers.Sums {
+	sums := core.work.SumsExcept(target)
+	unsent := &peers.Sums{Whole: sent.sums == nil, Servers: changedSums(sent.sums, sums)}
+	sent.sums = sums
 	for server := range core.fleet.Tables() {
 		if owner, _ := core.ownerOf(now, server); owner != target {
-			delete(told.uses, server)
+			delete(sent.uses, server)
 			continue
 		}
-		uses := core.work.UsesBut(target, server)
-		if before, ok := told.uses[server]; !ok || !maps.Equal(before, uses) {
-			told.uses[server] = uses
-			news.Uses = append(news.Uses, peers.ServerUses{Server: server, Uses: uses})
+		uses := core.work.UsesExcept(target, server)
+		if before, ok := sent.uses[server]; !ok || !maps.Equal(before, uses) {
+			sent.uses[server] = uses
+			unsent.Uses = append(unsent.Uses, peers.ServerUses{Server: server, Uses: uses})
 		}
 	}
-	if !news.Whole && len(news.Servers) == 0 && len(news.Uses) == 0 {
+	if !unsent.Whole && len(unsent.Servers) == 0 && len(unsent.Uses) == 0 {
 		return nil
 	}
-	return news
+	return unsent
 }
 
-// changedSums returns the sums that differ, 0 for those that are no more.
-func changedSums(before, after map[string]tally.Sum) map[string]tally.Sum {
-	changed := make(map[string]tally.Sum)
+// changedSums returns the counts that differ, with 0 for servers that are no longer listed.
+func changedSums(before, after map[string]inflight.Sum) map[string]inflight.Sum {
+	changed := make(map[string]inflight.Sum)
 	for server, sum := range after {
 		if before[server] != sum {
 			changed[server] = sum
@@ -41,63 +41,65 @@
 	}
 	for server := range before {
 		if _, ok := after[server]; !ok {
-			changed[server] = tally.Sum{}
+			changed[server] = inflight.Sum{}
 		}
 	}
 	return changed
 }
 
-// takeSums takes over what a hub has added up. What another daemon than this one's
-// hub says is kept, in case it becomes the hub. The mutex is held.
-func (core *core) takeSums(now clock.Millis, from string, sums *peers.Sums) {
+// applySums applies a hub's aggregated counts. Counts from a daemon that is not this one's hub
+// are kept in case it becomes the hub. The mutex must be held.
+func (core *core) applySums(now clock.Millis, from string, sums *peers.Sums) {
 	if sums.Whole {
-		core.sums[from] = make(map[string]tally.Sum, len(sums.Servers))
+		core.sums[from] = make(map[string]inflight.Sum, len(sums.Servers))
 	}
 	known, ok := core.sums[from]
 	if !ok {
-		return // the first, whole ones were lost with their connection
+		return // the full counts sent first were lost with their connection
 	}
 	maps.Copy(known, sums.Servers)
-	core.follow(now)
+	core.updateHub(now)
 	if core.hub != from {
 		return
 	}
-	core.work.SetOthers(known)
+	core.work.SetHubSums(known)
 	for _, uses := range sums.Uses {
-		core.countUses(now, core.work.SetUses(uses.Server, uses.Uses))
+		core.countUses(now, core.work.SetHubUses(uses.Server, uses.Uses))
 	}
 }
 
-// follow has the sums of this daemon's present hub count, or what each daemon tells
-// itself where there is none. It reports whether the hub is another one. The mutex is held.
-func (core *core) follow(now clock.Millis) bool {
+// updateHub switches to the counts of this daemon's current hub, or to those that each daemon
+// sends itself if there is no hub. It reports whether the hub has changed. The mutex must be
+// held.
+func (core *core) updateHub(now clock.Millis) bool {
 	hub := core.members.Plan().Hub
 	if hub == core.hub {
 		return false
 	}
 	core.log.Info("hub changed", "Hub", hub, "Before", core.hub)
 	core.hub = hub
-	if hub != "" && hub != core.followsAt {
-		core.followsAt = hub
-		core.ledger.Follow()
+	if hub != "" && hub != core.lastHub {
+		core.lastHub = hub
+		core.ledger.ForgetHub()
 	}
-	core.work.ClearOthers()
+	core.work.ClearHubSums()
 	if peer, ok := core.members.Peer(hub); ok {
-		// A hub that had lost sight of this daemon has forgotten its work.
-		delete(core.toldTo(peer.Address).shares, core.settings.Name)
+		// A hub that had lost contact with this daemon has dropped its work, so it is sent
+		// again.
+		delete(core.sentTo(peer.Address).snapshots, core.settings.Name)
 	}
 	if hub != "" {
-		core.work.SetOthers(core.sums[hub])
+		core.work.SetHubSums(core.sums[hub])
 		return true
 	}
-	for name, share := range core.shares {
+	for name, share := range core.snapshots {
 		if core.members.Live(now, name) {
-			core.work.Peer(name, share.Share)
+			core.work.SetPeer(name, share.Share)
 		}
 	}
 	for name, group := range core.groups {
 		if core.members.Live(now, name) {
-			core.work.Peer(name, group.share)
+			core.work.SetPeer(name, group.snapshot)
 		}
 	}
 	return true
--- a/internal/direct/gateway/unplaced.go
+++ b/internal/direct/gateway/unplaced.go
@@ -10,43 +10,43 @@
 	"teaselmoor/internal/direct/fleet"
 )
 
-// unplaced says why there is no server for a request. The mutex is held.
-func (core *core) unplaced(now clock.Millis, job *job) *verdict {
-	result := &verdict{status: http.StatusServiceUnavailable, reason: ending.NoServer}
+// noServerResult returns the reason why no server can take a request. The mutex must be held.
+func (core *core) noServerResult(now clock.Millis, job *job) *tryResult {
+	result := &tryResult{status: http.StatusServiceUnavailable, reason: ending.NoServer}
 	for _, member := range core.fleet.Usable(job.service) {
-		if !slices.Contains(job.tried, member.ID) && !core.limits.Allows(now, member.ID) {
-			result.reason = ending.Limited
+		if !slices.Contains(job.triedServers, member.ID) && !core.serverLimits.Allows(now, member.ID) {
+			result.reason = ending.ServersLimited
 		}
 	}
-	left := core.resting(now, job)
+	left := core.shortestPause(now, job)
 	if left == 0 || result.reason != ending.NoServer {
 		return result
 	}
-	result.reason = ending.Resting
-	if job.sends == 0 {
-		job.comeBack = min(left, core.options.RetryAfter)
+	result.reason = ending.ServersPaused
+	if job.mayHaveRun == 0 {
+		job.retryAfter = min(left, core.options.RetryAfter)
 	}
 	return result
 }
 
-// logNotPlaced writes what decided that a request does not wait any longer. The
-// mutex is held.
-func (core *core) logNotPlaced(now clock.Millis, job *job, server *fleet.Member, hopeless bool, patience clock.Millis) {
-	loading, queued := core.coming()
-	loadingHere, queuedHere := server.Coming()
+// logAdapterNotReady logs why a request does not wait for its adapter any longer. The mutex
+// must be held.
+func (core *core) logAdapterNotReady(now clock.Millis, job *job, server *fleet.Member, tooLate bool, maxWait clock.Millis) {
+	loading, queued := core.incomingAdapters()
+	loadingHere, queuedHere := server.LoadCounts()
 	owner, _ := core.ownerOf(now, server.ID)
-	core.log.Info(ending.MessageNotReady, "Request", job.call.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
-		"AtOnce", hopeless, "PatienceMillis", patience, "LoadMillis", core.loadWait(server), "Loading", loading, "Queued", queued,
+	core.log.Info(ending.MessageAdapterNotReady, "Request", job.headers.Attempt, "Server", server.ID, "Adapter", job.adapter.Name, "Owner", owner,
+		"AtOnce", tooLate, "PatienceMillis", maxWait, "LoadMillis", core.expectedLoadTime(server), "Loading", loading, "Queued", queued,
 		"LoadingHere", loadingHere, "QueuedHere", queuedHere)
 }
 
-// notPlaced says why a request got no server in time.
-func notPlaced(ctx context.Context, job *job) *verdict {
+// waitEndedResult returns the reason why a request's wait for its adapter ended.
+func waitEndedResult(ctx context.Context, job *job) *tryResult {
 	if job.incoming.Context().Err() != nil {
-		return &verdict{done: false, status: http.StatusServiceUnavailable, reason: ending.CallerLeft}
+		return &tryResult{done: false, status: http.StatusServiceUnavailable, reason: ending.CallerLeft}
 	}
 	if ctx.Err() != nil {
-		return &verdict{status: http.StatusServiceUnavailable, reason: ending.Deadline}
+		return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Deadline}
 	}
-	return &verdict{status: http.StatusServiceUnavailable, reason: ending.LoadWait}
+	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.AdapterNotReady}
 }
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -9,196 +9,201 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// Daemons that claim servers hear each other each UpdateInterval, and less often where
-// they are many: their messages grow with the square of their number. 12 send 22 a second
-// each, 30 send 29.
+// Daemons that claim servers send each other updates each UpdateInterval, and less often if
+// they are many, as the number of messages grows with the square of their number. 12 daemons
+// send 22 messages a second each, 30 send 29.
 const (
-	usualOrderers = 12
-	mostPace      = 4 // with an update each 2 s the servers of a daemon that died wait 1.5 s longer
+	orderersPerIntervalStep = 12
+	maxIntervalFactor       = 4 // with an update each 2 s the servers of a daemon that died wait 1.5 s longer for an owner
 )
 
-// memberPace is how many times longer than UpdateInterval the time between updates is
-// that serve only to show that the sender lives.
-const memberPace = 2
+// memberIntervalFactor is the factor on UpdateInterval for updates that only show that the
+// sender is alive.
+const memberIntervalFactor = 2
 
-// pace is how many times UpdateInterval lies between two updates to daemons that claim
-// servers. The mutex is held.
-func (core *core) pace() int {
+// updateIntervalFactor is the factor on UpdateInterval for updates to daemons that claim
+// servers. The mutex must be held.
+func (core *core) updateIntervalFactor() int {
 	orderers := len(core.members.Orderers()) + 1
-	return min((orderers+usualOrderers-1)/usualOrderers, mostPace)
+	return min((orderers+orderersPerIntervalStep-1)/orderersPerIntervalStep, maxIntervalFactor)
 }
 
-// audience is what decides which update a peer is told: each is encoded once.
+// audience determines the contents of an update, so that each variant is encoded only once.
 type audience struct {
-	wants  bool // the connection is wanted, and not only answered
-	claims bool // the peer claims servers, may soon do so, or has not said whether it does
+	wants  bool // this daemon wants the connection, rather than only accepting the peer's wish for it
+	claims bool // the peer claims servers, may soon do so, or has not reported its role
 }
 
-// interval is the time between two updates. The mutex is held.
-func (core *core) interval(told audience) clock.Millis {
-	if told.claims && core.members.Role().GivesOrders() {
-		return core.options.UpdateInterval * clock.Millis(core.pace())
+// updateInterval is the time between two updates to an audience. The mutex must be held.
+func (core *core) updateInterval(to audience) clock.Millis {
+	if to.claims && core.members.Role().SendsOrders() {
+		return core.options.UpdateInterval * clock.Millis(core.updateIntervalFactor())
 	}
 	if core.members.Plan().Mesh {
 		return core.options.UpdateInterval
 	}
-	return core.options.UpdateInterval * memberPace
+	return core.options.UpdateInterval * memberIntervalFactor
 }
 
-// audienceOf returns how the daemon at an address is told. The mutex is held.
+// audienceOf returns the audience that the daemon at an address belongs to. The mutex must be
+// held.
 func (core *core) audienceOf(address string) audience {
-	name, ok := core.nameAt[address]
+	name, ok := core.peerNames[address]
 	if !ok {
 		return audience{wants: true, claims: true}
 	}
-	peer, heard := core.members.Peer(name)
+	peer, known := core.members.Peer(name)
 	return audience{
-		wants:  core.members.Wants(name) || core.seedAt[address],
-		claims: !heard || peer.Role.GivesOrders() || core.members.Linked(name),
+		wants:  core.members.Wants(name) || core.seedAddresses[address],
+		claims: !known || peer.Role.SendsOrders() || core.members.InPlan(name),
 	}
 }
 
-// tellUpdates tells an update to each peer that one is due for.
-func (gateway *Gateway) tellUpdates() {
+// sendDueUpdates sends an update to each peer for which one is due.
+func (gateway *Gateway) sendDueUpdates() {
 	core := gateway.core
-	addresses := gateway.mesh.Addresses()
+	addresses := gateway.network.ConnectedAddresses()
 	core.mutex.Lock()
 	now := core.now()
 	due := slices.DeleteFunc(addresses, func(address string) bool {
-		told, ok := core.told[address]
-		return ok && now-told.updateAt < core.interval(core.audienceOf(address))-core.options.UpdateInterval/2
+		sent, ok := core.sent[address]
+		return ok && now-sent.updateAt < core.updateInterval(core.audienceOf(address))-core.options.UpdateInterval/2
 	})
 	ping := core.options.UpdateInterval
 	if !core.members.Plan().Mesh {
-		ping *= memberPace
+		ping *= memberIntervalFactor
 	}
 	core.mutex.Unlock()
-	gateway.mesh.SetPing(ping)
-	gateway.tellUpdate(now, due)
+	gateway.network.SetPing(ping)
+	gateway.sendUpdate(now, due)
 }
 
-// tellOrderers tells the daemons that claim servers an update at once.
-func (gateway *Gateway) tellOrderers(now clock.Millis) {
+// sendUpdateToOrderers sends an update at once to the daemons that claim servers.
+func (gateway *Gateway) sendUpdateToOrderers(now clock.Millis) {
 	core := gateway.core
-	addresses := gateway.mesh.Addresses()
+	addresses := gateway.network.ConnectedAddresses()
 	core.mutex.Lock()
-	told := slices.DeleteFunc(addresses, func(address string) bool { return !core.audienceOf(address).claims })
+	orderers := slices.DeleteFunc(addresses, func(address string) bool { return !core.audienceOf(address).claims })
 	core.mutex.Unlock()
-	gateway.tellUpdate(now, told)
+	gateway.sendUpdate(now, orderers)
 }
 
-// tellUpdate tells the daemons at some addresses an update; each is named the daemons
-// that it has not been told of yet.
-func (gateway *Gateway) tellUpdate(now clock.Millis, addresses []string) {
+// sendUpdate sends an update to the daemons at the given addresses. Each receives the
+// membership changes that it has not been sent yet.
+func (gateway *Gateway) sendUpdate(now clock.Millis, addresses []string) {
 	core := gateway.core
-	plain := make(map[audience][]byte) // updates without news are the same for an audience
+	plain := make(map[audience][]byte) // updates without membership changes are the same for all of an audience
 	for _, address := range addresses {
 		core.mutex.Lock()
-		told := core.toldTo(address)
+		sent := core.sentTo(address)
 		audience := core.audienceOf(address)
 		update := core.update(now, audience)
-		news := core.addNews(update, told)
-		told.updateAt = now
+		hasUnsent := core.addUnsent(update, sent)
+		sent.updateAt = now
 		core.mutex.Unlock()
 		encoded, ok := plain[audience]
-		if news || !ok {
+		if hasUnsent || !ok {
 			var err error
 			if encoded, err = peers.Encode(peers.Message{Update: update}); err != nil {
-				gateway.log.Error("update not encoded", "Error", err.Error())
+				gateway.log.Error("cannot encode update", "Error", err.Error())
 				return
 			}
 		}
-		if !news {
+		if !hasUnsent {
 			plain[audience] = encoded
 		}
-		gateway.mesh.SendEncoded(address, encoded)
+		gateway.network.SendEncoded(address, encoded)
 	}
 }
 
-// addNews adds what a peer has not been told of the site's daemons, and reports whether
-// there is any. The mutex is held.
-func (core *core) addNews(update *peers.Update, told *toldState) bool {
+// addUnsent adds the membership changes that a peer has not been sent, and reports whether
+// there are any. The mutex must be held.
+func (core *core) addUnsent(update *peers.Update, sent *sentState) bool {
 	orderers := core.members.Orderers()
-	if told.orderers == nil || !slices.Equal(told.orderers, orderers) {
-		told.orderers = orderers
+	if sent.orderers == nil || !slices.Equal(sent.orderers, orderers) {
+		sent.orderers = orderers
 		update.Orderers = orderers
 	}
-	update.Members, told.members = core.members.News(told.members)
+	update.Members, sent.members = core.members.RecordsSince(sent.members)
 	return update.Orderers != nil || len(update.Members) > 0
 }
 
-// update is what peers are told. The mutex is held.
+// update returns an update without membership changes. The mutex must be held.
 func (core *core) update(now clock.Millis, audience audience) *peers.Update {
-	update := &peers.Update{Word: core.members.Word()}
-	update.Interval = core.interval(audience)
+	update := &peers.Update{Status: core.members.Status()}
+	update.Interval = core.updateInterval(audience)
 	update.Wants = audience.wants
 	update.Era, update.Revision = core.store.era, core.store.revision
 	if core.catalog != nil {
 		update.Version = core.catalog.Version
 	}
-	if audience.claims && update.Role.GivesOrders() {
+	if audience.claims && update.Role.SendsOrders() {
 		update.Claimed = true
-		update.Claims = core.tenure.Claims(now)
+		update.Claims = core.claims.Claims(now)
 	}
 	return update
 }
 
-// reconsider looks who is heard and what this daemon is to do. It reports whether it has
-// another role or another hub than peers were told. The mutex is held.
-func (core *core) reconsider(now clock.Millis) bool {
+// reviewMembership checks which peers are alive, and updates this daemon's role and hub. It
+// reports whether either differs from what peers were sent. The mutex must be held.
+func (core *core) reviewMembership(now clock.Millis) bool {
 	for _, name := range core.members.Tick(now) {
-		core.log.Info("peer forgotten", "Peer", name)
-		core.tenure.Left(now, name)
-		delete(core.shares, name)
+		core.log.Info("peer removed", "Peer", name)
+		core.claims.Left(now, name)
+		delete(core.snapshots, name)
 		delete(core.groups, name)
 		delete(core.sums, name)
 	}
-	changed, promoted := core.members.SetRole(now, len(core.orders) > 0)
+	changed, promoted := core.members.UpdateRole(now, len(core.orderWorkers) > 0)
 	if promoted {
-		core.tenure.Promoted(now)
+		core.claims.Promoted(now)
 	}
 	if changed {
-		core.tenure.Announced(now)
+		core.claims.Announced(now)
 		role := core.members.Role()
-		core.log.Info("role changed", "Orders", role.GivesOrders(), "Claims", role == topology.Candidate, "Daemons", core.members.Daemons())
+		core.log.Info("role changed", "Orders", role.SendsOrders(), "Claims", role == topology.Candidate, "Daemons", core.members.DaemonCount())
 	}
 	for name := range core.members.Peers() {
 		if !core.members.Live(now, name) {
-			core.work.Forget(name)
+			core.work.RemovePeer(name)
 		}
 	}
 	if core.hub != "" {
-		core.hubAt = now
+		core.lastHubAt = now
 	}
-	return core.follow(now) || changed
+	return core.updateHub(now) || changed
 }
 
-// relink keeps the connections that this daemon wants and those that its peers want.
-func (gateway *Gateway) relink() {
+// updateConnections keeps the connections that this daemon or its peers want, and closes the
+// others.
+func (gateway *Gateway) updateConnections() {
 	core := gateway.core
 	core.mutex.Lock()
 	links := core.members.Links(core.now())
-	clear(core.nameAt)
+	clear(core.peerNames)
 	for _, daemon := range links {
-		core.nameAt[daemon.Address] = daemon.Name
+		core.peerNames[daemon.Address] = daemon.Name
 	}
-	clear(core.seedAt)
-	if !core.joined() {
-		// Seeds are how daemons meet that know nothing of each other.
+	clear(core.seedAddresses)
+	if !core.hasJoinedGroup() {
+		// Seeds let daemons that know nothing of each other connect.
 		for _, seed := range core.settings.Seeds {
 			if seed != core.settings.PeerAddress {
-				core.seedAt[seed] = true
+				core.seedAddresses[seed] = true
 				links = append(links, topology.Daemon{Address: seed})
 			}
 		}
 	}
-	maps.DeleteFunc(core.told, func(address string, _ *toldState) bool { return core.nameAt[address] == "" && !core.seedAt[address] })
+	maps.DeleteFunc(core.sent, func(address string, _ *sentState) bool {
+		return core.peerNames[address] == "" && !core.seedAddresses[address]
+	})
 	core.mutex.Unlock()
-	gateway.mesh.Retain(links)
+	gateway.network.Retain(links)
 }
 
-// joined reports whether this daemon has found its place: candidates and hubs look for
-// others for it. The mutex is held.
-func (core *core) joined() bool {
+// hasJoinedGroup reports whether this daemon is an ordinary member with a hub. Candidates and
+// hubs keep connecting to seeds to find daemons on behalf of their members. The mutex must be
+// held.
+func (core *core) hasJoinedGroup() bool {
 	return !core.members.Plan().Mesh && core.members.Role() == topology.Member && core.hub != ""
 }
--- a/internal/direct/gateway/usage.go
+++ b/internal/direct/gateway/usage.go
@@ -11,27 +11,28 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// usageHeard is when a daemon told last what accounts use, and how.
-type usageHeard struct {
+// usageReport records when a daemon last reported the use of accounts, and which daemons it
+// covers.
+type usageReport struct {
 	at      clock.Millis
 	scope   quota.Scope
-	daemons int // that it counts together with
+	daemons int // that the report covers
 }
 
-// usageInterval is how often daemons tell each other of accounts at least: one that is
-// silent is taken to be cut off. These words do not wait for the digests, which a hub of
-// a site with thousands of servers tells less often.
+// usageInterval is the longest time between two reports on accounts; a daemon that sends none
+// is considered cut off. Reports are not part of the regular deltas, as a hub of a site with
+// thousands of servers sends those less often.
 const usageInterval = 250 * clock.Millisecond
 
-// hubTellers is the number of daemons whose words a daemon adds up that hears its hub.
-const hubTellers = 4
+// hubUsageSources is the number of daemons whose reports a daemon with a hub adds up.
+const hubUsageSources = 4
 
-// limitsPrune is how often accounts that are not used are looked for.
-const limitsPrune = clock.Second
+// accountPruneInterval is the time between two removals of unused accounts.
+const accountPruneInterval = clock.Second
 
-// tellUsages tells peers what accounts use until the context ends: soon after that has
-// changed, else at intervals.
-func (gateway *Gateway) tellUsages(ctx context.Context) error {
+// sendUsageLoop sends peers the use of accounts until the context ends: soon after it has
+// changed, and otherwise at intervals.
+func (gateway *Gateway) sendUsageLoop(ctx context.Context) error {
 	timer := time.NewTimer(usageInterval.Duration())
 	defer timer.Stop()
 	for {
@@ -41,7 +42,7 @@
 		case <-gateway.core.usageChanged:
 		case <-timer.C:
 		}
-		gateway.tellUsage()
+		gateway.sendUsage()
 		timer.Reset(usageInterval.Duration())
 		select {
 		case <-ctx.Done():
@@ -51,81 +52,83 @@
 	}
 }
 
-// used notes that the use of accounts has changed. The mutex is held.
-func (core *core) used() {
+// markUsageChanged records that the use of accounts has changed. The mutex must be held.
+func (core *core) markUsageChanged() {
 	select {
 	case core.usageChanged <- struct{}{}:
 	default:
 	}
 }
 
-// tellUsage tells peers what they have not been told of accounts.
-func (gateway *Gateway) tellUsage() {
+// sendUsage sends peers the use of accounts that they have not been sent.
+func (gateway *Gateway) sendUsage() {
 	core := gateway.core
 	core.mutex.Lock()
 	targets := core.members.Plan().Targets
-	words := make([]*quota.Word, len(targets))
+	reports := make([]*quota.Report, len(targets))
 	for i, target := range targets {
-		words[i] = core.usageNews(core.now(), target, core.toldTo(target.Address))
+		reports[i] = core.unsentUsage(core.now(), target, core.sentTo(target.Address))
 	}
 	core.mutex.Unlock()
-	for i, word := range words {
-		if word != nil {
-			gateway.send(targets[i].Address, peers.Message{Digest: &peers.Digest{Usage: word}})
+	for i, report := range reports {
+		if report != nil {
+			gateway.send(targets[i].Address, peers.Message{Delta: &peers.Delta{Usage: report}})
 		}
 	}
 }
 
-// usageNews returns what a target has not been told of accounts. The mutex is held.
-func (core *core) usageNews(now clock.Millis, target topology.Target, told *toldState) *quota.Word {
-	if !core.ledger.Limits() {
+// unsentUsage returns the use of accounts that a target has not been sent. The mutex must be
+// held.
+func (core *core) unsentUsage(now clock.Millis, target topology.Target, sent *sentState) *quota.Report {
+	if !core.ledger.Limited() {
 		return nil
 	}
-	word := &quota.Word{Incarnation: core.born}
-	sharers := core.members.Daemons()
+	report := &quota.Report{Incarnation: core.incarnation}
+	sharers := core.members.DaemonCount()
 	switch target.Scope {
 	case topology.Sums:
-		word.Scope, word.Daemons, sharers = quota.Others, core.ledger.Site().Reached, hubTellers
+		report.Scope, report.Daemons, sharers = quota.Others, core.ledger.Site().Reached, hubUsageSources
 	case topology.Group:
-		word.Scope, word.Daemons = quota.Group, core.groupSize(now)
+		report.Scope, report.Daemons = quota.Group, core.groupSize(now)
 	default:
-		word.Scope, word.Daemons = quota.Own, 1
+		report.Scope, report.Daemons = quota.Own, 1
 	}
-	due := now-told.usageAt >= usageInterval
+	due := now-sent.usageAt >= usageInterval
 	if due {
-		told.usageAt = now
+		sent.usageAt = now
 		sharers = 0
 	}
-	word.Readings = core.ledger.News(now, word.Scope, target.Name, told.usage, sharers)
-	if len(word.Readings) == 0 && !due {
+	report.Readings = core.ledger.UnsentReadings(now, report.Scope, target.Name, sent.usage, sharers)
+	if len(report.Readings) == 0 && !due {
 		return nil
 	}
-	return word
+	return report
 }
 
-// groupSize is the number of daemons for which this one speaks as a hub. The mutex is held.
+// groupSize is the number of daemons whose use this daemon reports as a hub. The mutex must be
+// held.
 func (core *core) groupSize(now clock.Millis) int {
 	size := 1
-	for name, heard := range core.usedBy {
-		if heard.scope == quota.Own && core.inGroup(name) && now-heard.at < quota.SilentAfter {
+	for name, report := range core.usageReports {
+		if report.scope == quota.Own && core.inGroup(name) && now-report.at < quota.SourceTimeout {
 			size++
 		}
 	}
 	return size
 }
 
-// takeUsage takes over what a peer says of accounts. The mutex is held.
-func (core *core) takeUsage(now clock.Millis, from string, word quota.Word) {
-	core.usedBy[from] = usageHeard{at: now, scope: word.Scope, daemons: word.Daemons}
-	core.ledger.Hear(now, from, word, core.countsUsage(from, word.Scope))
-	if len(word.Readings) > 0 && core.hub == "" && !core.members.Plan().Mesh {
-		core.used() // a hub passes it on
+// applyUsage applies a peer's report on the use of accounts. The mutex must be held.
+func (core *core) applyUsage(now clock.Millis, from string, report quota.Report) {
+	core.usageReports[from] = usageReport{at: now, scope: report.Scope, daemons: report.Daemons}
+	core.ledger.ApplyReport(now, from, report, core.addsUpUsage(from, report.Scope))
+	if len(report.Readings) > 0 && core.hub == "" && !core.members.Plan().Mesh {
+		core.markUsageChanged() // a hub forwards the change
 	}
 }
 
-// countsUsage reports whether this daemon adds up what another one says in a scope. The
-// mutex is held.
-func (core *core) countsUsage(from string, scope quota.Scope) bool {
+// addsUpUsage reports whether this daemon adds up another daemon's reports with a given scope.
+// The mutex must be held.
+func (core *core) addsUpUsage(from string, scope quota.Scope) bool {
 	mesh := core.members.Plan().Mesh
 	switch scope {
 	case quota.Own:
@@ -137,45 +140,45 @@
 	}
 }
 
-// limitSite returns what this daemon knows of those that use the limits with it. The
-// mutex is held.
+// limitSite describes the daemons that share the accounts' limits with this one. The mutex must
+// be held.
 func (core *core) limitSite(now clock.Millis) quota.Site {
-	site := quota.Site{Daemons: core.members.Daemons(), Reached: 1, Sources: make(map[string]quota.Source)}
-	if !core.members.Met() {
+	site := quota.Site{Daemons: core.members.DaemonCount(), Reached: 1, Sources: make(map[string]quota.Source)}
+	if !core.members.Joined() {
 		site.Daemons = core.options.LoneDaemons
 	}
-	for name, heard := range core.usedBy {
-		cutOff := core.hub == "" && name == core.followsAt && heard.scope == quota.Others
-		if !cutOff && !core.countsUsage(name, heard.scope) {
+	for name, report := range core.usageReports {
+		cutOff := core.hub == "" && name == core.lastHub && report.scope == quota.Others
+		if !cutOff && !core.addsUpUsage(name, report.scope) {
 			continue
 		}
-		source := quota.Source{Live: !cutOff && now-heard.at < quota.SilentAfter, HeardAt: heard.at, Daemons: heard.daemons}
+		source := quota.Source{Live: !cutOff && now-report.at < quota.SourceTimeout, LastReportAt: report.at, Daemons: report.daemons}
 		site.Sources[name] = source
 		if source.Live {
 			site.Reached += source.Daemons
 		}
 	}
 	if core.hub != "" && site.Reached > 1 {
-		site.Reached-- // the hub counts this daemon too
+		site.Reached-- // the hub's count includes this daemon
 	}
 	site.Reached = min(site.Reached, site.Daemons)
 	return site
 }
 
-// renewLimits takes down which daemons use the limits with this one. The mutex is held.
-func (core *core) renewLimits(now clock.Millis) {
-	if !core.ledger.Limits() {
+// updateLimitSite updates which daemons share the accounts' limits. The mutex must be held.
+func (core *core) updateLimitSite(now clock.Millis) {
+	if !core.ledger.Limited() {
 		return
 	}
 	core.ledger.SetSite(now, core.limitSite(now))
-	if now-core.limitsPruned >= limitsPrune {
-		core.limitsPruned = now
+	if now-core.limitsPrunedAt >= accountPruneInterval {
+		core.limitsPrunedAt = now
 		core.ledger.Prune(now)
 	}
-	maps.DeleteFunc(core.usedBy, func(name string, _ usageHeard) bool {
+	maps.DeleteFunc(core.usageReports, func(name string, _ usageReport) bool {
 		_, known := core.members.Peer(name)
 		if !known {
-			core.ledger.Forget(name)
+			core.ledger.ForgetSource(name)
 		}
 		return !known
 	})
--- a/internal/direct/gateway/wants.go
+++ b/internal/direct/gateway/wants.go
@@ -7,88 +7,89 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// askers are the peers that wait for an adapter of a server, and until when.
-type askers map[string]clock.Millis
+// waitingPeers holds the peers that wait for an adapter on a server, and until when they do.
+type waitingPeers map[string]clock.Millis
 
-// add notes that a peer waits until a time.
-func (askers askers) add(peer string, until clock.Millis) {
-	askers[peer] = max(askers[peer], until)
+// add records that a peer waits until a time.
+func (waitingPeers waitingPeers) add(peer string, until clock.Millis) {
+	waitingPeers[peer] = max(waitingPeers[peer], until)
 }
 
-// ownerOf returns the daemon that gives orders to a server, as this one has heard itself
-// or as its hub says. The mutex is held.
+// ownerOf returns the owner of a server, as known to this daemon or as received from its hub.
+// The mutex must be held.
 func (core *core) ownerOf(now clock.Millis, server string) (string, bool) {
-	if owner, ok := core.tenure.Owner(now, server); ok || core.members.Role() == topology.Candidate {
+	if owner, ok := core.claims.Owner(now, server); ok || core.members.Role() == topology.Candidate {
 		return owner, ok
 	}
 	owner, ok := core.owners[server]
 	return owner, ok
 }
 
-// sendWant asks for an adapter: the daemon that gives orders to the server, or where there
-// is no connection to it this daemon's hub, which passes it on; the owner may be unknown
-// here. The mutex is held.
-func (gateway *Gateway) sendWant(owner string, want peers.Want) {
+// sendAdapterRequest requests an adapter from a server's owner. Without a connection to the
+// owner, or if the owner is not known here, the request goes to this daemon's hub, which
+// forwards it. The mutex must be held.
+func (gateway *Gateway) sendAdapterRequest(owner string, request peers.AdapterRequest) {
 	core := gateway.core
 	if owner == core.settings.Name {
-		gateway.want(want)
+		gateway.applyAdapterRequest(request)
 		return
 	}
-	if peer, ok := core.members.Peer(owner); ok && gateway.send(peer.Address, peers.Message{Want: &want}) {
+	if peer, ok := core.members.Peer(owner); ok && gateway.send(peer.Address, peers.Message{AdapterRequest: &request}) {
 		return
 	}
 	if hub, ok := core.members.Peer(core.hub); ok {
-		gateway.send(hub.Address, peers.Message{Want: &want})
+		gateway.send(hub.Address, peers.Message{AdapterRequest: &request})
 	}
 }
 
-// wanted asks the planner of a server for an adapter on a peer's behalf, or passes it on
-// for a daemon whose hub this one is.
-func (gateway *Gateway) wanted(from string, want peers.Want) {
+// handleAdapterRequest passes a peer's request for an adapter to the planner of the server, or
+// forwards it to the owner if this daemon is the peer's hub.
+func (gateway *Gateway) handleAdapterRequest(from string, request peers.AdapterRequest) {
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	if held, ok := core.orders[want.Server]; ok {
-		held.askers.add(from, now+want.Left)
-		gateway.want(want)
+	if worker, ok := core.orderWorkers[request.Server]; ok {
+		worker.waiting.add(from, now+request.Left)
+		gateway.applyAdapterRequest(request)
 		return
 	}
-	owner, known := core.tenure.Owner(now, want.Server)
+	owner, known := core.claims.Owner(now, request.Server)
 	peer, connected := core.members.Peer(owner)
 	if !core.inGroup(from) || !known || !connected {
-		return // it asks again
+		return // the peer will ask again
 	}
-	relayed, ok := core.askers[want.Server]
+	relayed, ok := core.relayedAdapterRequests[request.Server]
 	if !ok {
-		relayed = make(askers)
-		core.askers[want.Server] = relayed
+		relayed = make(waitingPeers)
+		core.relayedAdapterRequests[request.Server] = relayed
 	}
-	relayed.add(from, now+want.Left)
-	gateway.send(peer.Address, peers.Message{Want: &want})
+	relayed.add(from, now+request.Left)
+	gateway.send(peer.Address, peers.Message{AdapterRequest: &request})
 }
 
-// want passes a request's need to the planner, if it is this daemon's. The mutex is held.
-func (gateway *Gateway) want(want peers.Want) {
+// applyAdapterRequest passes a request for an adapter to the server's planner if this daemon
+// owns the server. The mutex must be held.
+func (gateway *Gateway) applyAdapterRequest(request peers.AdapterRequest) {
 	core := gateway.core
-	held, ok := core.orders[want.Server]
+	worker, ok := core.orderWorkers[request.Server]
 	if !ok {
 		return
 	}
 	now := core.now()
-	if want.Absent {
-		held.planner.Absent(now, want.Adapter)
-		gateway.publish(want.Server, held)
+	if request.Absent {
+		worker.planner.MarkMissing(now, request.Adapter)
+		gateway.publishTable(request.Server, worker)
 	}
-	held.planner.Want(now, want.Adapter, want.Version, want.Rank, now+want.Left)
-	gateway.publish(want.Server, held)
-	held.poke()
+	worker.planner.RequestAdapter(now, request.Adapter, request.Version, request.Rank, now+request.Left)
+	gateway.publishTable(request.Server, worker)
+	worker.wakeUp()
 }
 
-// tellAskers tells a table at once to the peers that wait for an adapter of the server: by
-// digests it would reach them after up to three intervals. A hub tells those that it has
-// asked for in turn. The mutex is held.
-func (gateway *Gateway) tellAskers(waiting askers, table fleet.Table) {
+// sendTableToWaiting sends a table at once to the peers that wait for an adapter on the server;
+// in regular deltas it would take up to three intervals to reach them. A hub sends it on to the
+// peers whose requests it has forwarded. The mutex must be held.
+func (gateway *Gateway) sendTableToWaiting(waiting waitingPeers, table fleet.Table) {
 	core := gateway.core
 	now := core.now()
 	for name, until := range waiting {
@@ -97,8 +98,8 @@
 			delete(waiting, name)
 			continue
 		}
-		if gateway.send(peer.Address, peers.Message{Digest: &peers.Digest{Tables: []fleet.Table{table}}}) {
-			core.toldTo(peer.Address).tables[table.Server] = stampOf(table)
+		if gateway.send(peer.Address, peers.Message{Delta: &peers.Delta{Tables: []fleet.Table{table}}}) {
+			core.sentTo(peer.Address).tables[table.Server] = tableVersion(table)
 		}
 	}
 }
--- a/internal/direct/gateway/warnings.go
+++ b/internal/direct/gateway/warnings.go
@@ -5,90 +5,93 @@
 	"teaselmoor/internal/direct/peers"
 )
 
-// warned is how many changes of each kind of warning a peer was told, or has told itself.
-type warned struct {
-	quarantine, limits, departures int64
+// warningsSent holds, for each kind of warning, the number of changes that a peer has been sent
+// or has sent itself.
+type warningsSent struct {
+	quarantine, limits, drainNotices int64
 }
 
-// learned returns what a peer knows that has just told of what changed from before to after:
-// of each kind of which it was told all before, all after.
-func (warned warned) learned(before, after warned) warned {
-	if warned.quarantine == before.quarantine {
-		warned.quarantine = after.quarantine
+// afterReceiving returns what a peer has after it sent warnings that changed this daemon's
+// numbers from before to after. For each kind of which the peer had everything before, it has
+// everything after.
+func (warningsSent warningsSent) afterReceiving(before, after warningsSent) warningsSent {
+	if warningsSent.quarantine == before.quarantine {
+		warningsSent.quarantine = after.quarantine
 	}
-	if warned.limits == before.limits {
-		warned.limits = after.limits
+	if warningsSent.limits == before.limits {
+		warningsSent.limits = after.limits
 	}
-	if warned.departures == before.departures {
-		warned.departures = after.departures
+	if warningsSent.drainNotices == before.drainNotices {
+		warningsSent.drainNotices = after.drainNotices
 	}
-	return warned
+	return warningsSent
 }
 
-// warnedAll is what a peer was told that was told all. The mutex is held.
-func (core *core) warnedAll() warned {
-	return warned{quarantine: core.quarantine.Changes(), limits: core.limits.Changes(), departures: core.fleet.DeparturesHeard()}
+// currentWarnings is the state of a peer that has been sent every warning. The mutex must be
+// held.
+func (core *core) currentWarnings() warningsSent {
+	return warningsSent{quarantine: core.quarantine.Revision(), limits: core.serverLimits.Revision(), drainNotices: core.fleet.DrainNoticeCount()}
 }
 
-// warnings returns what has changed since a peer was told. The mutex is held.
-func (core *core) warnings(now clock.Millis, since warned) peers.Warnings {
+// unsentWarnings returns the warnings that a peer has not been sent. The mutex must be held.
+func (core *core) unsentWarnings(now clock.Millis, since warningsSent) peers.Warnings {
 	return peers.Warnings{
-		Quarantine: core.quarantine.Since(now, since.quarantine), Limits: core.limits.Since(since.limits),
-		Leaving: core.fleet.DeparturesSince(since.departures),
+		Quarantine: core.quarantine.ChangedSince(now, since.quarantine), Limits: core.serverLimits.ChangedSince(since.limits),
+		Leaving: core.fleet.DrainNoticesSince(since.drainNotices),
 	}
 }
 
-// tellWarnings tells peers what they have not been told of contents under which servers
-// ended, of limits that servers named, and of servers that said that they leave. Each daemon
-// passes on what is news to it, so that all come to know it whoever hears whom.
-func (gateway *Gateway) tellWarnings() {
+// sendWarnings sends peers the warnings that they lack: contents that servers crashed on,
+// limits that servers announced, and servers that are leaving. Each daemon forwards what is new
+// to it, so that warnings reach all daemons whichever are connected.
+func (gateway *Gateway) sendWarnings() {
 	core := gateway.core
 	core.mutex.Lock()
 	now := core.now()
 	targets := core.members.Plan().Targets
-	news := make([]peers.Warnings, len(targets))
+	unsent := make([]peers.Warnings, len(targets))
 	for i, target := range targets {
-		told := core.toldTo(target.Address)
-		news[i] = core.warnings(now, told.warned)
-		told.warned = core.warnedAll()
+		sent := core.sentTo(target.Address)
+		unsent[i] = core.unsentWarnings(now, sent.warnings)
+		sent.warnings = core.currentWarnings()
 	}
 	core.mutex.Unlock()
-	for i, warnings := range news {
+	for i, warnings := range unsent {
 		if !warnings.Empty() {
 			gateway.send(targets[i].Address, peers.Message{Warnings: &warnings})
 		}
 	}
 }
 
-// takeWarnings takes over what a peer knows, and passes on what of it is news.
-func (gateway *Gateway) takeWarnings(from string, warnings *peers.Warnings) {
-	if gateway.core.takeWarnings(from, warnings) {
-		gateway.tellWarnings()
+// handleWarnings applies a peer's warnings, and forwards the new ones.
+func (gateway *Gateway) handleWarnings(from string, warnings *peers.Warnings) {
+	if gateway.core.applyWarnings(from, warnings) {
+		gateway.sendWarnings()
 	}
 }
 
-// takeWarnings reports whether anything that a peer knows was news.
-func (core *core) takeWarnings(from string, warnings *peers.Warnings) bool {
+// applyWarnings applies a peer's warnings, and reports whether any was new.
+func (core *core) applyWarnings(from string, warnings *peers.Warnings) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	told := newTold()
+	sent := newSentState()
 	if peer, ok := core.members.Peer(from); ok {
-		told = core.toldTo(peer.Address)
+		sent = core.sentTo(peer.Address)
 	}
-	before := core.warnedAll()
+	before := core.currentWarnings()
 	refused := core.quarantine.Merge(now, warnings.Quarantine)
 	if len(warnings.Limits) > 0 {
-		core.limits.SetDaemons(now, core.members.Alive())
+		core.serverLimits.SetDaemons(now, core.members.AliveNames())
 	}
-	limited := core.limits.Merge(now, warnings.Limits)
+	limited := core.serverLimits.Merge(now, warnings.Limits)
 	left := false
-	for _, word := range warnings.Leaving {
-		left = core.leaves(now, word, "peer "+from) || left
+	for _, notice := range warnings.Leaving {
+		left = core.markLeaving(now, notice, "peer "+from) || left
 	}
-	told.warned = told.warned.learned(before, core.warnedAll())
+	sent.warnings = sent.warnings.afterReceiving(before, core.currentWarnings())
 	if refused {
-		core.notify()
+		core.wakeWaitingRequests()
 	}
 	return refused || limited || left
 }
--- a/internal/direct/tally/group.go
+++ b/internal/direct/inflight/group.go
@@ -1,12 +1,12 @@
-package tally
+package inflight
 
 import "maps"
 
-// Group adds up what this daemon and some others have in progress.
-func (tally *Tally) Group(names []string) Share {
-	group := tally.own.Clone()
+// Group returns the requests that this daemon and the named peers have in progress.
+func (tracker *Tracker) Group(names []string) Share {
+	group := tracker.own.Clone()
 	for _, name := range names {
-		share := tally.peers[name]
+		share := tracker.peers[name]
 		for server, load := range share.Loads {
 			addLoad(group.Loads, server, load)
 		}
@@ -17,9 +17,9 @@
 	return group
 }
 
-// Changes returns what differs from an earlier share: the present values, 0 for what
-// has ended. A server at which only uses differ is named with its load as well.
-func (share Share) Changes(before Share) Share {
+// DeltaFrom returns the delta from an earlier share: the present values of what differs, and
+// 0 for what has ended. A server at which only uses differ is included with its load.
+func (share Share) DeltaFrom(before Share) Share {
 	changes := newShare()
 	for server, load := range share.Loads {
 		if before.Loads[server] != load {
@@ -46,13 +46,13 @@
 	return changes
 }
 
-// Empty reports whether a share names nothing.
+// Empty reports whether a share contains no loads and no uses.
 func (share Share) Empty() bool {
 	return len(share.Loads) == 0 && len(share.Uses) == 0
 }
 
-// With returns the share with changes as Changes returned them.
-func (share Share) With(changes Share) Share {
+// ApplyDelta returns the share with a delta applied.
+func (share Share) ApplyDelta(changes Share) Share {
 	after := share.Clone()
 	if after.Loads == nil {
 		after = newShare()
