--- a/internal/direct/loading/copies_test.go
+++ b/internal/direct/loading/copies_test.go
@@ -9,7 +9,8 @@
 	"teaselmoor/internal/direct/loading"
 )
 
-// TestCopies: as many as arrive before the prompts that wait are read.
+// TestCopies checks the number of copies for waiting prompts, which must be read within the
+// time that a load takes.
 func TestCopies(t *testing.T) {
 	const load = 250 * clock.Millisecond
 	for _, each := range []struct {
@@ -19,45 +20,46 @@
 	}{
 		{"idle", loading.Demand{}, 0},
 		{"one prompt", loading.Demand{Backlog: 76, Uses: 1, Runs: 1, Holders: 1}, 0},
-		{"read before a copy came", loading.Demand{Backlog: 240, Uses: 4, Runs: 4, Holders: 1}, 0},
+		{"read before a copy is loaded", loading.Demand{Backlog: 240, Uses: 4, Runs: 4, Holders: 1}, 0},
 		{"a popular adapter", loading.Demand{Backlog: 1000, Uses: 13, Runs: 13, Holders: 1}, 3},
-		{"some are on their way", loading.Demand{Backlog: 1000, Uses: 13, Runs: 13, Holders: 1, Coming: 2}, 1},
-		{"more are on their way", loading.Demand{Backlog: 1000, Uses: 13, Runs: 13, Holders: 1, Coming: 9}, 0},
-		{"others hold it with less to do", loading.Demand{Backlog: 1500, Uses: 13, Runs: 13, Holders: 8}, 0},
+		{"some are being loaded", loading.Demand{Backlog: 1000, Uses: 13, Runs: 13, Holders: 1, Loading: 2}, 1},
+		{"more than needed are being loaded", loading.Demand{Backlog: 1000, Uses: 13, Runs: 13, Holders: 1, Loading: 9}, 0},
+		{"other holders have less to do", loading.Demand{Backlog: 1500, Uses: 13, Runs: 13, Holders: 8}, 0},
 		{"one of many adapters", loading.Demand{Backlog: 1000, Uses: 2, Runs: 13, Holders: 1}, 0},
-		{"bounded", loading.Demand{Backlog: 60_000, Uses: 700, Runs: 700}, loading.MostCopies},
+		{"bounded", loading.Demand{Backlog: 60_000, Uses: 700, Runs: 700}, loading.MaxCopies},
 	} {
-		require.Equal(t, each.copies, loading.Copies(each.demand, load), each.name)
+		require.Equal(t, each.copies, loading.CopiesNeeded(each.demand, load), each.name)
 	}
-	require.Zero(t, loading.Copies(loading.Demand{Backlog: 1000, Uses: 13, Runs: 13}, 0), "no load was observed")
+	require.Zero(t, loading.CopiesNeeded(loading.Demand{Backlog: 1000, Uses: 13, Runs: 13}, 0), "no load was observed")
 }
 
-// TestAdoptedRate: a daemon that orders no loads decides by what others have observed.
-func TestAdoptedRate(t *testing.T) {
-	learned := loading.NewRate()
-	require.Equal(t, loading.Learned{}, learned.Learned())
-	learned.Observe(loading.Observation{OnWay: 1, Servers: 78, Least: 240, Most: 250})
+// TestAdoptedEstimates: a daemon that orders no loads uses the estimates of other daemons.
+func TestAdoptedEstimates(t *testing.T) {
+	learned := loading.NewLoadRate()
+	require.Equal(t, loading.RateEstimate{}, learned.Estimate())
+	learned.Observe(loading.Observation{InFlight: 1, Servers: 78, MinTime: 240, MaxTime: 250})
 	for range 20 {
-		learned.Observe(loading.Observation{OnWay: 78, Servers: 78, Least: 480, Most: 500})
+		learned.Observe(loading.Observation{InFlight: 78, Servers: 78, MinTime: 480, MaxTime: 500})
 	}
-	told := loading.NewRate()
-	told.Adopt(learned.Learned())
+	told := loading.NewLoadRate()
+	told.SetEstimate(learned.Estimate())
 	require.InDelta(t, float64(learned.LoadTime()), float64(told.LoadTime()), 1)
-	require.InDelta(t, learned.AtOnce(78), told.AtOnce(78), 1)
-	require.True(t, loading.Learned{LoadTime: 250, AtOnce: 40}.Like(loading.Learned{LoadTime: 240, AtOnce: 42}))
-	require.False(t, loading.Learned{LoadTime: 250, AtOnce: 40}.Like(loading.Learned{LoadTime: 250, AtOnce: 20}))
-	told.Adopt(loading.Learned{})
+	require.InDelta(t, learned.FullSpeedLoads(78), told.FullSpeedLoads(78), 1)
+	require.True(t, loading.RateEstimate{LoadTime: 250, AtOnce: 40}.SimilarTo(loading.RateEstimate{LoadTime: 240, AtOnce: 42}))
+	require.False(t, loading.RateEstimate{LoadTime: 250, AtOnce: 40}.SimilarTo(loading.RateEstimate{LoadTime: 250, AtOnce: 20}))
+	told.SetEstimate(loading.RateEstimate{})
 	require.InDelta(t, float64(learned.LoadTime()), float64(told.LoadTime()), 1)
 }
 
-// TestCopiesBeforeStreamsPause replays the prompts of a popular adapter at an engine whose
-// streams may pause for 300 ms: 4,300 tokens at 19 a millisecond. A load takes 288 ms.
-func TestCopiesBeforeStreamsPause(t *testing.T) {
+// TestCopiesForShortGapGoal: prompts of 4,300 tokens for a popular adapter wait at an engine
+// that reads 19 tokens per millisecond and whose streams may pause for 300 ms. A copy must
+// be loaded before they pause for longer. A load takes 288 ms.
+func TestCopiesForShortGapGoal(t *testing.T) {
 	demand := loading.Demand{Backlog: 225, Uses: 9, Runs: 9, Holders: 1}
-	require.Zero(t, loading.Copies(demand, loading.ReadingGoal(288, 0)), "streams that may pause for any time")
+	require.Zero(t, loading.CopiesNeeded(demand, loading.MaxReadingTime(288, 0)), "streams without a gap goal")
 	demand.Backlog = 310
-	require.Equal(t, 1, loading.Copies(demand, loading.ReadingGoal(288, 300)))
-	require.Zero(t, loading.Copies(demand, loading.ReadingGoal(288, 700)))
-	demand.Coming = 1
-	require.Zero(t, loading.Copies(demand, loading.ReadingGoal(288, 300)), "one is on its way")
+	require.Equal(t, 1, loading.CopiesNeeded(demand, loading.MaxReadingTime(288, 300)))
+	require.Zero(t, loading.CopiesNeeded(demand, loading.MaxReadingTime(288, 700)))
+	demand.Loading = 1
+	require.Zero(t, loading.CopiesNeeded(demand, loading.MaxReadingTime(288, 300)), "a copy is being loaded already")
 }
--- a/internal/direct/loading/modelrate.go
+++ b/internal/direct/loading/modelrate.go
@@ -2,65 +2,66 @@
 
 import "teaselmoor/internal/base/clock"
 
-// ModelRate is what a daemon has observed of how many base models travel from the weight
-// store at full speed, which is published nowhere. The time of a load is fixed at its
-// start by the number on their way. Base models are rare and take seconds, so the number
-// is looked for by doubling: as long as no load was slower than alone, twice as many are
-// tried at once as have travelled at full speed, where they begin together. One too many
-// among those ends hardly later than it would have, had it waited for another one.
+// ModelRate estimates how many base models the weight store sends at full speed at the same
+// time. The weight store does not publish this number. The duration of a load depends on
+// the number of loads in flight when it starts. Base model loads are rare and take seconds,
+// so the number is found by doubling: as long as no load was slower than a load alone, twice
+// as many are tried together as have run at full speed before. A load too many ends hardly
+// later than if it had waited for the end of another one.
 type ModelRate struct {
-	atOnce  int  // that have travelled at full speed
-	bounded bool // a load beside as many others was slower
+	fullSpeedLoads int  // loads that have run at full speed at the same time
+	limitFound     bool // loads beyond fullSpeedLoads were slower
 }
 
-// modelSlack is by how much longer than alone a load may take at full speed: its end is
-// found some hundred milliseconds late.
+// modelSlack is the factor by which a load at full speed may take longer than a load alone,
+// as its end is detected some hundred milliseconds late.
 const modelSlack = 1.25
 
-// NewModelRate returns a rate of which nothing was observed.
+// NewModelRate returns the initial estimate of one load.
 func NewModelRate() *ModelRate {
-	return &ModelRate{atOnce: 1}
+	return &ModelRate{fullSpeedLoads: 1}
 }
 
-// AtOnce is how many base models have travelled at full speed.
-func (rate *ModelRate) AtOnce() int {
-	return rate.atOnce
+// FullSpeedLoads returns how many base model loads have run at full speed at the same time.
+func (rate *ModelRate) FullSpeedLoads() int {
+	return rate.fullSpeedLoads
 }
 
-// Trial is how many may be tried at once.
-func (rate *ModelRate) Trial() int {
-	if rate.bounded {
-		return rate.atOnce
+// TrialLoads returns how many loads may be tried at the same time.
+func (rate *ModelRate) TrialLoads() int {
+	if rate.limitFound {
+		return rate.fullSpeedLoads
 	}
-	return 2 * rate.atOnce
+	return 2 * rate.fullSpeedLoads
 }
 
-// Lasts takes a load into account that began as the last of so many and is on its way
-// still: its server may leave before it ends.
-func (rate *ModelRate) Lasts(onWay int, since, loadTime clock.Millis) {
-	if onWay > rate.atOnce && float64(since) > modelSlack*float64(loadTime) {
-		rate.bounded = true
+// ObserveInFlight updates the estimate with a load that is still in flight and started when inFlight
+// loads were, itself included. It does not wait for the end of the load, as the server may
+// leave before.
+func (rate *ModelRate) ObserveInFlight(inFlight int, since, loadTime clock.Millis) {
+	if inFlight > rate.fullSpeedLoads && float64(since) > modelSlack*float64(loadTime) {
+		rate.limitFound = true
 	}
 }
 
-// Observe takes a load into account that began as the last of so many on their way and
-// took so long, where one alone takes loadTime.
-func (rate *ModelRate) Observe(onWay int, took, loadTime clock.Millis) {
-	if loadTime <= 0 || onWay <= 0 {
+// Observe updates the estimate with a load that has ended. It started when inFlight loads
+// were in flight, itself included, and took the given time; a load alone takes loadTime.
+func (rate *ModelRate) Observe(inFlight int, took, loadTime clock.Millis) {
+	if loadTime <= 0 || inFlight <= 0 {
 		return
 	}
-	slower := float64(took) / float64(loadTime)
-	if slower < 1/modelSlack {
-		return // its start was heard of late, or it did not come from the weight store
+	slowdown := float64(took) / float64(loadTime)
+	if slowdown < 1/modelSlack {
+		return // its start was reported late, or it did not come from the weight store
 	}
-	if slower <= modelSlack {
-		if onWay > rate.atOnce {
-			rate.atOnce, rate.bounded = onWay, false
+	if slowdown <= modelSlack {
+		if inFlight > rate.fullSpeedLoads {
+			rate.fullSpeedLoads, rate.limitFound = inFlight, false
 		}
 		return
 	}
-	implied := max(1, int(float64(onWay)/slower+0.5))
-	if onWay > 1 && implied <= rate.Trial() {
-		rate.atOnce, rate.bounded = implied, true
+	implied := max(1, int(float64(inFlight)/slowdown+0.5))
+	if inFlight > 1 && implied <= rate.TrialLoads() {
+		rate.fullSpeedLoads, rate.limitFound = implied, true
 	}
 }
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -5,33 +5,34 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// stuckAfter is how many times its usual time a base model may take.
-const stuckAfter = 4
+// stuckFactor is the multiple of its usual time after which the load of a base model counts
+// as stuck.
+const stuckFactor = 4
 
-// Traffic is what is on its way from the weight store.
+// Traffic is the number of loads from the weight store in progress.
 type Traffic struct {
-	OnWay   int // adapters on their way to all servers
-	Servers int // that adapters are loaded to
+	InFlight int // adapters being loaded by all servers
+	Servers  int // servers that load adapters
 }
 
-// Uses tells how many requests of all daemons use an adapter at the server.
-type Uses func(port.Adapter) int
+// Uses returns how many requests of all daemons use an adapter at the server.
+type Uses func(platformapi.Adapter) int
 
-// Next returns the order to give now. Without one it returns the time at which
-// to ask again, which is 0 when only a change calls for it.
-// Turn says that a base model may be loaded where the server holds none.
-func (planner *Planner) Next(now clock.Millis, uses Uses, newest func(port.Adapter) int, traffic Traffic, turn bool) (port.Order, bool, clock.Millis) {
-	if now < planner.waitTo {
-		return port.Order{}, false, planner.waitTo
+// NextOrder returns the order to send to the server now, if there is one. Otherwise it returns
+// when to call it again; 0 means not before something changes. Turn reports whether a base
+// model may be loaded if the server holds none.
+func (planner *Planner) NextOrder(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
+	if now < planner.waitUntil {
+		return platformapi.Order{}, false, planner.waitUntil
 	}
 	planner.expire(now)
-	if !turn && (!planner.shown || len(planner.models) == 0 && len(planner.coming) == 0) {
-		return port.Order{}, false, now + turnInterval
+	if !turn && (!planner.fenceKnown || len(planner.models) == 0 && len(planner.modelLoads) == 0) {
+		return platformapi.Order{}, false, now + turnInterval
 	}
-	if !planner.shown {
+	if !planner.fenceKnown {
 		order, ok := planner.firstModel()
 		return order, ok, 0
 	}
@@ -47,10 +48,10 @@
 	if order, ok := planner.nextWant(now, uses, traffic); ok {
 		return order, true, 0
 	}
-	return port.Order{}, false, planner.wakeAt(now)
+	return platformapi.Order{}, false, planner.nextCallAt(now)
 }
 
-// expire drops wants whose requests have given up.
+// expire drops wants whose requests have all given up.
 func (planner *Planner) expire(now clock.Millis) {
 	for adapter, wanted := range planner.wants {
 		if now >= wanted.until {
@@ -60,94 +61,97 @@
 	}
 }
 
-// nextModel loads a base model where the server holds none: servers restart empty.
-func (planner *Planner) nextModel(now clock.Millis) (port.Order, bool) {
-	for name, load := range planner.coming {
-		if !load.stuck && now-load.since > stuckAfter*planner.limits.ModelTime[name] {
+// nextModel loads a base model if the server holds none, as after a restart. While one is
+// being loaded, it repeats the order to check whether the load has ended.
+func (planner *Planner) nextModel(now clock.Millis) (platformapi.Order, bool) {
+	for name, load := range planner.modelLoads {
+		if !load.stuck && now-load.since > stuckFactor*planner.limits.ModelTime[name] {
 			load.stuck = true
-			planner.coming[name] = load
+			planner.modelLoads[name] = load
 			planner.number++
 		}
 		if now < load.checkAt {
-			return port.Order{}, false
+			return platformapi.Order{}, false
 		}
-		return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+		return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 	}
 	if len(planner.models) > 0 {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	return planner.firstModel()
 }
 
-// firstModel is the order for the model that every server should hold. It shows
-// a fencing number without changing a server that holds the model already.
-func (planner *Planner) firstModel() (port.Order, bool) {
+// firstModel returns the order to load the model that every server should hold. It also
+// makes the fencing number known to a server, and changes nothing if the server holds the
+// model already.
+func (planner *Planner) firstModel() (platformapi.Order, bool) {
 	for _, name := range slices.Sorted(maps.Keys(planner.limits.ModelMB)) {
 		if planner.limits.ModelMB[name] <= planner.limits.MemoryMB {
-			return port.Order{Load: true, Adapter: port.Adapter{Model: name}}, true
+			return platformapi.Order{Load: true, Adapter: platformapi.Adapter{Model: name}}, true
 		}
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
-// nextCheck repeats the order of a load that should have ended: the server
-// answers that it holds, at once and cheaper than a report, which lags.
-func (planner *Planner) nextCheck(now clock.Millis) (port.Order, bool) {
-	for adapter, held := range planner.slots {
-		if now < held.checkAt || !held.loading && !held.leaving {
+// nextCheck repeats the order of a load or unload that should have ended. The server's
+// answer says whether it has; a report is more expensive and may be stale.
+func (planner *Planner) nextCheck(now clock.Millis) (platformapi.Order, bool) {
+	for adapter, entry := range planner.slots {
+		if now < entry.checkAt || !entry.loading && !entry.unloading {
 			continue
 		}
-		if held.leaving {
-			return port.Order{Adapter: adapter}, true
+		if entry.unloading {
+			return platformapi.Order{Adapter: adapter}, true
 		}
-		return port.Order{Load: true, Adapter: adapter, Version: held.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: entry.version}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
-// nextVersion replaces or drops an adapter of which a newer version was named.
-func (planner *Planner) nextVersion(uses Uses, newest func(port.Adapter) int) (port.Order, bool) {
-	for adapter, held := range planner.slots {
+// nextVersion replaces an adapter that has a newer version, or unloads it if it is not in use.
+func (planner *Planner) nextVersion(uses Uses, newest func(platformapi.Adapter) int) (platformapi.Order, bool) {
+	for adapter, entry := range planner.slots {
 		version := newest(adapter)
-		if held.loading || held.leaving || held.version >= version {
+		if entry.loading || entry.unloading || entry.version >= version {
 			continue
 		}
 		if uses(adapter) > 0 || planner.wants[adapter] != nil {
-			return port.Order{Load: true, Adapter: adapter, Version: version}, true
+			return platformapi.Order{Load: true, Adapter: adapter, Version: version}, true
 		}
-		return port.Order{Adapter: adapter}, true
+		return platformapi.Order{Adapter: adapter}, true
 	}
-	return port.Order{}, false
+	return platformapi.Order{}, false
 }
 
-// nextWant loads the adapter that is wanted most urgently, or makes room for it.
-func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (port.Order, bool) {
-	most := planner.options.MostIncoming
-	if traffic.OnWay >= planner.rate.AtOnce(traffic.Servers) {
-		most = planner.options.CrowdedIncoming
+// nextWant loads the most urgently wanted adapter, or unloads another one to make room.
+func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
+	limit := planner.options.MostIncoming
+	if traffic.InFlight >= planner.rate.FullSpeedLoads(traffic.Servers) {
+		limit = planner.options.CrowdedIncoming
 	}
-	if planner.incoming() >= most {
-		return port.Order{}, false
+	if planner.loadCount() >= limit {
+		return platformapi.Order{}, false
 	}
 	adapter, wanted, ok := planner.firstWant()
 	if !ok {
-		return port.Order{}, false
+		return platformapi.Order{}, false
 	}
 	if planner.hasRoom(adapter) {
-		return port.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
 	}
-	if planner.leaving() >= len(planner.wants) {
-		return port.Order{}, false // there will be room
+	if planner.unloadCount() >= len(planner.wants) {
+		return platformapi.Order{}, false // unloads in progress will make room
 	}
 	victim, ok := planner.victim(now, uses)
-	return port.Order{Adapter: victim}, ok
+	return platformapi.Order{Adapter: victim}, ok
 }
 
-func (planner *Planner) firstWant() (port.Adapter, *want, bool) {
-	var first port.Adapter
+// firstWant returns the most urgent want, and the oldest one of those, that can be loaded now.
+func (planner *Planner) firstWant() (platformapi.Adapter, *want, bool) {
+	var first platformapi.Adapter
 	var best *want
 	for adapter, wanted := range planner.wants {
-		if held, ok := planner.slots[adapter]; ok && (held.loading || held.leaving || held.version >= wanted.version) || !planner.models[adapter.Model] {
+		if entry, ok := planner.slots[adapter]; ok && (entry.loading || entry.unloading || entry.version >= wanted.version) || !planner.models[adapter.Model] {
 			continue
 		}
 		if best == nil || wanted.rank < best.rank || wanted.rank == best.rank && wanted.since < best.since {
@@ -157,31 +161,31 @@
 	return first, best, best != nil
 }
 
-func (planner *Planner) incoming() int {
+func (planner *Planner) loadCount() int {
 	count := 0
-	for _, held := range planner.slots {
-		if held.loading {
+	for _, entry := range planner.slots {
+		if entry.loading {
 			count++
 		}
 	}
 	return count
 }
 
-func (planner *Planner) leaving() int {
+func (planner *Planner) unloadCount() int {
 	count := 0
-	for _, held := range planner.slots {
-		if held.leaving {
+	for _, entry := range planner.slots {
+		if entry.unloading {
 			count++
 		}
 	}
 	return count
 }
 
-// hasRoom reports whether one more adapter fits: a server that is ordered to
-// load more than it can hold crashes.
-func (planner *Planner) hasRoom(adapter port.Adapter) bool {
+// hasRoom reports whether one more adapter fits. A server that is ordered to load more
+// than it can hold crashes.
+func (planner *Planner) hasRoom(adapter platformapi.Adapter) bool {
 	if _, held := planner.slots[adapter]; held {
-		return true // a newer version takes the place of the one held
+		return true // a newer version replaces the one held
 	}
 	if len(planner.slots) >= planner.limits.AdapterSlots {
 		return false
@@ -190,21 +194,22 @@
 	for model := range planner.models {
 		used += planner.limits.ModelMB[model]
 	}
-	for held := range planner.slots {
-		used += planner.limits.AdapterMB[held.Model]
+	for other := range planner.slots {
+		used += planner.limits.AdapterMB[other.Model]
 	}
 	return used <= planner.limits.MemoryMB
 }
 
-// victim is the adapter asked for least of those that nobody uses or waits for.
-func (planner *Planner) victim(now clock.Millis, uses Uses) (port.Adapter, bool) {
-	var victim port.Adapter
+// victim returns the adapter to evict: the one with the lowest score of those that no
+// request uses or waits for.
+func (planner *Planner) victim(now clock.Millis, uses Uses) (platformapi.Adapter, bool) {
+	var victim platformapi.Adapter
 	least := -1.0
-	for adapter, held := range planner.slots {
-		if held.loading || held.leaving || now-held.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
+	for adapter, entry := range planner.slots {
+		if entry.loading || entry.unloading || now-entry.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
 			continue
 		}
-		score := planner.score(now, held)
+		score := planner.score(now, entry)
 		if least < 0 || score < least || score == least && byName(adapter, victim) < 0 {
 			victim, least = adapter, score
 		}
@@ -212,27 +217,28 @@
 	return victim, least >= 0
 }
 
-// turnInterval is how often a server without a base model looks whether it is its
-// turn: little against the seconds that a model takes.
+// turnInterval is how often a server without a base model checks whether it may load one.
+// It is short against the seconds that the load takes.
 const turnInterval clock.Millis = 100
 
-// retryInterval is how soon a want that found no place looks for one again: half
-// of what the decision adds to a load stall at most.
+// retryInterval is how soon a want that found no room is tried again: half of the time that
+// the decision may add to the wait for a load.
 const retryInterval clock.Millis = 25
 
-func (planner *Planner) wakeAt(now clock.Millis) clock.Millis {
+// nextCallAt returns when the next order has to be asked for; 0: not before something changes.
+func (planner *Planner) nextCallAt(now clock.Millis) clock.Millis {
 	var at clock.Millis
 	earlier := func(other clock.Millis) {
 		if at == 0 || other < at {
 			at = other
 		}
 	}
-	for _, load := range planner.coming {
+	for _, load := range planner.modelLoads {
 		earlier(load.checkAt)
 	}
-	for _, held := range planner.slots {
-		if held.loading || held.leaving {
-			earlier(held.checkAt)
+	for _, entry := range planner.slots {
+		if entry.loading || entry.unloading {
+			earlier(entry.checkAt)
 		}
 	}
 	if _, _, ok := planner.firstWant(); ok {
--- a/internal/direct/loading/rate.go
+++ b/internal/direct/loading/rate.go
@@ -2,141 +2,142 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Rate is what one daemon has observed of the weight store: how long an adapter takes
-// to a server, and how many travel at full speed. Beyond that number each takes longer
-// in proportion to how many are on their way. Neither is published, and both differ
-// between sites.
+// LoadRate estimates, from the loads that one daemon observes, how long the weight store takes
+// to send an adapter to a server, and how many adapters it sends at full speed at the same
+// time. With more in flight, each takes longer in proportion to their number. The weight
+// store publishes neither figure, and both differ between sites.
 //
-// A load is looked at a little before it is expected to have ended, and then often until
-// it has: the time between the last two looks bounds what it took. Estimates move where
-// those bounds contradict them.
-type Rate struct {
-	loadTime float64 // milliseconds
-	atOnce   float64 // 0: not observed yet
-	observed bool    // a load was
+// A load is first checked a little before its expected end, and then often until it has
+// ended, so the times of the last two checks bound its duration. An estimate moves if it
+// contradicts these bounds.
+type LoadRate struct {
+	loadTime       float64 // milliseconds
+	fullSpeedLoads float64 // loads at full speed; 0: not observed yet
+	observed       bool    // whether any load was observed
 }
 
-// firstLoadTime is expected of the first loads, in milliseconds. It is short: to look
-// too early costs one order, to look too late makes requests wait.
-const firstLoadTime = 100
+// initialLoadTime is the initial estimate in milliseconds. It is low: checking too early costs
+// one order, checking too late makes requests wait.
+const initialLoadTime = 100
 
-// rateStep is the part by which an estimate moves towards a bound that contradicts it.
+// rateStep is the share by which an estimate moves towards a bound that contradicts it.
 const rateStep = 1.0 / 3
 
-// rateDoubt is the part by which the load time rises with a load that was slower than the
-// number on their way explains.
-const rateDoubt = rateStep / 4
+// rateSmallStep is the share by which the load time rises if a load was slower than the number
+// of loads in flight explains.
+const rateSmallStep = rateStep / 4
 
-// rateSlack is how much longer than at full speed a load may take without telling that the
-// store is crowded: estimates of the load time are that far off.
+// rateSlack is the factor by which a load may take longer than at full speed before the
+// store counts as saturated. Estimates of the load time are off by that much.
 const rateSlack = 1.2
 
-// firstLook is when a load is first looked at, as a part of the time that it is expected
-// to take: an estimate that is too high is only noticed by looking before.
-const firstLook = 0.9
+// firstCheckShare is the share of its expected duration after which a load is first checked. It is
+// below 1 because an estimate that is too high is noticed only by checking early.
+const firstCheckShare = 0.9
 
-// NewRate returns a rate of which nothing was observed.
-func NewRate() *Rate {
-	return &Rate{loadTime: firstLoadTime}
+// NewLoadRate returns the initial estimates.
+func NewLoadRate() *LoadRate {
+	return &LoadRate{loadTime: initialLoadTime}
 }
 
-// LoadTime is how long an adapter takes while few are on their way.
-func (rate *Rate) LoadTime() clock.Millis {
-	return clock.Millis(rate.loadTime + 0.5)
+// LoadTime returns the duration of a load while few are in flight.
+func (loadRate *LoadRate) LoadTime() clock.Millis {
+	return clock.Millis(loadRate.loadTime + 0.5)
 }
 
-// recentSpeedup is how much faster a server loads an adapter that it held of late, by
-// the platform's pages.
+// recentSpeedup is how much faster a server loads an adapter that it held recently,
+// according to the platform's documentation.
 const recentSpeedup = 10
 
-// RecentTime is how long an adapter takes that the server held of late.
-func (rate *Rate) RecentTime() clock.Millis {
-	return rate.LoadTime()/recentSpeedup + 1
+// RecentLoadTime returns the duration of a load of an adapter that the server held recently.
+func (loadRate *LoadRate) RecentLoadTime() clock.Millis {
+	return loadRate.LoadTime()/recentSpeedup + 1
 }
 
-// AtOnce is how many adapters travel at full speed.
-func (rate *Rate) AtOnce(servers int) int {
-	return int(rate.fullSpeed(servers))
+// FullSpeedLoads returns how many adapters the weight store sends at full speed at the same time.
+func (loadRate *LoadRate) FullSpeedLoads(servers int) int {
+	return int(loadRate.fullSpeed(servers))
 }
 
-// fullSpeed is the same before it is rounded. Until it was observed each server is
-// taken to get one.
-func (rate *Rate) fullSpeed(servers int) float64 {
-	if rate.atOnce == 0 {
+// fullSpeed is the number of full-speed loads before rounding. Until it has been observed,
+// one adapter for each server is assumed.
+func (loadRate *LoadRate) fullSpeed(servers int) float64 {
+	if loadRate.fullSpeedLoads == 0 {
 		return float64(max(1, servers))
 	}
-	return rate.atOnce
+	return loadRate.fullSpeedLoads
 }
 
-// FirstLook is when to look first at a load that begins as the last of so many on their
-// way.
-func (rate *Rate) FirstLook(onWay, servers int) clock.Millis {
-	return clock.Millis(firstLook*rate.loadTime*rate.crowd(onWay, servers) + 0.5)
+// FirstCheck returns when to check a load first, as the time since its start. InFlight is the
+// number of loads in flight at its start, itself included.
+func (loadRate *LoadRate) FirstCheck(inFlight, servers int) clock.Millis {
+	return clock.Millis(firstCheckShare*loadRate.loadTime*loadRate.slowdown(inFlight, servers) + 0.5)
 }
 
-func (rate *Rate) crowd(onWay, servers int) float64 {
-	return max(1, float64(onWay)/rate.fullSpeed(servers))
+// slowdown returns the factor by which a load is slowed down by the others in flight.
+func (loadRate *LoadRate) slowdown(inFlight, servers int) float64 {
+	return max(1, float64(inFlight)/loadRate.fullSpeed(servers))
 }
 
-// Learned is what was observed of the weight store, to be told to daemons that order no
-// loads themselves.
-type Learned struct {
-	LoadTime clock.Millis // of an adapter while few are on their way; 0: none was observed
-	AtOnce   int          // adapters that travel at full speed; 0: no bound was observed
+// RateEstimate holds the estimates that are sent to daemons which order no loads themselves.
+type RateEstimate struct {
+	LoadTime clock.Millis // of an adapter while few are in flight; 0: no load was observed
+	AtOnce   int          // adapters sent at full speed at the same time; 0: no limit was observed
 }
 
-// likeness is the part by which figures may differ that are told as the same.
-const likeness = 0.1
+// sendThreshold is the relative difference of estimates below which they are not sent again.
+const sendThreshold = 0.1
 
-// Like reports whether there is nothing to tell to those who know the other.
-func (learned Learned) Like(other Learned) bool {
-	near := func(a, b float64) bool { return max(a, b)-min(a, b) <= likeness*max(a, b) }
-	return near(float64(learned.LoadTime), float64(other.LoadTime)) && near(float64(learned.AtOnce), float64(other.AtOnce))
+// SimilarTo reports whether the estimates are so close that they need not be sent to a daemon
+// that knows the other ones.
+func (rateEstimate RateEstimate) SimilarTo(other RateEstimate) bool {
+	near := func(a, b float64) bool { return max(a, b)-min(a, b) <= sendThreshold*max(a, b) }
+	return near(float64(rateEstimate.LoadTime), float64(other.LoadTime)) && near(float64(rateEstimate.AtOnce), float64(other.AtOnce))
 }
 
-// Learned returns what was observed.
-func (rate *Rate) Learned() Learned {
-	if !rate.observed {
-		return Learned{}
+// Estimate returns the estimates, or zero values while no load has been observed.
+func (loadRate *LoadRate) Estimate() RateEstimate {
+	if !loadRate.observed {
+		return RateEstimate{}
 	}
-	return Learned{LoadTime: rate.LoadTime(), AtOnce: int(rate.atOnce)}
+	return RateEstimate{LoadTime: loadRate.LoadTime(), AtOnce: int(loadRate.fullSpeedLoads)}
 }
 
-// Adopt takes over what another daemon has observed.
-func (rate *Rate) Adopt(learned Learned) {
+// SetEstimate replaces the estimates with those of another daemon.
+func (loadRate *LoadRate) SetEstimate(learned RateEstimate) {
 	if learned.LoadTime <= 0 {
 		return
 	}
-	rate.observed = true
-	rate.loadTime = float64(learned.LoadTime)
-	rate.atOnce = float64(max(0, learned.AtOnce))
+	loadRate.observed = true
+	loadRate.loadTime = float64(learned.LoadTime)
+	loadRate.fullSpeedLoads = float64(max(0, learned.AtOnce))
 }
 
 // Observation is a load that has ended.
 type Observation struct {
-	OnWay   int          // loads on their way at its start, itself included
-	Servers int          // that adapters are loaded to
-	Least   clock.Millis // from its start until it was last found on its way; 0: it never was
-	Most    clock.Millis // from its start until it was found to have ended
+	InFlight int          // loads in flight at its start, itself included
+	Servers  int          // servers that load adapters
+	MinTime  clock.Millis // from its start until it was last found in progress; 0: it never was
+	MaxTime  clock.Millis // from its start until it was found to have ended
 }
 
-// Observe takes a load into account.
-func (rate *Rate) Observe(seen Observation) {
-	atOnce, onWay := rate.fullSpeed(seen.Servers), float64(seen.OnWay)
-	least, most := float64(seen.Least), float64(seen.Most)
+// Observe updates the estimates with a load that has ended.
+func (loadRate *LoadRate) Observe(load Observation) {
+	fullSpeed, inFlight := loadRate.fullSpeed(load.Servers), float64(load.InFlight)
+	least, most := float64(load.MinTime), float64(load.MaxTime)
 	switch {
-	case !rate.observed:
-		rate.observed = true
-		rate.loadTime = most / rate.crowd(seen.OnWay, seen.Servers)
-	case most < rate.loadTime: // it cannot have travelled faster than at full speed
-		rate.loadTime += rateStep * (most - rate.loadTime)
-	case onWay <= atOnce/2 || onWay <= atOnce && least < rateSlack*rate.loadTime:
-		rate.loadTime += rateStep * max(0, least-rate.loadTime)
-	case least > rate.loadTime && atOnce > onWay*rate.loadTime/least:
-		rate.atOnce = max(1, atOnce+rateStep*(onWay*rate.loadTime/least-atOnce))
-		// It may be the load time as well: both too low fit loads of a crowded store.
-		rate.loadTime += rateDoubt * (least - rate.loadTime)
-	case onWay > atOnce && atOnce < onWay*rate.loadTime/most:
-		rate.atOnce = atOnce + rateStep*(onWay*rate.loadTime/most-atOnce)
+	case !loadRate.observed:
+		loadRate.observed = true
+		loadRate.loadTime = most / loadRate.slowdown(load.InFlight, load.Servers)
+	case most < loadRate.loadTime: // no load is faster than at full speed
+		loadRate.loadTime += rateStep * (most - loadRate.loadTime)
+	case inFlight <= fullSpeed/2 || inFlight <= fullSpeed && least < rateSlack*loadRate.loadTime:
+		loadRate.loadTime += rateStep * max(0, least-loadRate.loadTime)
+	case least > loadRate.loadTime && fullSpeed > inFlight*loadRate.loadTime/least:
+		loadRate.fullSpeedLoads = max(1, fullSpeed+rateStep*(inFlight*loadRate.loadTime/least-fullSpeed))
+		// The load time may be too low as well: loads of a saturated store do not show which.
+		loadRate.loadTime += rateSmallStep * (least - loadRate.loadTime)
+	case inFlight > fullSpeed && fullSpeed < inFlight*loadRate.loadTime/most:
+		loadRate.fullSpeedLoads = fullSpeed + rateStep*(inFlight*loadRate.loadTime/most-fullSpeed)
 	}
 }
--- a/internal/direct/loading/rate_test.go
+++ b/internal/direct/loading/rate_test.go
@@ -11,28 +11,28 @@
 	"teaselmoor/internal/direct/loading"
 )
 
-// weightStore sends adapters at full speed up to a number.
+// weightStore simulates a weight store that sends up to atOnce adapters at full speed.
 type weightStore struct {
 	loadTime clock.Millis
 	atOnce   int
 	servers  int
 }
 
-// load follows a load that begins as the last of so many on their way, with the looks
-// that a planner would take.
-func (store weightStore) load(rate *loading.Rate, onWay int) {
-	took := store.loadTime * clock.Millis(max(onWay, store.atOnce)) / clock.Millis(store.atOnce)
-	seen := loading.Observation{OnWay: onWay, Servers: store.servers, Most: rate.FirstLook(onWay, store.servers)}
-	for seen.Most < took {
-		seen.Least = seen.Most
-		seen.Most += loading.DefaultOptions().CheckInterval
+// load simulates a load with the checks that a planner makes. InFlight is the number of
+// loads in flight at its start, itself included.
+func (store weightStore) load(rate *loading.LoadRate, inFlight int) {
+	took := store.loadTime * clock.Millis(max(inFlight, store.atOnce)) / clock.Millis(store.atOnce)
+	observation := loading.Observation{InFlight: inFlight, Servers: store.servers, MaxTime: rate.FirstCheck(inFlight, store.servers)}
+	for observation.MaxTime < took {
+		observation.MinTime = observation.MaxTime
+		observation.MaxTime += loading.DefaultOptions().CheckInterval
 	}
-	rate.Observe(seen)
+	rate.Observe(observation)
 }
 
-// TestRateIsLearned replays loads at stores of several speeds, from few on their way to
-// twice as many as travel at full speed.
-func TestRateIsLearned(t *testing.T) {
+// TestRateConverges simulates loads at stores of several speeds, with few loads in flight up
+// to twice as many as the store sends at full speed.
+func TestRateConverges(t *testing.T) {
 	for _, store := range []weightStore{
 		{loadTime: 250, atOnce: 8, servers: 9},
 		{loadTime: 250, atOnce: 16, servers: 18},
@@ -41,21 +41,21 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d", store.atOnce, store.servers), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
-			rate := loading.NewRate()
+			rate := loading.NewLoadRate()
 			for range 300 {
 				store.load(rate, 1+random.IntN(2*store.atOnce))
 			}
 			require.InEpsilon(t, int64(store.loadTime), int64(rate.LoadTime()), 0.12)
-			require.InEpsilon(t, store.atOnce, rate.AtOnce(store.servers), 0.15)
+			require.InEpsilon(t, store.atOnce, rate.FullSpeedLoads(store.servers), 0.15)
 		})
 	}
 }
 
-// TestRateFollowsAStoreThatSlowsDown: what was learned is not kept against what is seen.
-func TestRateFollowsAStoreThatSlowsDown(t *testing.T) {
+// TestRateFollowsStoreThatSlowsDown: earlier observations must not outweigh the present ones.
+func TestRateFollowsStoreThatSlowsDown(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	store := weightStore{loadTime: 250, atOnce: 16, servers: 18}
-	rate := loading.NewRate()
+	rate := loading.NewLoadRate()
 	for range 200 {
 		store.load(rate, 1+random.IntN(2*store.atOnce))
 	}
@@ -63,5 +63,5 @@
 	for range 200 {
 		store.load(rate, 1+random.IntN(2*store.atOnce))
 	}
-	require.InEpsilon(t, store.atOnce, rate.AtOnce(store.servers), 0.2)
+	require.InEpsilon(t, store.atOnce, rate.FullSpeedLoads(store.servers), 0.2)
 }
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -2,53 +2,54 @@
 
 import (
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Done takes the result of an order.
-func (planner *Planner) Done(now clock.Millis, order port.Order, result port.Result, traffic Traffic) {
-	if result != port.Conflict && result != port.Fenced && result != port.Other {
-		planner.ordered = now
+// HandleResult applies the result of an order.
+func (planner *Planner) HandleResult(now clock.Millis, order platformapi.Order, result platformapi.Result, traffic Traffic) {
+	if result != platformapi.Conflict && result != platformapi.Fenced && result != platformapi.WrongServer {
+		planner.lastOrderAt = now
 	}
 	switch result {
-	case port.Accepted, port.Holds:
-		planner.shown = true
-		planner.accepted(now, order, result == port.Holds, traffic)
-	case port.Conflict:
-		planner.waitTo = now + planner.options.Backoff
-	case port.Unknown:
+	case platformapi.Accepted, platformapi.NothingToDo:
+		planner.fenceKnown = true
+		planner.accepted(now, order, result == platformapi.NothingToDo, traffic)
+	case platformapi.Conflict:
+		planner.waitUntil = now + planner.options.Backoff
+	case platformapi.Unknown:
 		planner.unanswered(now, order)
-	case port.Other, port.Fenced:
-		planner.known = false
-		planner.shown = false
-	case port.Invalid:
+	case platformapi.WrongServer, platformapi.Fenced:
+		planner.reportValid = false
+		planner.fenceKnown = false
+	case platformapi.InvalidOrder:
 		planner.refused(now, order)
 	}
 }
 
-// unanswered counts a load that may have been accepted: its place is taken until
-// the order, given again, is answered.
-func (planner *Planner) unanswered(now clock.Millis, order port.Order) {
-	planner.waitTo = now + planner.options.Backoff
+// unanswered handles an order without an answer. A load may have been accepted, so it takes
+// an adapter slot until the order has been repeated and answered.
+func (planner *Planner) unanswered(now clock.Millis, order platformapi.Order) {
+	planner.waitUntil = now + planner.options.Backoff
 	planner.number++
 	if !order.Load {
-		return // the adapter keeps its place
+		return // the adapter keeps its adapter slot
 	}
 	if order.Adapter.Name == "" {
-		planner.modelOnItsWay(now, order.Adapter.Model, planner.waitTo)
+		planner.modelStarted(now, order.Adapter.Model, planner.waitUntil)
 		return
 	}
-	held, ok := planner.slots[order.Adapter]
+	entry, ok := planner.slots[order.Adapter]
 	if !ok {
-		held = &slot{version: order.Version}
-		planner.slots[order.Adapter] = held
+		entry = &slot{version: order.Version}
+		planner.slots[order.Adapter] = entry
 	}
-	held.loading = true
-	held.began = 0
-	held.checkAt = planner.waitTo
+	entry.loading = true
+	entry.began = 0
+	entry.checkAt = planner.waitUntil
 }
 
-func (planner *Planner) accepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
+// accepted handles an order that the server has accepted, or whose result it already holds.
+func (planner *Planner) accepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
 	planner.number++
 	switch {
 	case order.Adapter.Name == "":
@@ -60,87 +61,89 @@
 	}
 }
 
-// unloadAccepted frees the place once nothing runs on the adapter any more: until
+// unloadAccepted frees the adapter slot once no request uses the adapter any more. Until
 // then the server still counts it.
-func (planner *Planner) unloadAccepted(now clock.Millis, adapter port.Adapter, holds bool) {
-	held, ok := planner.slots[adapter]
+func (planner *Planner) unloadAccepted(now clock.Millis, adapter platformapi.Adapter, holds bool) {
+	entry, ok := planner.slots[adapter]
 	if holds || !ok {
 		delete(planner.slots, adapter)
 		return
 	}
-	held.leaving = true
-	held.checkAt = now + planner.options.CheckInterval
+	entry.unloading = true
+	entry.checkAt = now + planner.options.CheckInterval
 }
 
 func (planner *Planner) modelAccepted(now clock.Millis, model string, holds bool) {
 	if holds {
 		planner.models[model] = true
-		delete(planner.coming, model)
+		delete(planner.modelLoads, model)
 		return
 	}
-	planner.modelOnItsWay(now, model, now+planner.options.ModelCheckInterval)
+	planner.modelStarted(now, model, now+planner.options.ModelCheckInterval)
 }
 
-func (planner *Planner) modelOnItsWay(now clock.Millis, model string, checkAt clock.Millis) {
-	load, known := planner.coming[model]
+func (planner *Planner) modelStarted(now clock.Millis, model string, checkAt clock.Millis) {
+	load, known := planner.modelLoads[model]
 	if !known {
 		load.since = now
 	}
 	load.checkAt = checkAt
-	planner.coming[model] = load
+	planner.modelLoads[model] = load
 }
 
-func (planner *Planner) loadAccepted(now clock.Millis, order port.Order, holds bool, traffic Traffic) {
-	held, ok := planner.slots[order.Adapter]
+// loadAccepted records that a load was started, is still in progress, or has ended.
+func (planner *Planner) loadAccepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
+	entry, ok := planner.slots[order.Adapter]
 	if !ok {
-		held = &slot{}
-		planner.slots[order.Adapter] = held
+		entry = &slot{}
+		planner.slots[order.Adapter] = entry
 	}
 	if holds {
-		if held.began > 0 {
-			planner.rate.Observe(Observation{OnWay: held.onWay, Servers: traffic.Servers, Least: held.seenFor, Most: now - held.began})
+		if entry.began > 0 {
+			planner.rate.Observe(Observation{InFlight: entry.inFlight, Servers: traffic.Servers, MinTime: entry.lastSeenAfter, MaxTime: now - entry.began})
 		}
-		held.loading = false
-		held.checks = 0
-		held.began = 0
-		held.version = max(held.version, order.Version, 1)
-		held.usedAt = now
+		entry.loading = false
+		entry.checks = 0
+		entry.began = 0
+		entry.version = max(entry.version, order.Version, 1)
+		entry.usedAt = now
 		delete(planner.wants, order.Adapter)
 		return
 	}
-	held.version = max(held.version, order.Version)
-	if !held.loading {
-		held.loading = true
-		held.checks = 0
-		planner.begin(now, order.Adapter, held, traffic)
+	entry.version = max(entry.version, order.Version)
+	if !entry.loading {
+		entry.loading = true
+		entry.checks = 0
+		planner.loadStarted(now, order.Adapter, entry, traffic)
 		return
 	}
-	held.checks++
-	if held.began > 0 {
-		held.seenFor = now - held.began
+	entry.checks++
+	if entry.began > 0 {
+		entry.lastSeenAfter = now - entry.began
 	}
-	held.checkAt = now + planner.options.CheckInterval
-	if held.checks > planner.options.MostChecks {
-		planner.known = false
+	entry.checkAt = now + planner.options.CheckInterval
+	if entry.checks > planner.options.MostChecks {
+		planner.reportValid = false
 	}
 }
 
-// begin notes the start of a load, and when it is expected to have ended.
-func (planner *Planner) begin(now clock.Millis, adapter port.Adapter, held *slot, traffic Traffic) {
-	if planner.atHand(adapter) {
-		held.began = 0 // it says nothing of the weight store
-		held.checkAt = now + planner.rate.RecentTime()
+// loadStarted records the start of a load and when to check it first.
+func (planner *Planner) loadStarted(now clock.Millis, adapter platformapi.Adapter, entry *slot, traffic Traffic) {
+	if planner.recentlyHeld(adapter) {
+		entry.began = 0 // its duration says nothing about the weight store
+		entry.checkAt = now + planner.rate.RecentLoadTime()
 		return
 	}
-	held.began = now
-	held.seenFor = 0
-	held.onWay = traffic.OnWay + 1
-	held.checkAt = now + planner.rate.FirstLook(held.onWay, traffic.Servers)
+	entry.began = now
+	entry.lastSeenAfter = 0
+	entry.inFlight = traffic.InFlight + 1
+	entry.checkAt = now + planner.rate.FirstCheck(entry.inFlight, traffic.Servers)
 }
 
-// refused drops what the server says makes no sense, so that it is not tried for ever.
-func (planner *Planner) refused(now clock.Millis, order port.Order) {
+// refused drops a want whose order the server rejects as invalid, so that it is not repeated
+// forever.
+func (planner *Planner) refused(now clock.Millis, order platformapi.Order) {
 	delete(planner.wants, order.Adapter)
-	planner.waitTo = now + planner.options.Backoff
-	planner.known = false
+	planner.waitUntil = now + planner.options.Backoff
+	planner.reportValid = false
 }
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -6,94 +6,91 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// The weight store sends few base models at full speed, and each takes seconds. One
-// that is asked for while others are on their way takes longer in proportion to their
-// number at that moment, to its end, even where the others end soon or their servers
-// have left. So a load that waits for the end of another one often ends earlier.
-// Servers take turns without a word between the daemons that order them, by what
-// tables say.
-
-// turnPatience is how long a turn is left to the server that is next before the one
-// behind it takes it: the daemon that orders the next one may be gone, or unable to
-// reach it.
-const turnPatience = 500 * clock.Millisecond
-
-// endMargin is added to the expected end of a load: its start is heard of some
-// milliseconds late, and timers fire late.
+// The weight store sends few base models at full speed, and each takes seconds. A load that
+// starts while others are in flight takes longer in proportion to their number at its start.
+// This holds to its end, even if the others end soon or their servers have left. So a load
+// that waits for the end of another one often ends earlier. Servers take turns, which their
+// owners decide by the tables alone, without messages between them.
+
+// turnTimeout is how long a turn is left to the next server before the one behind it may
+// take it: the owner of the next server may be gone, or unable to reach it.
+const turnTimeout = 500 * clock.Millisecond
+
+// endMargin is added to the expected end of a load, as its start is reported some
+// milliseconds late and timers fire late.
 const endMargin = 50 * clock.Millisecond
 
-// Turns is one daemon's view of the base models on their way to the servers of a
-// service.
+// Turns is one daemon's view of the base model loads of a service's servers.
 type Turns struct {
-	rate  *ModelRate
-	began map[string]modelStart   // by server, while its load is on its way
-	ends  map[string]clock.Millis // by server, when its load is expected to end
-	free  clock.Millis            // since when it has been some server's turn; 0: it is none's
+	rate      *ModelRate
+	starts    map[string]modelStart   // by server, while it loads
+	ends      map[string]clock.Millis // by server, when its load is expected to end
+	turnSince clock.Millis            // since when the next load may start; 0: it may not
 }
 
-// modelStart is how a load began.
+// modelStart is the start of a load.
 type modelStart struct {
-	at    clock.Millis
-	onWay int // itself included
+	at       clock.Millis
+	inFlight int // loads in flight, itself included
 }
 
-// leastGain is how much earlier a load beside others must end to be worth it: a server
-// that leaves while its load is on its way slows down all that begin meanwhile.
-const leastGain = 500 * clock.Millisecond
+// minGain is how much earlier a load must end in parallel with others than after them to
+// be started now. A server that leaves during its load slows down all loads that start
+// before its expected end.
+const minGain = 500 * clock.Millisecond
 
-// NewTurns returns turns without a load.
+// NewTurns returns a view without loads.
 func NewTurns() *Turns {
-	return &Turns{rate: NewModelRate(), began: make(map[string]modelStart), ends: make(map[string]clock.Millis)}
+	return &Turns{rate: NewModelRate(), starts: make(map[string]modelStart), ends: make(map[string]clock.Millis)}
 }
 
-// AtOnce is how many base models travel at full speed, as far as was seen.
-func (turns *Turns) AtOnce() int {
-	return turns.rate.AtOnce()
+// FullSpeedLoads returns how many base models have been loaded at full speed at the same time.
+func (turns *Turns) FullSpeedLoads() int {
+	return turns.rate.FullSpeedLoads()
 }
 
-// Trial is how many may begin together, to see whether they do.
-func (turns *Turns) Trial() int {
-	return turns.rate.Trial()
+// TrialLoads returns how many loads may start together to find out whether they run at full speed.
+func (turns *Turns) TrialLoads() int {
+	return turns.rate.TrialLoads()
 }
 
-// Models is what is known of the base models of a service's servers.
+// Models is the state of the base models of a service's servers.
 type Models struct {
-	Loading  []string     // servers that a base model is on its way to
-	Holding  []string     // servers that hold theirs
-	Waiting  []string     // servers that are to load theirs, the next one first
-	AtOnce   int          // loads that the weight store sends at full speed
-	Trial    int          // loads that may begin together, to see whether it sends more
-	LoadTime clock.Millis // of one of them
+	Loading        []string     // servers that are loading their base model
+	Holding        []string     // servers that hold it
+	Waiting        []string     // servers that have yet to load it, the next one first
+	FullSpeedLoads int          // loads that the weight store sends at full speed at the same time
+	TrialLoads     int          // loads that may start together to find out whether it sends more
+	LoadTime       clock.Millis // of a load at full speed
 }
 
-// May reports whether a server may load its base model now.
-func (turns *Turns) May(now clock.Millis, server string, models Models) bool {
-	turns.Note(now, models)
-	if !turns.pays(now, models) {
-		turns.free = 0
+// MayLoad reports whether a server may load its base model now.
+func (turns *Turns) MayLoad(now clock.Millis, server string, models Models) bool {
+	turns.Update(now, models)
+	if !turns.worthStarting(now, models) {
+		turns.turnSince = 0
 		return false
 	}
-	if turns.free == 0 {
-		turns.free = now
+	if turns.turnSince == 0 {
+		turns.turnSince = now
 	}
-	place := slices.Index(models.Waiting, server)
-	return place >= 0 && now-turns.free >= clock.Millis(place)*turnPatience
+	position := slices.Index(models.Waiting, server)
+	return position >= 0 && now-turns.turnSince >= clock.Millis(position)*turnTimeout
 }
 
-// Ends returns in how many milliseconds the loads on their way are expected to end,
-// by server.
-func (turns *Turns) Ends(now clock.Millis) map[string]clock.Millis {
-	left := make(map[string]clock.Millis, len(turns.ends))
+// RemainingTimes returns the expected remaining time of the loads in flight, by server.
+func (turns *Turns) RemainingTimes(now clock.Millis) map[string]clock.Millis {
+	remaining := make(map[string]clock.Millis, len(turns.ends))
 	for server, endAt := range turns.ends {
-		left[server] = endAt - now
+		remaining[server] = endAt - now
 	}
-	return left
+	return remaining
 }
 
-// Note takes down loads that have begun or ended; it is to be called often, as the
-// time of a load counts from its start. The load of a server that has left goes on
-// until its expected end.
-func (turns *Turns) Note(now clock.Millis, models Models) {
+// Update records loads that have started or ended. It must be called often, as the duration
+// of a load counts from its start. The load of a server that has left counts until its
+// expected end.
+func (turns *Turns) Update(now clock.Millis, models Models) {
 	turns.observe(now, models)
 	for server, endAt := range turns.ends {
 		loading := slices.Contains(models.Loading, server)
@@ -103,37 +100,38 @@
 	}
 	for _, server := range models.Loading {
 		if _, known := turns.ends[server]; !known {
-			turns.ends[server] = now + models.span(len(turns.ends)) + endMargin
-			turns.began[server] = modelStart{at: now, onWay: len(turns.ends)}
+			turns.ends[server] = now + models.loadDuration(len(turns.ends)) + endMargin
+			turns.starts[server] = modelStart{at: now, inFlight: len(turns.ends)}
 		}
 	}
 }
 
-// observe learns from loads that have ended.
+// observe updates the rate with loads that have ended or take longer than expected.
 func (turns *Turns) observe(now clock.Millis, models Models) {
-	for server, start := range turns.began {
-		turns.rate.Lasts(start.onWay, now-start.at, models.LoadTime)
+	for server, start := range turns.starts {
+		turns.rate.ObserveInFlight(start.inFlight, now-start.at, models.LoadTime)
 		if slices.Contains(models.Holding, server) {
-			turns.rate.Observe(start.onWay, now-start.at, models.LoadTime)
-			delete(turns.began, server)
+			turns.rate.Observe(start.inFlight, now-start.at, models.LoadTime)
+			delete(turns.starts, server)
 		} else if !slices.Contains(models.Loading, server) {
-			delete(turns.began, server) // the server has left
+			delete(turns.starts, server) // the server has left
 		}
 	}
 }
 
-// span is how long a load takes that begins while others are on their way.
-func (models Models) span(others int) clock.Millis {
-	return models.LoadTime * clock.Millis(max(models.AtOnce, others+1)) / clock.Millis(models.AtOnce)
+// loadDuration returns the duration of a load that starts while others are in flight.
+func (models Models) loadDuration(others int) clock.Millis {
+	return models.LoadTime * clock.Millis(max(models.FullSpeedLoads, others+1)) / clock.Millis(models.FullSpeedLoads)
 }
 
-// trialShare is the part of a load's time within which loads begin together.
+// trialShare is the share of a load's duration within which other loads count as started
+// together with it.
 const trialShare = 0.15
 
-// together reports whether all loads on their way have just begun.
-func (turns *Turns) together(now clock.Millis, models Models) bool {
+// startedTogether reports whether all loads in flight have just started.
+func (turns *Turns) startedTogether(now clock.Millis, models Models) bool {
 	for server := range turns.ends {
-		start, ok := turns.began[server]
+		start, ok := turns.starts[server]
 		if !ok || now-start.at > clock.Millis(trialShare*float64(models.LoadTime)) {
 			return false
 		}
@@ -141,10 +139,10 @@
 	return true
 }
 
-// pays reports whether a load that begins now ends well before one that waits for the
-// end of the next load on its way.
-func (turns *Turns) pays(now clock.Millis, models Models) bool {
-	if len(turns.ends) < models.AtOnce || len(turns.ends) < models.Trial && turns.together(now, models) {
+// worthStarting reports whether a load that starts now ends earlier, by minGain at least, than one
+// that waits for the next load in flight to end.
+func (turns *Turns) worthStarting(now clock.Millis, models Models) bool {
+	if len(turns.ends) < models.FullSpeedLoads || len(turns.ends) < models.TrialLoads && turns.startedTogether(now, models) {
 		return true
 	}
 	next := clock.Millis(0)
@@ -153,5 +151,5 @@
 			next = endAt
 		}
 	}
-	return models.span(len(turns.ends))+leastGain <= max(0, next-now)+models.span(len(turns.ends)-1)
+	return models.loadDuration(len(turns.ends))+minGain <= max(0, next-now)+models.loadDuration(len(turns.ends)-1)
 }
--- a/internal/direct/loading/turn_test.go
+++ b/internal/direct/loading/turn_test.go
@@ -10,76 +10,76 @@
 	"teaselmoor/internal/direct/loading"
 )
 
-// TestModelsAtOnceIsLearned: servers whose models travel at once learn how many do, from
-// loads whose ends are found up to 250 ms late.
-func TestModelsAtOnceIsLearned(t *testing.T) {
+// TestModelRateConverges: the number of base models sent at full speed is found from loads
+// whose ends are detected up to 250 ms late.
+func TestModelRateConverges(t *testing.T) {
 	for _, truth := range []int{1, 2, 6, 9} {
 		rate := loading.NewModelRate()
 		for range 6 {
-			onWay := rate.Trial()
-			for begun := 1; begun <= onWay; begun++ {
-				took := clock.Millis(loadTime * max(begun, truth) / truth)
-				rate.Observe(begun, took+clock.Millis(50*(begun%6)), loadTime)
+			trial := rate.TrialLoads()
+			for inFlight := 1; inFlight <= trial; inFlight++ {
+				took := clock.Millis(loadTime * max(inFlight, truth) / truth)
+				rate.Observe(inFlight, took+clock.Millis(50*(inFlight%6)), loadTime)
 			}
 		}
-		require.Equal(t, truth, rate.AtOnce())
-		require.Equal(t, truth, rate.Trial())
+		require.Equal(t, truth, rate.FullSpeedLoads())
+		require.Equal(t, truth, rate.TrialLoads())
 	}
 }
 
-// TestModelsAtOnceFollowsTheStore: a store that becomes faster or slower is noticed.
-func TestModelsAtOnceFollowsTheStore(t *testing.T) {
+// TestModelRateFollowsStore: the rate adapts to a store that becomes faster or slower.
+func TestModelRateFollowsStore(t *testing.T) {
 	rate := loading.NewModelRate()
 	rate.Observe(2, 2*loadTime, loadTime)
-	require.Equal(t, 1, rate.AtOnce())
+	require.Equal(t, 1, rate.FullSpeedLoads())
 	rate.Observe(2, loadTime, loadTime)
-	rate.Lasts(3, 2*loadTime, loadTime)
-	require.Equal(t, 2, rate.Trial(), "a load beside two others is slower")
+	rate.ObserveInFlight(3, 2*loadTime, loadTime)
+	require.Equal(t, 2, rate.TrialLoads(), "a load in parallel with two others is slower")
 	rate.Observe(3, loadTime, loadTime)
-	require.Equal(t, 6, rate.Trial(), "three have travelled at full speed: more may")
+	require.Equal(t, 6, rate.TrialLoads(), "three loads ran at full speed, so more are tried")
 	rate.Observe(6, 6*loadTime, loadTime)
-	require.Equal(t, 1, rate.AtOnce())
+	require.Equal(t, 1, rate.FullSpeedLoads())
 }
 
 const loadTime = 3900
 
 func TestTurns(t *testing.T) {
 	turns := loading.NewTurns()
-	models := loading.Models{Waiting: []string{"a", "b", "c"}, AtOnce: 1, LoadTime: loadTime}
-	require.True(t, turns.May(1000, "a", models))
-	require.False(t, turns.May(1000, "b", models))
-	require.True(t, turns.May(1500, "b", models), "the first does not take its turn")
-	require.False(t, turns.May(1500, "d", models), "it does not wait for a model")
+	models := loading.Models{Waiting: []string{"a", "b", "c"}, FullSpeedLoads: 1, LoadTime: loadTime}
+	require.True(t, turns.MayLoad(1000, "a", models))
+	require.False(t, turns.MayLoad(1000, "b", models))
+	require.True(t, turns.MayLoad(1500, "b", models), "the first server has not used its turn in time")
+	require.False(t, turns.MayLoad(1500, "d", models), "the server is not waiting for a model")
 	models.Waiting, models.Loading = []string{"b", "c"}, []string{"a"}
-	require.False(t, turns.May(1600, "b", models), "waiting for the end of the first is better")
+	require.False(t, turns.MayLoad(1600, "b", models), "waiting for the end of the first load is faster")
 	models.Loading = nil
-	require.False(t, turns.May(3000, "b", models), "the load of a server that has left goes on")
-	require.True(t, turns.May(5600, "b", models), "it has ended by now")
+	require.False(t, turns.MayLoad(3000, "b", models), "the load of a server that has left still counts")
+	require.True(t, turns.MayLoad(5600, "b", models), "its expected end has passed")
 }
 
-// TestNoWaitForALongLoad: a load that was slowed down at its start and lasts longer
-// than the others will is not waited for.
-func TestNoWaitForALongLoad(t *testing.T) {
+// TestNoWaitForSlowLoad: a server does not wait for a load that was slowed down at its start
+// and will take longer than its own.
+func TestNoWaitForSlowLoad(t *testing.T) {
 	turns := loading.NewTurns()
-	models := loading.Models{Loading: []string{"x", "y"}, Waiting: []string{"a"}, AtOnce: 1, LoadTime: loadTime}
-	require.False(t, turns.May(0, "a", models))
+	models := loading.Models{Loading: []string{"x", "y"}, Waiting: []string{"a"}, FullSpeedLoads: 1, LoadTime: loadTime}
+	require.False(t, turns.MayLoad(0, "a", models))
 	models.Loading, models.Holding = []string{"y"}, []string{"x"}
-	require.False(t, turns.May(3950, "a", models))
+	require.False(t, turns.MayLoad(3950, "a", models))
 	turns = loading.NewTurns()
 	models.Loading, models.Holding = []string{"x", "y", "z"}, nil
-	require.False(t, turns.May(0, "a", models))
+	require.False(t, turns.MayLoad(0, "a", models))
 	models.Loading, models.Holding = []string{"z"}, []string{"x", "y"}
-	require.True(t, turns.May(1000, "a", models), "z takes 10.7 s more")
+	require.True(t, turns.MayLoad(1000, "a", models), "the load of z takes 10.7 s more")
 }
 
-// replay has servers found each second; the weight store fixes the time of a load at
-// its start, by the number on their way. The second and third server leave while they
-// load. It returns when the others held their models.
+// replay simulates servers that are discovered one per second. The weight store fixes the
+// duration of a load at its start by the number of loads in flight. The second and third
+// server leave during their loads. It returns when the others held their models.
 func replay(t testing.TB, may func(now clock.Millis, server string, models loading.Models) bool) []clock.Millis {
 	t.Helper()
 	servers := []string{"a", "left1", "left2", "b", "c", "d", "e"}
 	ends := make(map[string]clock.Millis)
-	models := loading.Models{AtOnce: 1, LoadTime: loadTime}
+	models := loading.Models{FullSpeedLoads: 1, LoadTime: loadTime}
 	var held []clock.Millis
 	for now := clock.Millis(0); len(held) < len(servers)-2; now += 100 {
 		require.Less(t, now, clock.Minute)
@@ -118,16 +118,16 @@
 	return slices.DeleteFunc(slices.Clone(servers), func(other string) bool { return other == server })
 }
 
-// TestReplacedServers: in turn, the last of five servers holds its model 7 s earlier
-// than with all loads side by side, and the second one 8 s earlier.
-func TestReplacedServers(t *testing.T) {
-	sideBySide := replay(t, func(clock.Millis, string, loading.Models) bool { return true })
+// TestTurnsAreFasterThanParallelLoads: with turns, the last of five servers holds its model
+// 7 s earlier than with all loads in parallel, and the second one 8 s earlier.
+func TestTurnsAreFasterThanParallelLoads(t *testing.T) {
+	parallel := replay(t, func(clock.Millis, string, loading.Models) bool { return true })
 	turns := loading.NewTurns()
-	inTurn := replay(t, turns.May)
+	inTurn := replay(t, turns.MayLoad)
 	for i := range inTurn {
-		require.LessOrEqual(t, inTurn[i], sideBySide[i])
+		require.LessOrEqual(t, inTurn[i], parallel[i])
 	}
 	last := len(inTurn) - 1
-	require.LessOrEqual(t, inTurn[last], sideBySide[last]-4*clock.Second)
-	t.Log(inTurn, sideBySide)
+	require.LessOrEqual(t, inTurn[last], parallel[last]-4*clock.Second)
+	t.Log(inTurn, parallel)
 }
--- a/internal/direct/membership/links.go
+++ b/internal/direct/membership/links.go
@@ -9,61 +9,61 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// Links returns the daemons to keep a connection to: those of the plan, those that
-// have a connection to this one, and for a daemon that gives orders all that do or did.
+// Links returns the daemons to keep a connection to: those of the plan, live peers that
+// want a connection to this daemon, and those that this daemon wants itself (see Wants).
 func (membership *Membership) Links(now clock.Millis) []topology.Daemon {
 	linked := make(map[string]topology.Daemon)
 	for _, daemon := range membership.plan.Links {
 		linked[daemon.Name] = daemon
 	}
 	for name, peer := range membership.peers {
-		answered := peer.Wants && now-peer.HeardAt < membership.options.Silence
-		if answered || membership.Wants(name) {
+		wantedByPeer := peer.Wants && now-peer.HeardAt < membership.options.Silence
+		if wantedByPeer || membership.Wants(name) {
 			linked[name] = peer.Daemon
 		}
 	}
-	for name, known := range membership.entries {
+	for name, entry := range membership.entries {
 		if membership.Wants(name) {
-			linked[name] = known.Daemon
+			linked[name] = entry.Daemon
 		}
 		_, wanted := linked[name]
 		if !wanted {
-			known.wantedAt = 0
-		} else if known.wantedAt == 0 {
-			known.wantedAt = now
+			entry.linkedSince = 0
+		} else if entry.linkedSince == 0 {
+			entry.linkedSince = now
 		}
 	}
 	return slices.SortedFunc(maps.Values(linked), func(a, b topology.Daemon) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Wants reports whether this daemon wants a connection with another one itself, and
-// not only to answer.
+// Wants reports whether this daemon itself wants a connection to another one, rather than
+// only answering the other's connection.
 func (membership *Membership) Wants(name string) bool {
-	known, ok := membership.entries[name]
-	if ok && known.State == Gone {
+	entry, ok := membership.entries[name]
+	if ok && entry.State == Gone {
 		return false
 	}
 	peer, heard := membership.peers[name]
-	if membership.role.GivesOrders() && (heard && peer.Role.GivesOrders() || membership.named[name]) {
+	if membership.role.SendsOrders() && (heard && peer.Role.SendsOrders() || membership.reportedOrderers[name]) {
 		return true
 	}
 	if membership.plan.Mesh {
 		return heard || ok
 	}
-	return membership.linked[name] || ok && membership.serves(known)
+	return membership.planLinks[name] || ok && membership.inCandidateScope(entry)
 }
 
-// Linked reports whether a daemon is one of those that this one's plan links: for one
-// that gives orders all that may claim servers, also before they say so themselves. One
-// that hears of claims only when it has said that it is a candidate waits for the quiet
-// span after its start.
-func (membership *Membership) Linked(name string) bool {
-	return membership.linked[name]
+// InPlan reports whether this daemon's plan has a connection to another one. For a daemon
+// that sends orders, these are all daemons that may claim servers, even before they report
+// it themselves. Claims are sent to them from the start: a daemon that received claims only
+// once it had reported that it is a candidate would wait for the quiet period first.
+func (membership *Membership) InPlan(name string) bool {
+	return membership.planLinks[name]
 }
 
-// serves reports whether a daemon belongs to those that this one looks after as a
-// candidate: all of its data centre, also while they are silent. One that starts again
-// while its seeds are down is met only this way.
-func (membership *Membership) serves(known *entry) bool {
-	return membership.role == topology.Candidate && known.State == Alive && known.DataCentre == membership.self.DataCentre
+// inCandidateScope reports whether this daemon, as a candidate, keeps a connection to
+// another one: to all daemons of its data centre, even silent ones. A daemon that restarts
+// while its seeds are down can be discovered only this way.
+func (membership *Membership) inCandidateScope(entry *daemonEntry) bool {
+	return membership.role == topology.Candidate && entry.State == Alive && entry.DataCentre == membership.self.DataCentre
 }
--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership is what a daemon knows of the other daemons of its site: which
-// there are, which of them it hears, and what it has to tell whom. What is known of a
-// daemon is a record, which every daemon passes on once over each connection; a record
-// with a higher number replaces one with a lower. It does no I/O and reads no clock.
+// Package membership tracks the daemons of a site as one daemon knows them: which exist,
+// which of them are live, and which to connect to. Knowledge about a daemon is a record,
+// which every daemon forwards once over each connection; a record with a higher number
+// replaces one with a lower number. The package does no I/O and reads no clock.
 package membership
 
 import (
@@ -12,76 +12,77 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// State is what a daemon is doing, as far as known.
+// State is the known state of a daemon.
 type State int
 
-// States. Their numbers are sent between daemons.
+// States of a daemon. The numbers are part of the wire format.
 const (
 	Alive   State = iota
-	Leaving       // it has said that it stops
-	Gone          // a daemon that heard it has not done so for Options.Memory
+	Leaving       // it has announced that it stops
+	Gone          // a former peer of it has received nothing from it for Options.Memory
 )
 
-// Record is what daemons tell each other of one of them. Of two records of one daemon
-// the one of the later incarnation, or else with the higher number, holds.
+// Record is what daemons send each other about one daemon. Of two records of a daemon, the
+// one with the later incarnation is valid, or with the higher number if they are equal.
 type Record struct {
 	topology.Daemon
-	Incarnation int64 // start of the process
+	Incarnation int64 // time at which the process started
 	Number      int64
 	State       State
 }
 
-func (record Record) after(other Record) bool {
+func (record Record) newerThan(other Record) bool {
 	return cmp.Or(cmp.Compare(record.Incarnation, other.Incarnation), cmp.Compare(record.Number, other.Number)) > 0
 }
 
-// Word is what a daemon says of itself to those that it is connected with.
-type Word struct {
+// Status is the status that a daemon reports about itself to the daemons that it is connected
+// to.
+type Status struct {
 	Record
 	Role     topology.Role
-	Hub      string       // the daemon that it has chosen as its hub; empty: none
-	Wants    bool         // it wants the connection itself, and not only to answer
-	Interval clock.Millis // until its next word at the latest
-	Era      int64        // of the store, that Revision is of
-	Revision int64        // of the store, all changes up to which it knows
-	Version  int64        // of the configuration in force there
-	// Orderers are the daemons that give orders as far as it knows; nil: as told before.
+	Hub      string       // the daemon chosen as hub; empty: none
+	Wants    bool         // the sender itself wants the connection, rather than only answering
+	Interval clock.Millis // maximum time until the next report
+	Era      int64        // era of the store that Revision belongs to
+	Revision int64        // store revision up to which the sender knows all changes
+	Version  int64        // configuration version in force at that revision
+	// Orderers are the daemons that the sender knows to send orders; nil: unchanged.
 	Orderers []string
 }
 
-// Options are the times of a membership.
+// Options holds the timing parameters of a membership.
 type Options struct {
-	// Usual is the interval of words for which Silence is meant; a daemon that tells
-	// less often may be silent for so much longer.
+	// Usual is the report interval that Silence is based on. A daemon that reports less
+	// often may be silent longer by the difference.
 	Usual clock.Millis
-	// Silence is how long after its last word a daemon is taken to live.
+	// Silence is how long after its last report a daemon is considered live.
 	Silence clock.Millis
-	// Unmet is how long a daemon that connections are tried to may stay unheard before
-	// the next one takes its place.
+	// Unmet is how long a daemon may send nothing while connections to it are attempted,
+	// before the next one takes its place.
 	Unmet clock.Millis
-	// Retry is how long a daemon that was found silent is passed over.
+	// Retry is how long a daemon found silent is left out of plans.
 	Retry clock.Millis
-	// Memory is how long a daemon that was heard once is remembered as one to connect
-	// to and to wait for.
+	// Memory is how long a peer is remembered after its last report, as a daemon to
+	// connect to and to wait for.
 	Memory clock.Millis
-	// Settle is how long after its start a daemon is no candidate: at first it knows
-	// few others, and would take a large site for a small one. It is shorter than the
-	// wait after a start before servers are claimed.
+	// Settle is how long after its start a daemon cannot be a candidate: at first it
+	// knows few others, and would mistake a large site for a small one. It is shorter
+	// than the wait between a start and the first claims.
 	Settle clock.Millis
-	// Meet is the same from when the daemon first heard another one.
+	// Meet is the same, measured from the first report received from any peer.
 	Meet clock.Millis
-	// Alone is Settle for one that has seeds and has not heard any other daemon.
+	// Alone replaces Settle for a daemon that has seeds but has received no report yet.
 	Alone clock.Millis
-	// Pause is a gap between two ticks after which the process is taken to have stood
-	// still.
+	// Pause is the gap between two ticks beyond which the process is considered to have
+	// been suspended.
 	Pause clock.Millis
-	// Tombstone is how long it is remembered that a daemon is gone, so that an older
-	// record does not bring it back.
+	// Tombstone is how long the record of a gone daemon is kept, so that an older record
+	// does not restore it.
 	Tombstone clock.Millis
 }
 
-// DefaultOptions returns times for daemons that tell each other twice a second, or
-// half as often, over connections that are made anew each 300 ms.
+// DefaultOptions returns options for daemons that report once or twice a second, over
+// connections that are retried every 300 ms.
 func DefaultOptions() Options {
 	return Options{
 		Usual: 500, Silence: 1500, Unmet: 1500, Retry: 8 * clock.Second, Memory: clock.Minute,
@@ -89,53 +90,55 @@
 	}
 }
 
-// Peer is a daemon that has been heard directly.
+// Peer is a daemon from which this one has received a report directly.
 type Peer struct {
-	Word
-	HeardAt clock.Millis // when it was heard last, or had leave to be silent
+	Status
+	HeardAt clock.Millis // time of the last report, plus any excess of its Interval over Options.Usual
 }
 
-// addsUp reports whether a daemon says that it adds up the work of others.
-func (peer *Peer) addsUp() bool {
-	return peer.Hub == "" && peer.Role.GivesOrders()
+// aggregates reports whether the peer aggregates the load of other daemons, by its own
+// report.
+func (peer *Peer) aggregates() bool {
+	return peer.Hub == "" && peer.Role.SendsOrders()
 }
 
-type entry struct {
+// daemonEntry is the record of another daemon, with local state.
+type daemonEntry struct {
 	Record
-	change     int64        // when it was changed last, in changes of the membership
-	goneAt     clock.Millis // when it was first seen to be gone
-	wantedAt   clock.Millis // since when connections are tried to it; 0: they are not
-	passedOver clock.Millis // until when it is taken to be silent
+	changeNumber int64        // Membership.changeNumber at the last change
+	goneSince    clock.Millis // since when the daemon is known to be gone; 0: it is not
+	linkedSince  clock.Millis // since when a connection to it is kept or attempted; 0: none is
+	silentUntil  clock.Millis // until when it is considered silent
 }
 
-// Membership is one daemon's knowledge of its site.
+// Membership is one daemon's view of the daemons of its site.
 type Membership struct {
-	options Options
-	self    Record
-	entries map[string]*entry // by name, without self
-	peers   map[string]*Peer  // by name, those that were heard directly
-	changes int64
-	started clock.Millis
-	metAt   clock.Millis // when another daemon was first heard
-	ticked  clock.Millis
-	plan    topology.Plan
-	linked  map[string]bool // the daemons that the plan links
-	named   map[string]bool // daemons that give orders, as a peer that is heard says
-	role    topology.Role
-	decided bool // the role was found once after the start
-	seeded  bool // the daemon has seeds to find others by
-}
-
-// New returns the membership of a daemon that starts now and knows no other yet. Seeded
-// tells that it has others to call.
+	options          Options
+	self             Record
+	entries          map[string]*daemonEntry // by name, without this daemon
+	peers            map[string]*Peer        // by name, daemons that have reported directly
+	changeNumber     int64                   // incremented with each change of a record
+	started          clock.Millis
+	firstPeerAt      clock.Millis // when a report was first received from another daemon
+	lastTick         clock.Millis
+	plan             topology.Plan
+	planLinks        map[string]bool // names of the daemons that the plan has connections to
+	reportedOrderers map[string]bool // daemons that send orders according to live peers
+	role             topology.Role
+	roleDecided      bool // a role was determined after the time to settle
+	hasSeeds         bool // the daemon has seeds to discover others
+}
+
+// New returns the membership of a daemon that starts now and knows no other yet. The
+// parameter seeded reports whether it has seeds to connect to.
 func New(options Options, self topology.Daemon, now clock.Millis, incarnation int64, seeded bool) *Membership {
 	membership := &Membership{
-		options: options, self: Record{Daemon: self, Incarnation: incarnation}, started: now, ticked: now, seeded: seeded,
-		entries: make(map[string]*entry), peers: make(map[string]*Peer),
-		linked: make(map[string]bool), named: make(map[string]bool),
+		options: options, self: Record{Daemon: self, Incarnation: incarnation}, started: now, lastTick: now, hasSeeds: seeded,
+		entries: make(map[string]*daemonEntry), peers: make(map[string]*Peer),
+		planLinks: make(map[string]bool), reportedOrderers: make(map[string]bool),
 	}
-	membership.changes = 1 // of its own record
-	membership.plan = topology.Of(self, nil, nil, false)
+	membership.changeNumber = 1 // counts its own record
+	membership.plan = topology.PlanFor(self, nil, nil, false)
 	return membership
 }
 
@@ -144,101 +147,104 @@
 	return membership.self
 }
 
-// Leave notes that this daemon stops.
+// Leave records that this daemon is stopping.
 func (membership *Membership) Leave() {
 	membership.self.Number++
 	membership.self.State = Leaving
-	membership.changes++
+	membership.changeNumber++
 }
 
-// Merge takes over records that a peer passes on. It reports whether any is news.
+// Merge applies records forwarded by a peer. It reports whether any was newer than what
+// was known.
 func (membership *Membership) Merge(records []Record) bool {
-	news := false
+	changed := false
 	for _, record := range records {
-		news = membership.merge(record) || news
+		changed = membership.merge(record) || changed
 	}
-	return news
+	return changed
 }
 
+// merge applies a record if it is newer, and reports whether it was.
 func (membership *Membership) merge(record Record) bool {
 	if record.Name == membership.self.Name {
-		membership.correct(record)
+		membership.refute(record)
 		return false
 	}
-	known, ok := membership.entries[record.Name]
-	if ok && !record.after(known.Record) {
+	entry, ok := membership.entries[record.Name]
+	if ok && !record.newerThan(entry.Record) {
 		return false
 	}
 	if !ok {
-		known = &entry{}
-		membership.entries[record.Name] = known
+		entry = &daemonEntry{}
+		membership.entries[record.Name] = entry
 	}
-	if record.Incarnation > known.Incarnation {
-		known.passedOver = 0 // it has started again
+	if record.Incarnation > entry.Incarnation {
+		entry.silentUntil = 0 // the daemon has restarted
 	}
-	known.Record = record
-	membership.changes++
-	known.change = membership.changes
+	entry.Record = record
+	membership.changeNumber++
+	entry.changeNumber = membership.changeNumber
 	return true
 }
 
-// correct raises the number of this daemon's own record above one that is wrong.
-func (membership *Membership) correct(said Record) {
-	if said.Incarnation == membership.self.Incarnation && said.Number >= membership.self.Number && said.State != membership.self.State {
-		membership.self.Number = said.Number + 1
-		membership.changes++
+// refute raises the number of this daemon's own record above that of a record that states
+// a wrong state for it.
+func (membership *Membership) refute(claimed Record) {
+	if claimed.Incarnation == membership.self.Incarnation && claimed.Number >= membership.self.Number && claimed.State != membership.self.State {
+		membership.self.Number = claimed.Number + 1
+		membership.changeNumber++
 	}
 }
 
-// Finding is what a word changes.
-type Finding struct {
-	Known bool // the word is not older than what was known
-	Found bool // the daemon was not heard before, or has started again
-	Left  bool // the daemon has just said that it stops, or gives orders no more
-	Moved bool // it has just chosen another hub than this daemon, which was its hub
-	Ended bool // it has just ceased to add up the work of others
+// StatusChange describes what a peer's report changes.
+type StatusChange struct {
+	Current            bool // the report is not from an earlier incarnation than the last one
+	New                bool // it is the first report of the daemon, or it has restarted
+	Left               bool // the daemon has just started to leave, or stopped sending orders
+	HubChanged         bool // it no longer uses this daemon as its hub
+	StoppedAggregating bool // it has just stopped aggregating the load of others
 }
 
-// Heard takes over a word that was heard directly.
-func (membership *Membership) Heard(now clock.Millis, word Word) Finding {
-	before, ok := membership.peers[word.Name]
-	if ok && word.Incarnation < before.Incarnation {
-		return Finding{}
+// ApplyStatus applies a report received directly from a peer.
+func (membership *Membership) ApplyStatus(now clock.Millis, status Status) StatusChange {
+	before, ok := membership.peers[status.Name]
+	if ok && status.Incarnation < before.Incarnation {
+		return StatusChange{}
 	}
 	if len(membership.peers) == 0 {
-		membership.metAt = now
+		membership.firstPeerAt = now
 	}
-	membership.merge(word.Record)
-	finding := Finding{Known: true, Found: !ok || before.Incarnation != word.Incarnation}
-	peer := &Peer{Word: word, HeardAt: now + max(0, word.Interval-membership.options.Usual)}
-	if !finding.Found && word.Orderers == nil {
+	membership.merge(status.Record)
+	change := StatusChange{Current: true, New: !ok || before.Incarnation != status.Incarnation}
+	peer := &Peer{Status: status, HeardAt: now + max(0, status.Interval-membership.options.Usual)}
+	if !change.New && status.Orderers == nil {
 		peer.Orderers = before.Orderers
 	}
-	if !finding.Found {
-		stopped := word.State == Leaving && before.State != Leaving
-		finding.Left = stopped || before.Role.GivesOrders() && !word.Role.GivesOrders()
-		finding.Ended = before.addsUp() && !peer.addsUp()
-		finding.Moved = before.Hub == membership.self.Name && word.Hub != membership.self.Name
+	if !change.New {
+		stopped := status.State == Leaving && before.State != Leaving
+		change.Left = stopped || before.Role.SendsOrders() && !status.Role.SendsOrders()
+		change.StoppedAggregating = before.aggregates() && !peer.aggregates()
+		change.HubChanged = before.Hub == membership.self.Name && status.Hub != membership.self.Name
 	}
-	membership.peers[word.Name] = peer
-	if known, ok := membership.entries[word.Name]; ok {
-		known.passedOver = 0
+	membership.peers[status.Name] = peer
+	if entry, ok := membership.entries[status.Name]; ok {
+		entry.silentUntil = 0
 	}
-	return finding
+	return change
 }
 
-// Peer returns a daemon that was heard directly.
+// Peer returns the peer with a name, if it has reported directly.
 func (membership *Membership) Peer(name string) (*Peer, bool) {
 	peer, ok := membership.peers[name]
 	return peer, ok
 }
 
-// Peers returns the daemons that were heard directly, by name. It must not be changed.
+// Peers returns all peers by name. The map must not be modified.
 func (membership *Membership) Peers() map[string]*Peer {
 	return membership.peers
 }
 
-// Live reports whether a daemon that was heard directly has been heard of late.
+// Live reports whether a daemon is a peer that is neither silent nor leaving.
 func (membership *Membership) Live(now clock.Millis, name string) bool {
 	peer, ok := membership.peers[name]
 	return ok && membership.live(now, peer)
@@ -248,14 +254,14 @@
 	return peer.State == Alive && now-peer.HeardAt < membership.options.Silence
 }
 
-// Alive returns the names of the daemons that are neither leaving nor gone, in order.
-func (membership *Membership) Alive() []string {
+// AliveNames returns the sorted names of the daemons that are neither leaving nor gone.
+func (membership *Membership) AliveNames() []string {
 	var names []string
 	if membership.self.State == Alive {
 		names = append(names, membership.self.Name)
 	}
-	for name, known := range membership.entries {
-		if known.State == Alive {
+	for name, entry := range membership.entries {
+		if entry.State == Alive {
 			names = append(names, name)
 		}
 	}
@@ -263,42 +269,44 @@
 	return names
 }
 
-// Daemons returns how many daemons the site has, this one included.
-func (membership *Membership) Daemons() int {
+// DaemonCount returns the number of daemons of the site that are neither leaving nor gone,
+// including this one.
+func (membership *Membership) DaemonCount() int {
 	count := 1
-	for _, known := range membership.entries {
-		if known.State == Alive {
+	for _, entry := range membership.entries {
+		if entry.State == Alive {
 			count++
 		}
 	}
 	return count
 }
 
-// Word returns what this daemon says of itself.
-func (membership *Membership) Word() Word {
-	return Word{Record: membership.self, Role: membership.role, Hub: membership.plan.Hub}
+// Status returns the report of this daemon about itself, without the fields that depend on
+// the receiver or the store.
+func (membership *Membership) Status() Status {
+	return Status{Record: membership.self, Role: membership.role, Hub: membership.plan.Hub}
 }
 
-// News returns the records that have changed since a number that News returned
-// before, or all of them for 0, and the number for the next call.
-func (membership *Membership) News(since int64) ([]Record, int64) {
+// RecordsSince returns the records that have changed since a change number returned by an earlier
+// call, or all of them for 0, and the change number for the next call.
+func (membership *Membership) RecordsSince(since int64) ([]Record, int64) {
 	var records []Record
-	for _, known := range membership.entries {
-		if known.change > since {
-			records = append(records, known.Record)
+	for _, entry := range membership.entries {
+		if entry.changeNumber > since {
+			records = append(records, entry.Record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
-	return records, membership.changes
+	return records, membership.changeNumber
 }
 
-// Orderers returns the daemons that give orders by their last word, which is no older
-// than Options.Memory. A daemon that starts waits for the word of each of them.
+// Orderers returns the daemons that send orders according to their last report, which is
+// no older than Options.Memory. A starting daemon waits for a report of each of them.
 func (membership *Membership) Orderers() []string {
 	names := []string{}
 	for name, peer := range membership.peers {
-		// A daemon that has said that it leaves gives no orders any more.
-		if peer.Role.GivesOrders() && peer.State != Leaving {
+		// A daemon that has announced that it leaves sends no more orders.
+		if peer.Role.SendsOrders() && peer.State != Leaving {
 			names = append(names, name)
 		}
 	}
@@ -306,10 +314,10 @@
 	return names
 }
 
-// Tick notes the passing of time: it finds out who is silent, and makes a new plan.
-// It returns the daemons that were heard once and are forgotten now.
+// Tick detects silent daemons, expires old state and computes a new plan. It returns the
+// names of the peers that are now forgotten, as they were silent for Options.Memory.
 func (membership *Membership) Tick(now clock.Millis) []string {
-	membership.stoodStill(now)
+	membership.extendAfterPause(now)
 	var forgotten []string
 	for name, peer := range membership.peers {
 		if now-peer.HeardAt > membership.options.Memory {
@@ -317,141 +325,144 @@
 			forgotten = append(forgotten, name)
 		}
 	}
-	for name, known := range membership.entries {
-		membership.judge(now, name, known)
-		membership.bury(now, name, known)
+	for name, entry := range membership.entries {
+		membership.checkSilence(now, name, entry)
+		membership.expireTombstone(now, name, entry)
 	}
 	membership.Replan(now)
 	slices.Sort(forgotten)
 	return forgotten
 }
 
-// stoodStill gives peers that were heard before the process stood still as much time as
-// they had then: it has not listened meanwhile.
-func (membership *Membership) stoodStill(now clock.Millis) {
-	gap := now - membership.ticked
-	membership.ticked = now
+// extendAfterPause shifts the deadlines of peers by the length of a pause of the process, in
+// which it received nothing.
+func (membership *Membership) extendAfterPause(now clock.Millis) {
+	gap := now - membership.lastTick
+	membership.lastTick = now
 	if gap <= membership.options.Pause {
 		return
 	}
 	for _, peer := range membership.peers {
-		peer.HeardAt = max(peer.HeardAt, min(peer.HeardAt+gap, now)) // some were heard since it woke
+		peer.HeardAt = max(peer.HeardAt, min(peer.HeardAt+gap, now)) // some have reported since the process resumed
 	}
-	for _, known := range membership.entries {
-		if known.wantedAt > 0 {
-			known.wantedAt = min(known.wantedAt+gap, now)
+	for _, entry := range membership.entries {
+		if entry.linkedSince > 0 {
+			entry.linkedSince = min(entry.linkedSince+gap, now)
 		}
 	}
 }
 
-// judge finds out whether a daemon that connections are tried to is silent.
-func (membership *Membership) judge(now clock.Millis, name string, known *entry) {
-	if known.wantedAt == 0 || now < known.passedOver || membership.Live(now, name) {
+// checkSilence marks a daemon as silent if it has sent nothing for Options.Unmet although a
+// connection to it is attempted.
+func (membership *Membership) checkSilence(now clock.Millis, name string, entry *daemonEntry) {
+	if entry.linkedSince == 0 || now < entry.silentUntil || membership.Live(now, name) {
 		return
 	}
-	since := known.wantedAt
+	since := entry.linkedSince
 	if peer, ok := membership.peers[name]; ok {
 		since = max(since, peer.HeardAt)
 	}
 	if now-since >= membership.options.Unmet {
-		known.passedOver = now + membership.options.Retry
+		entry.silentUntil = now + membership.options.Retry
 	}
 }
 
-// bury forgets that a daemon is gone once every other one knows.
-func (membership *Membership) bury(now clock.Millis, name string, known *entry) {
+// expireTombstone drops the record of a gone daemon after Options.Tombstone, when all others
+// have received it.
+func (membership *Membership) expireTombstone(now clock.Millis, name string, entry *daemonEntry) {
 	switch {
-	case known.State != Gone:
-		known.goneAt = 0
-	case known.goneAt == 0:
-		known.goneAt = now
-	case now-known.goneAt > membership.options.Tombstone:
+	case entry.State != Gone:
+		entry.goneSince = 0
+	case entry.goneSince == 0:
+		entry.goneSince = now
+	case now-entry.goneSince > membership.options.Tombstone:
 		delete(membership.entries, name)
 	}
 }
 
-// forget drops a daemon that was heard once. Others are told that it is gone; if it is
-// not, it says so when it hears of it.
+// forget drops a peer and marks its record as gone, which is sent to the others. If the
+// daemon is still running, it refutes the record when it receives it.
 func (membership *Membership) forget(name string) {
 	peer := membership.peers[name]
 	delete(membership.peers, name)
-	known, ok := membership.entries[name]
-	if !ok || known.Incarnation != peer.Incarnation || known.Number != peer.Number || known.State == Gone {
+	entry, ok := membership.entries[name]
+	if !ok || entry.Incarnation != peer.Incarnation || entry.Number != peer.Number || entry.State == Gone {
 		return
 	}
-	gone := known.Record
+	gone := entry.Record
 	gone.Number++
 	gone.State = Gone
 	membership.merge(gone)
 }
 
-// Replan makes the plan anew.
+// Replan computes a new plan and returns it.
 func (membership *Membership) Replan(now clock.Millis) topology.Plan {
 	var known []topology.Daemon
 	for _, entry := range membership.entries {
-		if entry.State == Alive && now >= entry.passedOver {
+		if entry.State == Alive && now >= entry.silentUntil {
 			known = append(known, entry.Daemon)
 		}
 	}
 	var heard []topology.Peer
-	clear(membership.named)
+	clear(membership.reportedOrderers)
 	for _, peer := range membership.peers {
 		if !membership.live(now, peer) {
 			continue
 		}
 		heard = append(heard, topology.Peer{Daemon: peer.Daemon, Role: peer.Role, Hub: peer.Hub})
 		for _, name := range peer.Orderers {
-			membership.named[name] = true
+			membership.reportedOrderers[name] = true
 		}
 	}
 	slices.SortFunc(heard, func(a, b topology.Peer) int { return cmp.Compare(a.Name, b.Name) })
-	membership.plan = topology.Of(membership.self.Daemon, known, heard, membership.role.GivesOrders())
-	clear(membership.linked)
+	membership.plan = topology.PlanFor(membership.self.Daemon, known, heard, membership.role.SendsOrders())
+	clear(membership.planLinks)
 	for _, daemon := range membership.plan.Links {
-		membership.linked[daemon.Name] = true
+		membership.planLinks[daemon.Name] = true
 	}
 	return membership.plan
 }
 
-// Plan returns the plan as it was made last.
+// Plan returns the last computed plan.
 func (membership *Membership) Plan() topology.Plan {
 	return membership.plan
 }
 
-// Role returns what this daemon does now. It claims servers only as a candidate.
+// Role returns the current role of this daemon. It claims servers only as a candidate.
 func (membership *Membership) Role() topology.Role {
 	return membership.role
 }
 
-// SetRole takes over the role of the plan. A candidate that is one no more keeps the
-// servers that it gives orders to, if it has any: servers do not change hands because
-// a daemon has started. It reports whether the role has changed, and whether the daemon
-// is a candidate now after it was told of claims only in part.
-func (membership *Membership) SetRole(now clock.Millis, orders bool) (changed, promoted bool) {
+// UpdateRole applies the role of the plan. The parameter orders reports whether this daemon
+// sends orders to any server: if so, a former candidate becomes Retired and keeps its
+// servers, so that the start of another daemon moves no server to a new owner. The results
+// report whether the role has changed, and whether a member has become a candidate, which
+// until then received only some of the claims.
+func (membership *Membership) UpdateRole(now clock.Millis, orders bool) (changed, promoted bool) {
 	before := membership.role
 	membership.role = membership.plan.Role
 	leaving := membership.self.State == Leaving
 	if !membership.settled(now) || leaving {
 		membership.role = topology.Member
 	}
-	if membership.role == topology.Member && (orders || leaving && before.GivesOrders()) {
+	if membership.role == topology.Member && (orders || leaving && before.SendsOrders()) {
 		membership.role = topology.Retired
 	}
-	promoted = membership.decided && membership.role == topology.Candidate && before == topology.Member
-	membership.decided = membership.decided || membership.settled(now)
+	promoted = membership.roleDecided && membership.role == topology.Candidate && before == topology.Member
+	membership.roleDecided = membership.roleDecided || membership.settled(now)
 	return membership.role != before, promoted
 }
 
-// settled reports whether the daemon has had time to find others since its start.
+// settled reports whether the daemon has had time to discover others since its start.
 func (membership *Membership) settled(now clock.Millis) bool {
 	since := now - membership.started
-	if !membership.Met() {
+	if !membership.Joined() {
 		return since >= membership.options.Alone
 	}
-	return since >= membership.options.Settle && now-membership.metAt >= membership.options.Meet
+	return since >= membership.options.Settle && now-membership.firstPeerAt >= membership.options.Meet
 }
 
-// Met reports whether this daemon has heard another one, or has nobody to ask for others.
-func (membership *Membership) Met() bool {
-	return !membership.seeded || len(membership.peers) > 0
+// Joined reports whether this daemon has received a report from another one, or has no seeds.
+func (membership *Membership) Joined() bool {
+	return !membership.hasSeeds || len(membership.peers) > 0
 }
--- a/internal/direct/membership/membership_test.go
+++ b/internal/direct/membership/membership_test.go
@@ -12,30 +12,30 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// Sizes of the sites drawn here.
+// Sizes of the large simulated site.
 const (
-	many        = 200
+	daemonCount = 200
 	dataCentres = 6
 )
 
-// started returns a site of many daemons that have all just started.
-func started(seeds ...string) *site {
-	site := newSite(many, dataCentres, 78)
+// startedSite returns a site of daemonCount daemons that have all just started.
+func startedSite(seeds ...string) *site {
+	site := newSite(daemonCount, dataCentres, 78)
 	for _, name := range site.order {
 		site.start(name, seeds...)
 	}
 	return site
 }
 
-// TestStartOfManyDaemons: 200 daemons that start together find their places before the
-// first of them may claim servers, and what that costs does not grow with the square of
-// their number.
+// TestStartOfManyDaemons checks that 200 daemons that start together have their hubs and
+// candidates before the first of them may claim servers, and bounds the connections and
+// records that this takes: the connections must not grow with the square of the count.
 func TestStartOfManyDaemons(t *testing.T) {
 	t.Parallel()
 	for _, seeds := range [][]string{{"d0", "d77", "d150"}, {"d0"}} {
-		site := started(seeds...)
+		site := startedSite(seeds...)
 		site.run(site.options.StartWait - step)
-		require.Empty(t, site.hubless())
+		require.Empty(t, site.withoutHub())
 		require.Len(t, site.candidates(), dataCentres*topology.CandidatesPerDataCentre)
 		candidates := site.candidates()
 		for _, name := range candidates {
@@ -44,20 +44,21 @@
 			}
 		}
 		site.run(clock.Second)
-		require.Zero(t, site.unowned(2*step))
-		require.Less(t, site.connections, 16*many)
-		require.Less(t, site.records, 10*many*many) // each daemon hears of each other one from a few peers
-		words := site.words
+		require.Zero(t, site.serversWithoutOrders(2*step))
+		require.Less(t, site.connections, 16*daemonCount)
+		require.Less(t, site.records, 10*daemonCount*daemonCount) // each daemon receives the record of each other one from a few peers
+		reports := site.reports
 		site.run(10 * clock.Second)
-		require.Less(t, site.words-words, 2*10*6*many, "words in calm times: twice a second over six connections")
-		require.Empty(t, site.wrong)
+		require.Less(t, site.reports-reports, 2*10*6*daemonCount, "reports without changes: twice a second over six connections")
+		require.Empty(t, site.violation)
 	}
 }
 
-// TestStaleSeeds: daemons start with seeds of which only one runs, some seconds later.
+// TestStaleSeeds checks that daemons find each other when only one of their seeds starts, and
+// that some seconds after them.
 func TestStaleSeeds(t *testing.T) {
 	t.Parallel()
-	site := newSite(many, dataCentres, 10)
+	site := newSite(daemonCount, dataCentres, 10)
 	for _, name := range site.order[1:] {
 		site.start(name, "d0", "nobody", "nobody either")
 	}
@@ -66,15 +67,15 @@
 	site.run(3 * clock.Second)
 	site.start("d0")
 	site.run(2 * clock.Second)
-	require.Empty(t, site.hubless())
-	require.Equal(t, many, site.daemons["d5"].Daemons())
+	require.Empty(t, site.withoutHub())
+	require.Equal(t, daemonCount, site.daemons["d5"].DaemonCount())
 }
 
-// TestLossOfCandidates: with the candidates of a data centre gone the next ones take
-// their place, and the servers that they ordered are ordered again.
+// TestLossOfCandidates checks that after the loss of all candidates of a data centre other
+// daemons become candidates, and that the servers of the lost ones get orders again.
 func TestLossOfCandidates(t *testing.T) {
 	t.Parallel()
-	site := started("d0")
+	site := startedSite("d0")
 	site.run(5 * clock.Second)
 	var lost []string
 	for _, name := range site.candidates() {
@@ -85,46 +86,48 @@
 	}
 	require.Len(t, lost, topology.CandidatesPerDataCentre)
 	site.run(3 * clock.Second)
-	require.Empty(t, site.hubless())
+	require.Empty(t, site.withoutHub())
 	require.Len(t, site.candidates(), dataCentres*topology.CandidatesPerDataCentre)
 	site.run(site.options.Quiet)
-	require.Zero(t, site.unowned(2*step))
+	require.Zero(t, site.serversWithoutOrders(2*step))
 	for _, name := range lost {
 		site.start(name, "d0")
 	}
 	site.run(12 * clock.Second)
-	require.Zero(t, site.unowned(2*step))
-	require.Empty(t, site.wrong)
+	require.Zero(t, site.serversWithoutOrders(2*step))
+	require.Empty(t, site.violation)
 }
 
-// TestLossOfHalf: any number may be lost at once, also the largest of each data centre.
+// TestLossOfHalf checks that half of the daemons may be lost at once, including the largest of
+// each data centre.
 func TestLossOfHalf(t *testing.T) {
 	t.Parallel()
-	site := started("d0", "d99")
+	site := startedSite("d0", "d99")
 	site.run(5 * clock.Second)
 	for i, name := range site.order {
-		if i < many/2 {
+		if i < daemonCount/2 {
 			site.kill(name)
 		}
 	}
 	site.run(14 * clock.Second)
-	require.Empty(t, site.hubless())
-	require.Zero(t, site.unowned(2*step))
+	require.Empty(t, site.withoutHub())
+	require.Zero(t, site.serversWithoutOrders(2*step))
 	for i, name := range site.order {
-		if i < many/2 {
+		if i < daemonCount/2 {
 			site.start(name, "d0", "d99")
 		}
 	}
 	site.run(12 * clock.Second)
-	require.Empty(t, site.hubless())
-	require.Equal(t, many, site.daemons["d150"].Daemons())
-	require.Empty(t, site.wrong)
+	require.Empty(t, site.withoutHub())
+	require.Equal(t, daemonCount, site.daemons["d150"].DaemonCount())
+	require.Empty(t, site.violation)
 }
 
-// TestFrozenHub: the others go on without it, and it finds its place when it wakes.
-func TestFrozenHub(t *testing.T) {
+// TestSuspendedHub checks that members of a suspended hub choose another one, and that the site
+// is consistent after the former hub resumes.
+func TestSuspendedHub(t *testing.T) {
 	t.Parallel()
-	site := started("d0")
+	site := startedSite("d0")
 	site.run(5 * clock.Second)
 	member := ""
 	for _, name := range site.order {
@@ -132,24 +135,24 @@
 			member = name
 		}
 	}
-	frozen := site.daemons[member].Plan().Hub
-	site.daemons[frozen].asleep = site.now + 4*clock.Second
+	suspended := site.daemons[member].Plan().Hub
+	site.daemons[suspended].suspendedUntil = site.now + 4*clock.Second
 	site.run(2500)
 	hub := site.daemons[member].Plan().Hub
-	require.NotEqual(t, frozen, hub)
+	require.NotEqual(t, suspended, hub)
 	require.NotEmpty(t, hub)
 	require.Empty(t, site.daemons[hub].Plan().Hub)
-	site.daemons[frozen].began = site.now + 1500
+	site.daemons[suspended].undisturbedSince = site.now + 1500
 	site.run(16 * clock.Second)
-	require.Empty(t, site.hubless())
-	require.Empty(t, site.wrong)
+	require.Empty(t, site.withoutHub())
+	require.Empty(t, site.violation)
 }
 
-// TestAllStartAgain: after a loss of all daemons servers have orders again as soon as
+// TestRestartOfAll checks that after a restart of all daemons, servers get orders as soon as
 // claims are allowed.
-func TestAllStartAgain(t *testing.T) {
+func TestRestartOfAll(t *testing.T) {
 	t.Parallel()
-	site := started("d0", "d77", "d150")
+	site := startedSite("d0", "d77", "d150")
 	site.run(6 * clock.Second)
 	for _, name := range site.order {
 		site.kill(name)
@@ -159,11 +162,12 @@
 		site.start(name, "d0", "d77", "d150")
 	}
 	site.run(site.options.StartWait + site.options.Announce + 2*step)
-	require.Zero(t, site.unowned(2*step))
+	require.Zero(t, site.serversWithoutOrders(2*step))
 }
 
-// TestSmallSiteIsAMesh: each daemon claims servers and hears each other one.
-func TestSmallSiteIsAMesh(t *testing.T) {
+// TestSmallSiteIsMesh checks that in a small site each daemon is a candidate and connected to
+// all others.
+func TestSmallSiteIsMesh(t *testing.T) {
 	t.Parallel()
 	site := newSite(8, 3, 9)
 	for _, name := range site.order {
@@ -177,7 +181,8 @@
 	}
 }
 
-// TestGoneDaemonIsForgotten by all, and known again when it starts.
+// TestGoneDaemonIsForgotten checks that all daemons forget a lost one, and know it again when
+// it restarts.
 func TestGoneDaemonIsForgotten(t *testing.T) {
 	t.Parallel()
 	site := newSite(40, 3, 4)
@@ -187,14 +192,15 @@
 	site.run(3 * clock.Second)
 	site.kill("d35")
 	site.run(65 * clock.Second)
-	require.Equal(t, 39, site.daemons["d20"].Daemons())
+	require.Equal(t, 39, site.daemons["d20"].DaemonCount())
 	site.start("d35", "d0")
 	site.run(3 * clock.Second)
-	require.Equal(t, 40, site.daemons["d20"].Daemons())
+	require.Equal(t, 40, site.daemons["d20"].DaemonCount())
 }
 
-// TestWrongWordOfItself: a daemon that is said to be gone says that it is not.
-func TestWrongWordOfItself(t *testing.T) {
+// TestRefuteWrongState checks that a daemon refutes a record that states that it is gone, unless
+// the record is of an earlier process.
+func TestRefuteWrongState(t *testing.T) {
 	t.Parallel()
 	self := topology.Daemon{Name: "d", Address: "a", DataCentre: "z", Capacity: 1}
 	members := membership.New(membership.DefaultOptions(), self, 1000, 7, false)
@@ -202,13 +208,13 @@
 	require.Equal(t, int64(5), members.Self().Number)
 	require.Equal(t, membership.Alive, members.Self().State)
 	members.Merge([]membership.Record{{Daemon: self, Incarnation: 6, Number: 9, State: membership.Gone}})
-	require.Equal(t, int64(5), members.Self().Number, "of an earlier process")
+	require.Equal(t, int64(5), members.Self().Number, "record of an earlier process")
 }
 
-// TestDrawnFaults draws losses, starts, pauses and cuts of daemons of large sites, whose
-// candidates change with them. Two daemons that have both run undisturbed for a lease
-// never order one server within a lease of each other.
-func TestDrawnFaults(t *testing.T) {
+// TestRandomFaults draws random kills, starts, pauses and network partitions of daemons, with
+// which the candidates of the site change. Two daemons that have both run undisturbed for a
+// lease must never send orders to the same server within a lease of each other.
+func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		site := newSite(rapid.IntRange(8, 60).Draw(t, "daemons"), rapid.IntRange(1, 4).Draw(t, "data centres"), 6)
@@ -224,50 +230,50 @@
 				site.kill(name)
 			case 1:
 				if at.down {
-					site.start(name, "d0", "d1") // its link is whole again
+					site.start(name, "d0", "d1") // its partition ends as well
 				}
 			case 2:
-				if !at.down && !at.cut {
-					at.asleep = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
-					at.began = at.asleep
+				if !at.down && !at.partitioned {
+					at.suspendedUntil = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
+					at.undisturbedSince = at.suspendedUntil
 				}
 			case 3:
-				// A cut daemon is out of touch; those that are left see one that is silent.
-				at.cut = !at.cut
-				at.began = max(site.now, at.asleep)
-				if at.cut {
-					at.began = site.now + clock.Hour
+				// A partitioned daemon never counts as undisturbed; to the others it is silent.
+				at.partitioned = !at.partitioned
+				at.undisturbedSince = max(site.now, at.suspendedUntil)
+				if at.partitioned {
+					at.undisturbedSince = site.now + clock.Hour
 				}
 			}
 			site.run(clock.Millis(rapid.IntRange(1, 25).Draw(t, "pause")) * step)
-			if site.wrong != "" {
-				t.Fatal(site.wrong)
+			if site.violation != "" {
+				t.Fatal(site.violation)
 			}
 		}
 	})
 }
 
-// TestLateSeeds: daemons that start while their seeds have no power yet take themselves for
-// alone neither as candidates nor later, and find their places soon after the seeds came.
+// TestLateSeeds checks that daemons that start before their seeds do not become candidates
+// as if they were alone, and that the site is complete soon after a seed has started.
 func TestLateSeeds(t *testing.T) {
 	t.Parallel()
-	site := newSite(many, dataCentres, 78)
+	site := newSite(daemonCount, dataCentres, 78)
 	for _, name := range site.order[1:] {
 		site.start(name, "d0")
 	}
 	site.run(900)
-	require.Empty(t, site.candidates(), "nobody was heard")
+	require.Empty(t, site.candidates(), "no peer has reported yet")
 	site.start("d0")
 	site.run(site.options.StartWait + site.options.Announce + 2*step)
 	require.Len(t, site.candidates(), dataCentres*topology.CandidatesPerDataCentre)
-	require.Empty(t, site.hubless())
-	require.Zero(t, site.unowned(2*step))
-	require.Empty(t, site.wrong)
+	require.Empty(t, site.withoutHub())
+	require.Zero(t, site.serversWithoutOrders(2*step))
+	require.Empty(t, site.violation)
 }
 
-// TestStartsInTurn: daemons of a small site that start within 0.3 s of each other hear each
-// other's claims in time, and claim servers when their own wait is over.
-func TestStartsInTurn(t *testing.T) {
+// TestStaggeredStart checks that daemons of a small site that start within 0.3 s of each other
+// receive each other's claims in time, and claim servers as soon as their own StartWait ends.
+func TestStaggeredStart(t *testing.T) {
 	t.Parallel()
 	site := newSite(7, 4, 9)
 	for i, name := range site.order {
@@ -277,43 +283,43 @@
 		site.start(name, "d0", "d3")
 	}
 	site.run(site.options.StartWait + site.options.Announce + 2*step)
-	require.Zero(t, site.unowned(2*step))
-	require.Empty(t, site.wrong)
+	require.Zero(t, site.serversWithoutOrders(2*step))
+	require.Empty(t, site.violation)
 }
 
-// TestPeerHeardAfterAPause: a daemon that stood still gives its peers as much time as they
-// had, and no more to one that was heard when it woke.
-func TestPeerHeardAfterAPause(t *testing.T) {
+// TestPeersAfterPause checks that a daemon that was suspended gives its peers the time that they
+// had left before, and no extra time to a peer that reported right after it resumed.
+func TestPeersAfterPause(t *testing.T) {
 	t.Parallel()
 	options := membership.DefaultOptions()
 	members := membership.New(options, topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
 	for _, name := range []string{"before", "after"} {
-		members.Heard(1000, membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: name}, Incarnation: 3}})
+		members.ApplyStatus(1000, membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: name}, Incarnation: 3}})
 	}
 	members.Tick(1300)
 	members.Tick(1500)
-	woke := 9000 * clock.Millisecond
-	members.Heard(woke, membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: "after"}, Incarnation: 3}})
-	members.Tick(woke)
-	require.True(t, members.Live(woke+options.Silence-501, "before"))
-	require.False(t, members.Live(woke+options.Silence-500, "before"))
-	require.True(t, members.Live(woke+options.Silence-1, "after"))
-	require.False(t, members.Live(woke+options.Silence, "after"))
+	resumed := 9000 * clock.Millisecond
+	members.ApplyStatus(resumed, membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: "after"}, Incarnation: 3}})
+	members.Tick(resumed)
+	require.True(t, members.Live(resumed+options.Silence-501, "before"))
+	require.False(t, members.Live(resumed+options.Silence-500, "before"))
+	require.True(t, members.Live(resumed+options.Silence-1, "after"))
+	require.False(t, members.Live(resumed+options.Silence, "after"))
 }
 
-// TestFindings: what a daemon's word changes for those who hear it.
-func TestFindings(t *testing.T) {
+// TestStatusChanges checks what the report of a daemon changes for its receivers.
+func TestStatusChanges(t *testing.T) {
 	t.Parallel()
 	members := membership.New(membership.DefaultOptions(), topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
-	word := membership.Word{Record: membership.Record{Daemon: topology.Daemon{Name: "e", DataCentre: "z"}, Incarnation: 3}, Role: topology.Candidate}
-	require.Equal(t, membership.Finding{Known: true, Found: true}, members.Heard(1000, word))
-	require.Equal(t, membership.Finding{Known: true}, members.Heard(1100, word))
-	word.Hub = "d"
-	require.Equal(t, membership.Finding{Known: true, Ended: true}, members.Heard(1200, word), "its group's work must not count on")
-	word.Hub = "f"
-	require.Equal(t, membership.Finding{Known: true, Moved: true}, members.Heard(1300, word))
-	word.Role = topology.Member
-	require.Equal(t, membership.Finding{Known: true, Left: true}, members.Heard(1400, word))
-	word.Incarnation = 2
-	require.Equal(t, membership.Finding{}, members.Heard(1500, word), "of an earlier process")
+	status := membership.Status{Record: membership.Record{Daemon: topology.Daemon{Name: "e", DataCentre: "z"}, Incarnation: 3}, Role: topology.Candidate}
+	require.Equal(t, membership.StatusChange{Current: true, New: true}, members.ApplyStatus(1000, status))
+	require.Equal(t, membership.StatusChange{Current: true}, members.ApplyStatus(1100, status))
+	status.Hub = "d"
+	require.Equal(t, membership.StatusChange{Current: true, StoppedAggregating: true}, members.ApplyStatus(1200, status), "the load of its group must no longer be counted")
+	status.Hub = "f"
+	require.Equal(t, membership.StatusChange{Current: true, HubChanged: true}, members.ApplyStatus(1300, status))
+	status.Role = topology.Member
+	require.Equal(t, membership.StatusChange{Current: true, Left: true}, members.ApplyStatus(1400, status))
+	status.Incarnation = 2
+	require.Equal(t, membership.StatusChange{}, members.ApplyStatus(1500, status), "report of an earlier process")
 }
--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -6,61 +6,61 @@
 	"slices"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
 
-// Times of a drawn site.
+// Times of a simulated site.
 const (
-	step     = 100 * clock.Millisecond // between two looks of a daemon
-	interval = 500 * clock.Millisecond // between two words over a connection
+	step     = 100 * clock.Millisecond // between two steps of a daemon
+	interval = 500 * clock.Millisecond // between two reports over a connection
 	lease    = 3 * clock.Second
 )
 
-// daemon is a daemon of a drawn site.
+// daemon is a daemon of a simulated site.
 type daemon struct {
 	*membership.Membership
-	claims  *tenure.Tenure
-	self    topology.Daemon
-	down    bool
-	asleep  clock.Millis // until
-	cut     bool         // hears nobody and is not heard
-	began   clock.Millis // runs undisturbed since
-	told    map[string]int64
-	toldAt  map[string]clock.Millis
-	seeds   []string
-	started clock.Millis
+	claims           *claims.Registry
+	self             topology.Daemon
+	down             bool
+	suspendedUntil   clock.Millis
+	partitioned      bool         // neither receives nor reaches other daemons
+	undisturbedSince clock.Millis // start of its undisturbed run
+	sentChanges      map[string]int64
+	sentAt           map[string]clock.Millis
+	seeds            []string
+	started          clock.Millis
 }
 
-// site is a number of daemons that hear each other over the connections that their
-// memberships keep. It counts connections and words.
+// site simulates daemons that report to each other over the connections that their
+// memberships ask for. It counts connections, reports and records.
 type site struct {
 	now         clock.Millis
 	daemons     map[string]*daemon
 	order       []string
 	servers     []string
-	open        map[string]map[string]bool // connections, by who opened them and to whom
+	connectedTo map[string]map[string]bool // open connections, by opener and target
 	connections int
-	words       int
+	reports     int
 	records     int
-	options     tenure.Options
-	last        map[string]given // the last order to each server
-	wrong       string           // the first broken rule
+	options     claims.Options
+	lastOrders  map[string]sentOrder // by server
+	violation   string               // the first violated rule; empty: none
 }
 
-// given is an order to a server.
-type given struct {
+// sentOrder is an order sent to a server.
+type sentOrder struct {
 	daemon string
 	at     clock.Millis
 	steady bool // its daemon had run undisturbed for a lease
 }
 
-// newSite returns a site of daemons in some data centres that have not started.
+// newSite returns a site of daemons in a number of data centres, none of them started.
 func newSite(count, dataCentres, servers int) *site {
 	site := &site{
-		now: 1_000_000, daemons: make(map[string]*daemon), open: make(map[string]map[string]bool),
-		options: tenure.DefaultOptions(lease, true), last: make(map[string]given),
+		now: 1_000_000, daemons: make(map[string]*daemon), connectedTo: make(map[string]map[string]bool),
+		options: claims.DefaultOptions(lease, true), lastOrders: make(map[string]sentOrder),
 	}
 	for i := range count {
 		self := topology.Daemon{Name: fmt.Sprint("d", i), Address: fmt.Sprint("a", i), DataCentre: fmt.Sprint("dc", i%dataCentres), Capacity: 200}
@@ -68,7 +68,7 @@
 			self.Capacity = 800
 		}
 		site.daemons[self.Name] = &daemon{self: self, down: true}
-		site.open[self.Name] = make(map[string]bool)
+		site.connectedTo[self.Name] = make(map[string]bool)
 		site.order = append(site.order, self.Name)
 	}
 	for i := range servers {
@@ -77,55 +77,55 @@
 	return site
 }
 
-// start starts a daemon anew.
+// start starts or restarts a daemon.
 func (site *site) start(name string, seeds ...string) {
 	before := site.daemons[name]
-	began := &daemon{
-		self: before.self, began: site.now, started: site.now, seeds: seeds,
-		told: make(map[string]int64), toldAt: make(map[string]clock.Millis),
-		claims: tenure.New(site.options, name, site.now, func() clock.Millis { return site.now }),
+	restarted := &daemon{
+		self: before.self, undisturbedSince: site.now, started: site.now, seeds: seeds,
+		sentChanges: make(map[string]int64), sentAt: make(map[string]clock.Millis),
+		claims: claims.New(site.options, name, site.now, func() clock.Millis { return site.now }),
 	}
-	began.Membership = membership.New(membership.DefaultOptions(), began.self, site.now, int64(site.now), len(seeds) > 0)
-	site.daemons[name] = began
-	site.drop(name)
+	restarted.Membership = membership.New(membership.DefaultOptions(), restarted.self, site.now, int64(site.now), len(seeds) > 0)
+	site.daemons[name] = restarted
+	site.disconnect(name)
 }
 
 func (site *site) kill(name string) {
 	site.daemons[name].down = true
-	site.drop(name)
+	site.disconnect(name)
 }
 
-// drop breaks the connections of a daemon.
-func (site *site) drop(name string) {
-	site.open[name] = make(map[string]bool)
-	for _, others := range site.open {
+// disconnect closes all connections of a daemon.
+func (site *site) disconnect(name string) {
+	site.connectedTo[name] = make(map[string]bool)
+	for _, others := range site.connectedTo {
 		delete(others, name)
 	}
 }
 
-func (site *site) reaches(from, to *daemon) bool {
-	return !from.down && !to.down && !from.cut && !to.cut && site.now >= from.asleep && site.now >= to.asleep
+func (site *site) connects(from, to *daemon) bool {
+	return !from.down && !to.down && !from.partitioned && !to.partitioned && site.now >= from.suspendedUntil && site.now >= to.suspendedUntil
 }
 
-// run lets time pass.
+// run simulates a span of time.
 func (site *site) run(span clock.Millis) {
 	for end := site.now + span; site.now < end; {
 		site.now += step
 		for _, name := range site.order {
-			if at := site.daemons[name]; !at.down && site.now >= at.asleep {
-				site.act(at)
+			if at := site.daemons[name]; !at.down && site.now >= at.suspendedUntil {
+				site.runStep(at)
 			}
 		}
 	}
 }
 
-// act has a daemon do what it does each step.
-func (site *site) act(at *daemon) {
+// runStep runs one step of a daemon.
+func (site *site) runStep(at *daemon) {
 	at.claims.Tick(site.now)
 	for _, name := range at.Tick(site.now) {
 		at.claims.Left(site.now, name)
 	}
-	changed, promoted := at.SetRole(site.now, len(at.claims.Claims(site.now)) > 0)
+	changed, promoted := at.UpdateRole(site.now, len(at.claims.Claims(site.now)) > 0)
 	if promoted {
 		at.claims.Promoted(site.now)
 	}
@@ -133,9 +133,9 @@
 		at.claims.Announced(site.now)
 	}
 	site.connect(at)
-	for _, to := range site.connected(at) {
-		if site.now-at.toldAt[to] >= interval {
-			site.tell(at, site.daemons[to])
+	for _, to := range site.openConnections(at) {
+		if site.now-at.sentAt[to] >= interval {
+			site.report(at, site.daemons[to])
 		}
 	}
 	site.claim(at)
@@ -152,77 +152,78 @@
 			wanted[seed] = seed != at.self.Name
 		}
 	}
-	for _, to := range site.connected(at) {
-		cutOff := !site.reaches(at, site.daemons[to]) && site.daemons[to].cut != at.cut
-		if !wanted[to] || cutOff {
-			delete(site.open[at.self.Name], to)
+	for _, to := range site.openConnections(at) {
+		unreachable := !site.connects(at, site.daemons[to]) && site.daemons[to].partitioned != at.partitioned
+		if !wanted[to] || unreachable {
+			delete(site.connectedTo[at.self.Name], to)
 		}
 	}
 	for _, to := range slices.Sorted(maps.Keys(wanted)) {
-		if !wanted[to] || site.open[at.self.Name][to] || !site.reaches(at, site.daemons[to]) {
+		if !wanted[to] || site.connectedTo[at.self.Name][to] || !site.connects(at, site.daemons[to]) {
 			continue
 		}
-		site.open[at.self.Name][to] = true
+		site.connectedTo[at.self.Name][to] = true
 		site.connections++
-		delete(at.told, to)
-		site.tell(at, site.daemons[to])
+		delete(at.sentChanges, to)
+		site.report(at, site.daemons[to])
 	}
 }
 
-// connected returns the daemons that one has opened a connection to.
-func (site *site) connected(at *daemon) []string {
-	return slices.Sorted(maps.Keys(site.open[at.self.Name]))
+// openConnections returns the daemons that a daemon has opened a connection to.
+func (site *site) openConnections(at *daemon) []string {
+	return slices.Sorted(maps.Keys(site.connectedTo[at.self.Name]))
 }
 
-// tell says a daemon's word to another one.
-func (site *site) tell(from, to *daemon) {
-	from.toldAt[to.self.Name] = site.now
-	word := from.Word()
-	word.Interval = interval
-	word.Wants = from.Wants(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
-	word.Orderers = from.Orderers()
-	var news []membership.Record
-	news, from.told[to.self.Name] = from.News(from.told[to.self.Name])
-	site.words++
-	site.records += len(news)
-	if !site.reaches(from, to) {
+// report sends a daemon's status, changed records and claims to another one.
+func (site *site) report(from, to *daemon) {
+	from.sentAt[to.self.Name] = site.now
+	status := from.Status()
+	status.Interval = interval
+	status.Wants = from.Wants(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
+	status.Orderers = from.Orderers()
+	var changed []membership.Record
+	changed, from.sentChanges[to.self.Name] = from.RecordsSince(from.sentChanges[to.self.Name])
+	site.reports++
+	site.records += len(changed)
+	if !site.connects(from, to) {
 		return
 	}
-	finding := to.Heard(site.now, word)
-	to.Merge(news)
-	if peer, heard := from.Peer(to.self.Name); word.Role.GivesOrders() && (!heard || peer.Role.GivesOrders() || from.Linked(to.self.Name)) {
-		to.claims.Heard(site.now, tenure.Word{
-			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Named: from.Orderers(), Idle: word.Role != topology.Candidate,
+	change := to.ApplyStatus(site.now, status)
+	to.Merge(changed)
+	if peer, heard := from.Peer(to.self.Name); status.Role.SendsOrders() && (!heard || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
+		to.claims.ApplyHeartbeat(site.now, claims.Heartbeat{
+			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Orderers: from.Orderers(), Idle: status.Role != topology.Candidate,
 		})
 	}
-	if finding.Left {
+	if change.Left {
 		to.claims.Left(site.now, from.self.Name)
 	}
 }
 
-// claim has a daemon claim servers and order those that it may.
+// claim lets a daemon claim servers and send orders wherever it may.
 func (site *site) claim(at *daemon) {
 	if at.Role() == topology.Candidate && len(at.claims.Claim(site.now, site.servers)) > 0 {
-		for _, to := range site.connected(at) {
-			site.tell(at, site.daemons[to])
+		for _, to := range site.openConnections(at) {
+			site.report(at, site.daemons[to])
 		}
 	}
-	steady := site.now-at.began >= lease
+	steady := site.now-at.undisturbedSince >= lease
 	for _, server := range site.servers {
 		if _, may := at.claims.MayOrder(site.now, server); !may {
 			continue
 		}
 		at.claims.Ordered(site.now, server)
-		before, ok := site.last[server]
-		if ok && before.daemon != at.self.Name && steady && before.steady && site.now-before.at < lease && site.wrong == "" {
-			site.wrong = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, at.self.Name, server, site.now-before.at)
+		before, ok := site.lastOrders[server]
+		if ok && before.daemon != at.self.Name && steady && before.steady && site.now-before.at < lease && site.violation == "" {
+			site.violation = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, at.self.Name, server, site.now-before.at)
 		}
-		site.last[server] = given{daemon: at.self.Name, at: site.now, steady: steady}
+		site.lastOrders[server] = sentOrder{daemon: at.self.Name, at: site.now, steady: steady}
 	}
 }
 
-// hubless returns the running daemons that neither have a hub nor add up themselves.
-func (site *site) hubless() []string {
+// withoutHub returns the running daemons that neither have a working hub nor aggregate load
+// themselves.
+func (site *site) withoutHub() []string {
 	var names []string
 	for _, name := range site.order {
 		at := site.daemons[name]
@@ -248,11 +249,11 @@
 	return names
 }
 
-// unowned returns how many servers got no order within a span.
-func (site *site) unowned(span clock.Millis) int {
+// serversWithoutOrders returns how many servers received no order within the last span.
+func (site *site) serversWithoutOrders(span clock.Millis) int {
 	count := 0
 	for _, server := range site.servers {
-		if site.now-site.last[server].at > span {
+		if site.now-site.lastOrders[server].at > span {
 			count++
 		}
 	}
--- a/internal/direct/mirror/mirror.go
+++ b/internal/direct/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package mirror keeps a copy of what the platform's store says under one
-// prefix: it reads the items once, watches for changes, and starts over when the
-// history that it missed is no longer available, or the store has come back from a
-// copy. What the items mean is decided elsewhere.
+// Package mirror replicates the items of the platform's store under one prefix: it reads
+// them all once and then watches for changes. It reads them all again if the store no longer
+// has the history since the last read, or was restored from a backup, which starts a new
+// era. The package does not interpret the items.
 package mirror
 
 import (
@@ -12,35 +12,36 @@
 	"github.com/pkg/errors"
 
 	"teaselmoor/internal/base/clock"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Options are the times of a mirror.
+// Options holds the timing parameters of a mirror.
 type Options struct {
-	// Wait is how long a watch may stay without an answer. A watch that waits may
-	// miss a change when the store drops its history; the next call shows it. A
-	// change has to be in force within 2 s.
+	// Wait is how long the store may hold a watch call if nothing changes. A watch may
+	// miss a change if the store drops its history meanwhile, which only the next call
+	// shows, and a change must take effect within 2 s.
 	Wait clock.Millis
-	// Pause is the wait after changes, so that those close together share a call.
+	// Pause is the wait after a change, so that changes close together share a call.
 	Pause clock.Millis
-	// Idle is how often a mirror that need not read asks whether it has to.
+	// Idle is the interval at which a mirror that need not read checks whether it must.
 	Idle clock.Millis
-	// CallTimeout is how long an answer may take beyond what was asked for.
+	// CallTimeout is how long a response may take, for a watch in addition to Wait.
 	CallTimeout clock.Millis
-	// CoverLimit is how long after the store last answered the daemon that reads it for
-	// this one this one reads it itself.
+	// CoverLimit is how long ago the store may have answered the daemon that reads it for
+	// this one. Beyond it, this daemon reads the store itself.
 	CoverLimit clock.Millis
-	// UnheardLimit is how long that daemon may be silent: a server that leaves gets no
-	// new work after 2 s, whoever was cut off when it said so.
+	// UnheardLimit is how long that daemon may be silent. It ensures that a leaving server
+	// gets no new requests after 2 s, whichever daemon was disconnected when the server
+	// announced that it leaves.
 	UnheardLimit clock.Millis
-	// CoveredRetry is the time between two calls of a daemon that another one reads for,
-	// while the store answers neither. A change has to be in force within 4 s.
+	// CoveredRetry is the interval between calls of a daemon that another one reads for,
+	// while the store answers neither. A change must then take effect within 4 s.
 	CoveredRetry clock.Millis
 	// FirstBackoff and MostBackoff bound the wait after a failed call.
 	FirstBackoff, MostBackoff clock.Millis
 }
 
-// DefaultOptions returns times that bring a change into force well within 2 s.
+// DefaultOptions returns options with which a change takes effect well within 2 s.
 func DefaultOptions() Options {
 	return Options{
 		Wait: 1200, Pause: 900, Idle: 200, CallTimeout: 1000,
@@ -49,40 +50,42 @@
 	}
 }
 
-// Sink takes what a mirror reads. Its methods are called one at a time.
+// Sink receives what a mirror reads. Its methods are not called concurrently.
 type Sink interface {
-	// Whole takes all items under the prefix.
-	Whole(page port.Page)
-	// Changed takes changes in the era of what was read or known before.
-	Changed(page port.Page)
-	// Turn tells whether this daemon has to read now, and what is known anyway.
-	Turn() (reads bool, known Known)
-	// Contact tells that a call was answered, or failed.
-	Contact(err error)
+	// ReplaceAll receives all items under the prefix.
+	ReplaceAll(page platformapi.Page)
+	// ApplyChanges receives changes, of the same era as what was read or known before.
+	ApplyChanges(page platformapi.Page)
+	// NextTurn reports whether this daemon must read the store now, and up to which position
+	// it knows the store already.
+	NextTurn() (reads bool, position Position)
+	// RecordContact receives the result of each call: nil if the store answered it.
+	RecordContact(err error)
 }
 
-// Known is what is known of the store: all changes of an era up to a revision.
-type Known struct {
+// Position is a position in the history of the store: all changes of an era up to a revision are
+// known.
+type Position struct {
 	Era, Revision int64
 }
 
-// Mirror reads one prefix.
+// Mirror replicates the items under one prefix.
 type Mirror struct {
-	options Options
-	store   port.Store
-	prefix  string
-	sink    Sink
-	known   Known // its revision is 0 where nothing was read, or the history was lost
-	gone    bool  // the history after what was read is lost: all has to be read
-	failed  int   // calls in a row
+	options     Options
+	store       platformapi.Store
+	prefix      string
+	sink        Sink
+	position    Position // its revision is 0 if nothing was read or the history was lost
+	historyLost bool     // the store no longer has the history since the last read: all items must be read
+	failedCalls int      // consecutive failed calls, limited to 8
 }
 
 // New returns a mirror of the items that begin with prefix.
-func New(options Options, store port.Store, prefix string, sink Sink) *Mirror {
+func New(options Options, store platformapi.Store, prefix string, sink Sink) *Mirror {
 	return &Mirror{options: options, store: store, prefix: prefix, sink: sink}
 }
 
-// Run reads until the context ends.
+// Run replicates until the context is cancelled.
 func (mirror *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := mirror.step(ctx)
@@ -94,39 +97,39 @@
 	return nil
 }
 
-// step makes one reading or watch, and returns the wait before the next.
+// step makes one full read or watch call, and returns the wait before the next step.
 func (mirror *Mirror) step(ctx context.Context) clock.Millis {
-	reads, known := mirror.sink.Turn()
+	reads, position := mirror.sink.NextTurn()
 	if !reads {
-		mirror.known = Known{}
+		mirror.position = Position{}
 		return mirror.options.Idle
 	}
-	if mirror.known.Revision == 0 && !mirror.gone {
-		mirror.known = known
+	if mirror.position.Revision == 0 && !mirror.historyLost {
+		mirror.position = position
 	}
 	var err error
-	news := true
-	if mirror.known.Revision == 0 {
+	changed := true
+	if mirror.position.Revision == 0 {
 		err = mirror.readAll(ctx)
 	} else {
-		news, err = mirror.watch(ctx)
+		changed, err = mirror.watch(ctx)
 	}
 	if ctx.Err() != nil {
 		return 0
 	}
-	mirror.sink.Contact(err)
+	mirror.sink.RecordContact(err)
 	if err != nil {
 		return mirror.backoff(err)
 	}
-	mirror.failed = 0
-	if news {
+	mirror.failedCalls = 0
+	if changed {
 		return mirror.options.Pause
 	}
 	return 0
 }
 
-// readAll reads page by page. Changes made meanwhile are watched for from the
-// revision of the first page.
+// readAll reads all items page by page. The next watch starts at the revision of the first
+// page, so that it returns changes made during the read.
 func (mirror *Mirror) readAll(ctx context.Context) error {
 	whole, err := mirror.page(ctx, "")
 	if err != nil {
@@ -137,50 +140,53 @@
 			return err
 		}
 		if more.Era != whole.Era {
-			return &port.StoreError{Failure: port.Unavailable, Err: errors.Errorf("store of era %d came back as era %d between two pages", whole.Era, more.Era)}
+			return &platformapi.StoreError{Failure: platformapi.Unavailable, Err: errors.Errorf("store era changed from %d to %d between two pages", whole.Era, more.Era)}
 		}
 		whole.Items = append(whole.Items, more.Items...)
 	}
-	mirror.known = Known{Era: whole.Era, Revision: whole.AsOf}
-	mirror.gone = false
-	mirror.sink.Whole(whole)
+	mirror.position = Position{Era: whole.Era, Revision: whole.AsOf}
+	mirror.historyLost = false
+	mirror.sink.ReplaceAll(whole)
 	return nil
 }
 
-func (mirror *Mirror) page(ctx context.Context, after string) (port.Page, error) {
+// page reads the page of items after a key.
+func (mirror *Mirror) page(ctx context.Context, after string) (platformapi.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, mirror.options.CallTimeout.Duration())
 	defer cancel()
 	return mirror.store.Range(ctx, mirror.prefix, after)
 }
 
-func (mirror *Mirror) watch(ctx context.Context) (news bool, err error) {
+// watch makes one watch call, and reports whether it returned changes.
+func (mirror *Mirror) watch(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, (mirror.options.Wait + mirror.options.CallTimeout).Duration())
 	defer cancel()
-	page, err := mirror.store.Watch(ctx, mirror.prefix, mirror.known.Revision, mirror.options.Wait)
+	page, err := mirror.store.Watch(ctx, mirror.prefix, mirror.position.Revision, mirror.options.Wait)
 	if err != nil {
 		return false, err
 	}
-	if page.Era != mirror.known.Era {
-		// The revision that was asked for is one of another history.
-		return false, &port.StoreError{Failure: port.HistoryIsGone, Err: errors.Errorf("store of era %d came back as era %d", mirror.known.Era, page.Era)}
+	if page.Era != mirror.position.Era {
+		// The requested revision belongs to the history of another era.
+		return false, &platformapi.StoreError{Failure: platformapi.HistoryGone, Err: errors.Errorf("store era changed from %d to %d", mirror.position.Era, page.Era)}
 	}
 	if len(page.Items) > 0 {
-		mirror.sink.Changed(page)
+		mirror.sink.ApplyChanges(page)
 	}
-	mirror.known.Revision = max(mirror.known.Revision, page.AsOf)
+	mirror.position.Revision = max(mirror.position.Revision, page.AsOf)
 	return len(page.Items) > 0, nil
 }
 
-// backoff doubles with each failed call, with jitter so that daemons that lost
-// the store together do not come back together.
+// backoff returns the wait after a failed call. It doubles with each failure in a row, with
+// jitter so that daemons that lost the store together do not retry together. After a loss of
+// history it returns 0, as all items must be read.
 func (mirror *Mirror) backoff(err error) clock.Millis {
-	var failed *port.StoreError
-	if errors.As(err, &failed) && failed.Failure == port.HistoryIsGone {
-		mirror.known = Known{}
-		mirror.gone = true
+	var failed *platformapi.StoreError
+	if errors.As(err, &failed) && failed.Failure == platformapi.HistoryGone {
+		mirror.position = Position{}
+		mirror.historyLost = true
 		return 0
 	}
-	mirror.failed = min(mirror.failed+1, 8)
-	wait := min(mirror.options.FirstBackoff<<(mirror.failed-1), mirror.options.MostBackoff)
+	mirror.failedCalls = min(mirror.failedCalls+1, 8)
+	wait := min(mirror.options.FirstBackoff<<(mirror.failedCalls-1), mirror.options.MostBackoff)
 	return wait/2 + clock.Millis(rand.Int64N(int64(wait/2)+1))
 }
--- a/internal/direct/mirror/turn.go
+++ b/internal/direct/mirror/turn.go
@@ -2,29 +2,29 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Turn is what decides whether a daemon reads the store itself.
-type Turn struct {
-	Reader  bool         // it reads for others, or nobody reads for it
-	Knows   bool         // it knows anything of the store
-	Hub     bool         // it hears the daemon that reads for it
-	Covered clock.Millis // since the store last answered that daemon, by its word
-	Unheard clock.Millis // since that daemon's last word
-	Lost    bool         // the store did not answer this daemon's last call
-	Tried   clock.Millis // since that call
+// ReaderState is the state that decides whether a daemon reads the store itself.
+type ReaderState struct {
+	ReadsForOthers bool         // it reads for others, or no other daemon reads for it
+	HasData        bool         // it has data of the store
+	HasHub         bool         // it has a hub, which reads the store for it
+	HubReadAge     clock.Millis // time since the store last answered the hub, as reported by the hub
+	HubSilence     clock.Millis // time since the last store update from the hub
+	LastCallFailed bool         // this daemon's last call to the store failed
+	SinceLastCall  clock.Millis // time since that call
 }
 
-// ReadsNow reports whether a daemon reads the store itself. One for which another one
-// reads does so when that one has had no answer for CoverLimit or is not heard for
-// UnheardLimit, and less often while it
-// gets none either: a store that is down for all is called by the readers.
-func (options Options) ReadsNow(turn Turn) bool {
+// ShouldRead reports whether a daemon must read the store itself. A daemon with a hub does so
+// if the store has not answered the hub for CoverLimit, or the hub has been silent for
+// UnheardLimit. If its own calls fail too, it reads only every CoveredRetry, so that a store
+// that is down is called mostly by the hubs.
+func (options Options) ShouldRead(state ReaderState) bool {
 	switch {
-	case turn.Reader:
+	case state.ReadsForOthers:
 		return true
-	case turn.Knows && turn.Covered <= options.CoverLimit && turn.Unheard <= options.UnheardLimit:
+	case state.HasData && state.HubReadAge <= options.CoverLimit && state.HubSilence <= options.UnheardLimit:
 		return false
-	case turn.Hub && turn.Lost:
-		return turn.Tried >= options.CoveredRetry
+	case state.HasHub && state.LastCallFailed:
+		return state.SinceLastCall >= options.CoveredRetry
 	default:
 		return true
 	}
--- a/internal/direct/mirror/turn_test.go
+++ b/internal/direct/mirror/turn_test.go
@@ -14,32 +14,33 @@
 	late := options.CoverLimit + 1
 	for _, each := range []struct {
 		name  string
-		turn  mirror.Turn
+		state mirror.ReaderState
 		reads bool
 	}{
-		{"a reader", mirror.Turn{Reader: true}, true},
-		{"a start", mirror.Turn{Hub: true}, true},
-		{"covered", mirror.Turn{Knows: true, Hub: true, Covered: 300}, false},
-		{"the reader is cut off", mirror.Turn{Knows: true, Hub: true, Covered: late}, true},
-		{"the reader falls silent", mirror.Turn{Knows: true, Hub: true, Covered: 300, Unheard: options.UnheardLimit + 1}, true},
-		{"the store is down for both", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: 500}, false},
-		{"the same, some time later", mirror.Turn{Knows: true, Hub: true, Covered: late, Lost: true, Tried: options.CoveredRetry}, true},
-		{"no reader is heard", mirror.Turn{Knows: true, Covered: late, Lost: true, Tried: 500}, true},
+		{"a reader", mirror.ReaderState{ReadsForOthers: true}, true},
+		{"started without data", mirror.ReaderState{HasHub: true}, true},
+		{"hub reads the store", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: 300}, false},
+		{"store does not answer the hub", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late}, true},
+		{"hub is silent", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: 300, HubSilence: options.UnheardLimit + 1}, true},
+		{"store does not answer either", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: 500}, false},
+		{"store does not answer either, after the retry interval", mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: options.CoveredRetry}, true},
+		{"no hub", mirror.ReaderState{HasData: true, HubReadAge: late, LastCallFailed: true, SinceLastCall: 500}, true},
 	} {
-		require.Equal(t, each.reads, options.ReadsNow(each.turn), each.name)
+		require.Equal(t, each.reads, options.ShouldRead(each.state), each.name)
 	}
 }
 
-// TestStoreIsDownForAll: in an outage the daemons of a data centre together call the store
-// little more often than those that read for them.
-func TestStoreIsDownForAll(t *testing.T) {
+// TestStoreOutage checks that in an outage of the store each member calls it at most once per
+// CoveredRetry, so that all members of a data centre together add few calls to those of the
+// hubs.
+func TestStoreOutage(t *testing.T) {
 	const members, outage = 32, 14 * clock.Second
 	options := mirror.DefaultOptions()
 	calls := 0
 	for range members {
 		tried := clock.Millis(0)
 		for now := clock.Millis(0); now < outage; now += options.MostBackoff {
-			if options.ReadsNow(mirror.Turn{Knows: true, Hub: true, Covered: options.CoverLimit + 1 + now, Lost: true, Tried: now - tried}) {
+			if options.ShouldRead(mirror.ReaderState{HasData: true, HasHub: true, HubReadAge: options.CoverLimit + 1 + now, LastCallFailed: true, SinceLastCall: now - tried}) {
 				tried = now
 				calls++
 			}
--- a/internal/direct/peers/item.go
+++ b/internal/direct/peers/item.go
@@ -8,12 +8,12 @@
 
 	"github.com/pkg/errors"
 
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// Item is an entry of the store as daemons keep it and tell it each other. A large value
-// is packed: else a long configuration holds up news of servers that leave on the link of
-// a small VM.
+// Item is an entry of the store in the form in which daemons keep it and send it to each
+// other. A large value is compressed; otherwise a long configuration would delay messages
+// about leaving servers on the link of a small VM.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -23,49 +23,50 @@
 }
 
 const (
-	// packAbove is the size, in bytes, above which a value is packed.
-	packAbove = 2 << 10
-	// mostUnpacked bounds what a packed value may hold, in bytes. The platform's values
-	// have a megabyte at most.
-	mostUnpacked = 8 << 20
+	// packThresholdBytes is the size above which a value is compressed.
+	packThresholdBytes = 2 << 10
+	// maxUnpackedBytes limits the uncompressed size of a value. The platform's values have
+	// at most one megabyte.
+	maxUnpackedBytes = 8 << 20
 )
 
-// Pack returns an entry as daemons keep it.
-func Pack(item port.Item) Item {
+// Pack returns an entry of the store as an Item, with a large value compressed.
+func Pack(item platformapi.Item) Item {
 	kept := Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
-	if len(item.Value) <= packAbove {
+	if len(item.Value) <= packThresholdBytes {
 		return kept
 	}
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return kept // the level is a valid one
+		return kept // does not happen: the level is valid
 	}
-	_, _ = writer.Write(item.Value) // a buffer takes all
+	_, _ = writer.Write(item.Value) // writing to a buffer does not fail
 	_ = writer.Close()
 	kept.Value, kept.Packed = packed.Bytes(), true
 	return kept
 }
 
-// Unpack returns the entry as it was read.
-func (item Item) Unpack() (port.Item, error) {
-	read := port.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
+// Unpack returns the entry as it was read from the store.
+func (item Item) Unpack() (platformapi.Item, error) {
+	read := platformapi.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if !item.Packed {
 		return read, nil
 	}
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(item.Value)), mostUnpacked+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(item.Value)), maxUnpackedBytes+1))
 	if err != nil {
-		return port.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
+		return platformapi.Item{}, errors.Wrapf(err, "unpack %s", item.Key)
 	}
-	if len(value) > mostUnpacked {
-		return port.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, mostUnpacked)
+	if len(value) > maxUnpackedBytes {
+		return platformapi.Item{}, errors.Errorf("unpack %s: above %d bytes", item.Key, maxUnpackedBytes)
 	}
 	read.Value = value
 	return read, nil
 }
 
-// BySize orders entries so that small ones go first, and older before newer ones.
-func BySize(a, b Item) int {
+// CompareBySize orders uncompressed entries before compressed ones, and then older before newer
+// ones.
+func CompareBySize(a, b Item) int {
 	if a.Packed != b.Packed {
 		if b.Packed {
 			return -1
--- a/internal/direct/peers/item_test.go
+++ b/internal/direct/peers/item_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 )
 
-// routes is a value like a configuration of so many routes.
+// routes returns a value that resembles a configuration with count routes.
 func routes(count int) []byte {
 	var value bytes.Buffer
 	for i := range count {
@@ -21,26 +21,27 @@
 	return value.Bytes()
 }
 
-// TestLargeConfigurationAmongNews: a configuration of 1,500 routes takes a tenth of its
-// size, and servers that leave are told before it.
-func TestLargeConfigurationAmongNews(t *testing.T) {
-	config := port.Item{Key: "config", Value: routes(1500), Revision: 4}
+// TestLargeConfigurationIsSentLast checks that a configuration of 1,500 routes, which
+// compresses to about a tenth, takes less than a fifth of its size, and that entries of
+// leaving servers are sent before it.
+func TestLargeConfigurationIsSentLast(t *testing.T) {
+	config := platformapi.Item{Key: "config", Value: routes(1500), Revision: 4}
 	packed := peers.Pack(config)
 	require.Less(t, len(packed.Value), len(config.Value)/5)
 	unpacked, err := packed.Unpack()
 	require.NoError(t, err)
 	require.Equal(t, config, unpacked)
-	server := peers.Pack(port.Item{Key: "server", Value: []byte("leaves"), Revision: 5})
-	removed := peers.Pack(port.Item{Key: "other", Deleted: true, Revision: 3})
-	news := []peers.Item{packed, server, removed}
-	slices.SortFunc(news, peers.BySize)
-	require.Equal(t, []peers.Item{removed, server, packed}, news)
+	server := peers.Pack(platformapi.Item{Key: "server", Value: []byte("leaves"), Revision: 5})
+	removed := peers.Pack(platformapi.Item{Key: "other", Deleted: true, Revision: 3})
+	entries := []peers.Item{packed, server, removed}
+	slices.SortFunc(entries, peers.CompareBySize)
+	require.Equal(t, []peers.Item{removed, server, packed}, entries)
 }
 
-func TestPackedValuesThatCannotBeRead(t *testing.T) {
+func TestUnpackInvalidValues(t *testing.T) {
 	_, err := peers.Item{Key: "k", Value: []byte("no stream"), Packed: true}.Unpack()
 	require.ErrorContains(t, err, "unpack k")
-	bomb := peers.Pack(port.Item{Key: "k", Value: make([]byte, 9<<20)})
+	bomb := peers.Pack(platformapi.Item{Key: "k", Value: make([]byte, 9<<20)})
 	require.Less(t, len(bomb.Value), 1<<20)
 	_, err = bomb.Unpack()
 	require.ErrorContains(t, err, "above")
--- a/internal/direct/peers/mesh.go
+++ b/internal/direct/peers/mesh.go
@@ -16,27 +16,28 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// Path is where daemons accept the connections of their peers.
+// Path is the HTTP path at which daemons accept connections of their peers.
 const Path = "/peer"
 
-// Options are the limits of connections between daemons.
+// Options holds the limits of connections between daemons.
 type Options struct {
-	DialTimeout  clock.Millis // a VM that has no power does not answer at all
+	DialTimeout  clock.Millis // a VM without power does not answer at all
 	WriteTimeout clock.Millis
-	Ping         clock.Millis // between two pings at first; SetPing changes it
-	Redial       clock.Millis // between two tries to connect
-	// Daemons that start together, as after a loss of all VMs, call seeds that have no
-	// power yet: a call that gets no answer is given up after QuickDial, and made again
-	// after QuickRedial, for QuickSpan from when the daemon became known. With the usual times
-	// daemons heard the first other one 0.8 s after they had started.
+	Ping         clock.Millis // initial interval between pings; SetPing changes it
+	Redial       clock.Millis // interval between attempts to connect
+	// Daemons that start together, for example after a loss of all VMs, dial seeds that
+	// have no power yet. For QuickSpan after a daemon became known, an attempt to connect
+	// to it times out after QuickDial and is repeated after QuickRedial. With DialTimeout
+	// and Redial, daemons received the first report of another one only 0.8 s after their
+	// start.
 	QuickDial, QuickRedial, QuickSpan clock.Millis
-	GiveUp                            clock.Millis // after which a daemon that cannot be reached is forgotten, unless it is a seed
-	QueueLength                       int          // messages waiting for one peer; beyond it the connection is given up
-	BufferBytes                       int          // of a connection, for reading and writing each
-	MessageBytes                      int64        // most bytes of one message
+	GiveUp                            clock.Millis // time after which an unreachable daemon is forgotten, unless it is a seed
+	QueueLength                       int          // maximum number of messages queued for a peer; beyond it the connection is closed
+	BufferBytes                       int          // size of the read buffer and of the write buffer of a connection
+	MessageBytes                      int64        // maximum size of a message
 }
 
-// DefaultOptions returns limits for daemons a few milliseconds apart.
+// DefaultOptions returns options for daemons with round-trip times of a few milliseconds.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout: 500, WriteTimeout: 500, Ping: 500, Redial: 300, GiveUp: clock.Minute,
@@ -45,162 +46,168 @@
 	}
 }
 
-// Handler takes what peers say. It must be quick.
+// Handler receives the messages and connection events of peers. Its methods must return
+// quickly.
 type Handler interface {
-	// Received takes a message; it comes from the daemon that Update named last
-	// on the same connection.
+	// Received handles a message. Its sender is the daemon named by the last Update on the
+	// same connection.
 	Received(from string, message Message)
-	// Connected tells that what is sent to a peer arrives at a new connection.
+	// Connected reports that a new connection to a peer is open, over which nothing has been
+	// sent yet.
 	Connected(peer string)
-	// Refused tells that a connection was ended for a message that is not understood.
+	// Refused reports that a connection was closed because of an invalid message.
 	Refused(from string, err error)
 }
 
-// Mesh holds the connections to all peers.
-type Mesh struct {
+// Network holds the connections to all peers, in small and large sites.
+type Network struct {
 	options Options
 	self    string
 	handler Handler
 	group   *task.Group
-	ping    atomic.Int64 // milliseconds between two pings, which show connections that went silent
+	ping    atomic.Int64 // ping interval in milliseconds; pings detect dead connections
 	mutex   sync.Mutex   // guards peers
 	peers   map[string]*peer
 }
 
-// silentPings is how many pings may stay without an answer before a connection
-// is given up; pongMargin is left for the last answer.
+// maxUnansweredPings is the number of unanswered pings after which a connection is closed;
+// pongMargin is additional time for the last pong to arrive.
 const (
-	silentPings = 2
-	pongMargin  = 200 * time.Millisecond
+	maxUnansweredPings = 2
+	pongMargin         = 200 * time.Millisecond
 )
 
-// SetPing sets the time between two pings on each connection.
-func (mesh *Mesh) SetPing(interval clock.Millis) {
-	mesh.ping.Store(int64(interval))
+// SetPing sets the interval between pings on each connection.
+func (network *Network) SetPing(interval clock.Millis) {
+	network.ping.Store(int64(interval))
 }
 
-func (mesh *Mesh) pingInterval() time.Duration {
-	return clock.Millis(mesh.ping.Load()).Duration()
+func (network *Network) pingInterval() time.Duration {
+	return clock.Millis(network.ping.Load()).Duration()
 }
 
+// peer is a daemon that a connection is kept or attempted to.
 type peer struct {
-	member topology.Daemon
-	stop   context.CancelFunc // ends the goroutine that keeps the connection
-	queue  chan []byte        // nil while not connected
-	broken context.CancelFunc // ends the connection
+	daemon          topology.Daemon
+	stop            context.CancelFunc // stops the goroutine that maintains the connection
+	queue           chan []byte        // nil while not connected
+	closeConnection context.CancelFunc // closes the current connection; nil while not connected
 }
 
-// New returns a mesh whose goroutines belong to group.
-func New(options Options, self string, handler Handler, group *task.Group) *Mesh {
-	mesh := &Mesh{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
-	mesh.SetPing(options.Ping)
-	return mesh
+// New returns the connections of a daemon. Their goroutines belong to group.
+func New(options Options, self string, handler Handler, group *task.Group) *Network {
+	network := &Network{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
+	network.SetPing(options.Ping)
+	return network
 }
 
-// Learn starts to keep a connection to a daemon, unless there is one. A daemon that is
-// known by its address only is a seed, which is never forgotten; others are known
-// again as soon as a peer names them.
-func (mesh *Mesh) Learn(member topology.Daemon) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	if _, known := mesh.peers[member.Address]; known || member.Name == mesh.self {
+// Add starts to maintain a connection to a daemon, unless it is known already. A daemon
+// without a name is a seed, which is never forgotten. Others are forgotten when they cannot
+// be reached for Options.GiveUp, and become known again when a peer names them.
+func (network *Network) Add(daemon topology.Daemon) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if _, known := network.peers[daemon.Address]; known || daemon.Name == network.self {
 		return
 	}
-	stopped, stop := context.WithCancel(mesh.group.Context())
-	added := &peer{member: member, stop: stop}
-	mesh.peers[member.Address] = added
-	mesh.group.Go("peer "+member.Address, func(context.Context) error {
+	stopped, stop := context.WithCancel(network.group.Context())
+	added := &peer{daemon: daemon, stop: stop}
+	network.peers[daemon.Address] = added
+	network.group.Go("peer "+daemon.Address, func(context.Context) error {
 		defer stop()
-		return mesh.keep(stopped, added)
+		return network.maintain(stopped, added)
 	})
 }
 
-// Retain keeps a connection to each of some daemons, and ends those to others.
-func (mesh *Mesh) Retain(members []topology.Daemon) {
-	kept := make(map[string]bool, len(members))
-	for _, member := range members {
-		kept[member.Address] = true
-		mesh.Learn(member)
+// Retain maintains connections to the given daemons only, and closes all others.
+func (network *Network) Retain(daemons []topology.Daemon) {
+	kept := make(map[string]bool, len(daemons))
+	for _, daemon := range daemons {
+		kept[daemon.Address] = true
+		network.Add(daemon)
 	}
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	for address, known := range mesh.peers {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	for address, peer := range network.peers {
 		if !kept[address] {
-			known.stop()
-			delete(mesh.peers, address)
+			peer.stop()
+			delete(network.peers, address)
 		}
 	}
 }
 
-// Known returns how many daemons connections are kept or tried to.
-func (mesh *Mesh) Known() int {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	return len(mesh.peers)
+// Count returns the number of daemons that connections are maintained or attempted to.
+func (network *Network) Count() int {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return len(network.peers)
 }
 
-func (mesh *Mesh) forget(gone *peer) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	if mesh.peers[gone.member.Address] == gone {
-		delete(mesh.peers, gone.member.Address)
+// remove drops a peer, unless another one has replaced it under the same address.
+func (network *Network) remove(gone *peer) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.peers[gone.daemon.Address] == gone {
+		delete(network.peers, gone.daemon.Address)
 	}
 }
 
-// Addresses returns the addresses that there is a connection to.
-func (mesh *Mesh) Addresses() []string {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
+// ConnectedAddresses returns the addresses of the connected peers.
+func (network *Network) ConnectedAddresses() []string {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
 	var addresses []string
-	for address, known := range mesh.peers {
-		if known.queue != nil {
+	for address, peer := range network.peers {
+		if peer.queue != nil {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-// Send queues a message for the daemon at an address. It reports false when
-// there is no connection; a message may also be lost with its connection.
-func (mesh *Mesh) Send(address string, message Message) (bool, error) {
+// Send queues a message for the daemon at an address. It reports false if there is no
+// connection. A queued message may still be lost with its connection.
+func (network *Network) Send(address string, message Message) (bool, error) {
 	encoded, err := Encode(message)
 	if err != nil {
 		return false, err
 	}
-	return mesh.SendEncoded(address, encoded), nil
+	return network.SendEncoded(address, encoded), nil
 }
 
-// SendEncoded is Send for a message that was encoded before.
-func (mesh *Mesh) SendEncoded(address string, encoded []byte) bool {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
-	known, ok := mesh.peers[address]
-	if !ok || known.queue == nil {
+// SendEncoded is like Send, for a message that is already encoded. If the queue is full, it
+// closes the connection and reports false.
+func (network *Network) SendEncoded(address string, encoded []byte) bool {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	peer, ok := network.peers[address]
+	if !ok || peer.queue == nil {
 		return false
 	}
 	select {
-	case known.queue <- encoded:
+	case peer.queue <- encoded:
 		return true
 	default:
-		known.broken() // what was not told must be told anew
+		peer.closeConnection() // the state is sent again over the next connection
 		return false
 	}
 }
 
-// keep connects again and again, until the peer could not be reached for long.
-func (mesh *Mesh) keep(ctx context.Context, to *peer) error {
+// maintain reconnects to a peer until the context is cancelled or, unless the peer is a seed,
+// it could not be reached for Options.GiveUp.
+func (network *Network) maintain(ctx context.Context, to *peer) error {
 	knownAt := time.Now()
 	reachedAt := knownAt
 	for ctx.Err() == nil {
-		pause, dial := mesh.options.Redial, mesh.options.DialTimeout
-		if time.Since(knownAt) < mesh.options.QuickSpan.Duration() {
-			pause, dial = mesh.options.QuickRedial, mesh.options.QuickDial
+		pause, dial := network.options.Redial, network.options.DialTimeout
+		if time.Since(knownAt) < network.options.QuickSpan.Duration() {
+			pause, dial = network.options.QuickRedial, network.options.QuickDial
 		}
-		if mesh.connect(ctx, to, dial) {
+		if network.connect(ctx, to, dial) {
 			reachedAt = time.Now()
 		}
-		if to.member.Name != "" && time.Since(reachedAt) >= mesh.options.GiveUp.Duration() {
-			mesh.forget(to)
+		if to.daemon.Name != "" && time.Since(reachedAt) >= network.options.GiveUp.Duration() {
+			network.remove(to)
 			return nil
 		}
 		select {
@@ -211,15 +218,16 @@
 	return nil
 }
 
-// connect runs one connection until it breaks, and reports whether there was one.
-// Errors need no line: the peer's silence is logged where it changes a belief.
-func (mesh *Mesh) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
+// connect opens a connection, uses it until it fails, and reports whether it was opened.
+// Errors are not logged here: a silent peer is logged where it changes the state of the
+// daemon.
+func (network *Network) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
 	dialer := websocket.Dialer{
-		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
-		ReadBufferSize:   mesh.options.BufferBytes, WriteBufferSize: mesh.options.BufferBytes,
+		HandshakeTimeout: network.options.DialTimeout.Duration(),
+		ReadBufferSize:   network.options.BufferBytes, WriteBufferSize: network.options.BufferBytes,
 		NetDialContext: (&net.Dialer{Timeout: dial.Duration()}).DialContext,
 	}
-	conn, response, err := dialer.DialContext(ctx, "ws://"+to.member.Address+Path, nil)
+	conn, response, err := dialer.DialContext(ctx, "ws://"+to.daemon.Address+Path, nil)
 	if err != nil {
 		return false
 	}
@@ -228,28 +236,30 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	queue := make(chan []byte, mesh.options.QueueLength)
-	mesh.attach(to, queue, cancel)
-	defer mesh.attach(to, nil, nil)
-	mesh.group.Go("pongs "+to.member.Address, func(context.Context) error { return mesh.pongs(conn, cancel) })
-	mesh.handler.Connected(to.member.Address)
-	mesh.write(ctx, conn, queue)
+	queue := make(chan []byte, network.options.QueueLength)
+	network.setQueue(to, queue, cancel)
+	defer network.setQueue(to, nil, nil)
+	network.group.Go("pongs "+to.daemon.Address, func(context.Context) error { return network.readPongs(conn, cancel) })
+	network.handler.Connected(to.daemon.Address)
+	network.write(ctx, conn, queue)
 	_ = conn.Close()
 	return true
 }
 
-func (mesh *Mesh) attach(to *peer, queue chan []byte, broken context.CancelFunc) {
-	mesh.mutex.Lock()
-	defer mesh.mutex.Unlock()
+// setQueue sets the queue of a peer and the function that closes its connection; both are nil
+// while it is not connected.
+func (network *Network) setQueue(to *peer, queue chan []byte, closeConnection context.CancelFunc) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
 	to.queue = queue
-	to.broken = broken
+	to.closeConnection = closeConnection
 }
 
-// pongs reads until the connection breaks or falls silent.
-func (mesh *Mesh) pongs(conn *websocket.Conn, broken context.CancelFunc) error {
-	defer broken()
+// readPongs reads pongs until the connection fails or pongs are overdue.
+func (network *Network) readPongs(conn *websocket.Conn, closeConnection context.CancelFunc) error {
+	defer closeConnection()
 	alive := func(string) error {
-		return conn.SetReadDeadline(time.Now().Add(silentPings*mesh.pingInterval() + pongMargin))
+		return conn.SetReadDeadline(time.Now().Add(maxUnansweredPings*network.pingInterval() + pongMargin))
 	}
 	conn.SetPongHandler(alive)
 	if err := alive(""); err != nil {
@@ -262,8 +272,9 @@
 	}
 }
 
-func (mesh *Mesh) write(ctx context.Context, conn *websocket.Conn, queue chan []byte) {
-	ping := time.NewTimer(mesh.pingInterval())
+// write sends pings and queued messages until the connection fails or is closed.
+func (network *Network) write(ctx context.Context, conn *websocket.Conn, queue chan []byte) {
+	ping := time.NewTimer(network.pingInterval())
 	defer ping.Stop()
 	for {
 		kind := websocket.BinaryMessage
@@ -273,10 +284,10 @@
 			return
 		case <-ping.C:
 			kind = websocket.PingMessage
-			ping.Reset(mesh.pingInterval())
+			ping.Reset(network.pingInterval())
 		case encoded = <-queue:
 		}
-		err := conn.SetWriteDeadline(time.Now().Add(mesh.options.WriteTimeout.Duration()))
+		err := conn.SetWriteDeadline(time.Now().Add(network.options.WriteTimeout.Duration()))
 		if err == nil {
 			err = conn.WriteMessage(kind, encoded)
 		}
@@ -286,29 +297,31 @@
 	}
 }
 
-// errMessage is a message that cannot be understood.
-var errMessage = errors.New("message refused")
+// errInvalidMessage is the cause of a connection closed for a message that cannot be decoded.
+var errInvalidMessage = errors.New("message refused")
 
-// ServeHTTP accepts the connection of a peer and reads from it.
-func (mesh *Mesh) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// ServeHTTP accepts a connection of a peer and reads messages from it until it fails.
+func (network *Network) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	upgrader := websocket.Upgrader{
-		HandshakeTimeout: mesh.options.DialTimeout.Duration(),
-		ReadBufferSize:   mesh.options.BufferBytes, WriteBufferSize: mesh.options.BufferBytes,
+		HandshakeTimeout: network.options.DialTimeout.Duration(),
+		ReadBufferSize:   network.options.BufferBytes, WriteBufferSize: network.options.BufferBytes,
 	}
 	conn, err := upgrader.Upgrade(writer, request, nil)
 	if err != nil {
-		return // the upgrader has answered
+		return // the upgrader has sent the error response
 	}
-	stop := context.AfterFunc(mesh.group.Context(), func() { _ = conn.Close() })
+	stop := context.AfterFunc(network.group.Context(), func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
-	conn.SetReadLimit(mesh.options.MessageBytes)
-	if err := mesh.read(conn); errors.Is(err, errMessage) {
-		mesh.handler.Refused(request.RemoteAddr, err)
-	} // a broken connection is made anew by the peer
+	conn.SetReadLimit(network.options.MessageBytes)
+	if err := network.read(conn); errors.Is(err, errInvalidMessage) {
+		network.handler.Refused(request.RemoteAddr, err)
+	} // after other errors, the peer reconnects
 }
 
-func (mesh *Mesh) read(conn *websocket.Conn) error {
+// read passes the messages of a connection to the handler, once an Update has named its
+// sender.
+func (network *Network) read(conn *websocket.Conn) error {
 	from := ""
 	for {
 		_, encoded, err := conn.ReadMessage()
@@ -317,13 +330,13 @@
 		}
 		message, err := Decode(encoded)
 		if err != nil {
-			return errors.Wrap(errMessage, err.Error())
+			return errors.Wrap(errInvalidMessage, err.Error())
 		}
 		if message.Update != nil {
 			from = message.Update.Name
 		}
 		if from != "" {
-			mesh.handler.Received(from, message)
+			network.handler.Received(from, message)
 		}
 	}
 }
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -1,146 +1,147 @@
-// Package peers connects the daemons of a site with each other: WebSocket
-// connections that carry CBOR messages. Each daemon keeps one connection to each
-// other daemon and sends on it; what it hears comes on the connections that the
-// others keep. Nothing here decides.
+// Package peers connects the daemons of a site: it carries CBOR messages over WebSocket
+// connections. A daemon opens a connection to each of its peers and only sends on it; it
+// receives messages on the connections that its peers open. The package takes no decisions
+// about the content of messages.
 package peers
 
 import (
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/throttle"
 )
 
-// Update is what a daemon tells those that it is connected with every so often.
+// Update is the periodic report of a daemon to the daemons that it is connected to.
 type Update struct {
-	membership.Word
-	Members []membership.Record // news of other daemons, not told before on the same connection
-	Claimed bool                // Claims are told: all claims of the sender
-	Claims  []tenure.Claim      // none where the receiver claims no servers itself
+	membership.Status
+	Members []membership.Record // changed records of other daemons, not yet sent on this connection
+	Claimed bool                // Claims is set, and holds all claims of the sender
+	Claims  []claims.Claim      // empty if the receiver claims no servers itself
 }
 
-// Digest is news: what its receiver has not been told on the same connection.
-type Digest struct {
+// Delta holds the state changes that were not yet sent to the receiver on the same
+// connection.
+type Delta struct {
 	Shares   []DaemonShare
 	Tables   []fleet.Table
-	Store    *StoreNews      // nil when the sender does not read the store for the receiver
-	Sums     *Sums           // nil when the sender is not the receiver's hub
-	Loads    map[string]Work // the sender's own work at servers where it has changed since it told last
-	Group    *GroupShare     // nil unless both are hubs
-	Owners   *Owners         // nil when they have not changed, or the sender is not the receiver's hub
-	Reported []Reported      // what servers say that no daemon gives orders to yet
-	Usage    *quota.Word     // nil where no account has a limit
+	Store    *StoreUpdate          // nil if the sender does not read the store for the receiver
+	Sums     *Sums                 // nil if the sender is not the receiver's hub
+	Loads    map[string]ServerLoad // the sender's own load at servers where it has changed since it was last sent
+	Group    *GroupShare           // nil unless sender and receiver are hubs
+	Owners   *Owners               // nil if unchanged, or if the sender is not the receiver's hub
+	Reported []ServerReport        // reports of servers that have no owner yet
+	Usage    *quota.Report         // nil if no account has a limit
 }
 
-// GroupShare is what a hub and the daemons that have chosen it have in progress.
+// GroupShare is the load in progress of a hub and the daemons that have chosen it.
 type GroupShare struct {
-	Number int64 // rises by one with each
-	Whole  bool  // else the share holds what has changed since the number before, 0 for what has ended
-	Share  tally.Share
+	Number int64 // increases by one with each share
+	Whole  bool  // Share is complete; otherwise it holds changes since the previous Number, 0 for ended load
+	Share  inflight.Share
 }
 
-// Owners are the daemons that give orders to servers, by server, and what those have
-// learned of the weight store.
+// Owners holds the daemons that send orders to servers, by server, and what they have learned
+// about the weight store.
 type Owners struct {
 	By      map[string]string
-	Learned loading.Learned
+	Learned loading.RateEstimate
 }
 
-// Reported is what a server itself says that it holds.
-type Reported struct {
+// ServerReport is what a server itself reports that it holds.
+type ServerReport struct {
 	Server   string
 	Born     int64
-	Holdings []port.Holding
+	Holdings []platformapi.Holding
 }
 
-// Work is what a daemon has in progress at a server, and what it has sent there since it
-// told last.
-type Work struct {
-	tally.Load
+// ServerLoad is the load that a daemon has in progress at a server, and what it has sent there
+// since its previous message.
+type ServerLoad struct {
+	inflight.Load
 	Sent int // prompt tokens
 }
 
-// Sums is what all daemons but the receiver have in progress.
+// Sums is the load in progress of all daemons except the receiver.
 type Sums struct {
-	Whole   bool                 // servers that are not named have no work; else nothing has changed there
-	Servers map[string]tally.Sum // those whose sums have changed
-	Uses    []ServerUses         // at servers that the receiver orders
+	Whole   bool                    // servers that are not listed have no load; otherwise their load is unchanged
+	Servers map[string]inflight.Sum // servers whose sums have changed
+	Uses    []ServerUses            // at servers that the receiver sends orders to
 }
 
-// ServerUses is how many requests use each adapter of a server.
+// ServerUses holds the number of requests that use each adapter of a server.
 type ServerUses struct {
 	Server string
-	Uses   map[port.Adapter]int
+	Uses   map[platformapi.Adapter]int
 }
 
-// DaemonShare is what a daemon has in progress. Of two, the one of the later
-// incarnation, or else with the higher number, is the newer.
+// DaemonShare is the load that a daemon has in progress. Of two shares of a daemon, the one
+// with the later incarnation is newer, or with the higher number if they are equal.
 type DaemonShare struct {
 	Name        string
 	Incarnation int64
 	Number      int64
-	Share       tally.Share
+	Share       inflight.Share
 }
 
-// StoreItems are items of the store, as of a revision of one of its eras.
+// StoreItems holds items of the store as of a revision of one of its eras.
 type StoreItems struct {
 	Items []Item
 	AsOf  int64
 	Era   int64 `cbor:",omitempty"`
-	Whole bool  `cbor:",omitempty"` // all items that there are, and not only those that the receiver lacks
+	Whole bool  `cbor:",omitempty"` // Items holds all items, not only those that the receiver lacks
 }
 
-// StoreNews is what was read of the store.
-type StoreNews struct {
+// StoreUpdate holds what the sender has read from the store.
+type StoreUpdate struct {
 	StoreItems
-	// Age is how long ago the store answered the sender.
+	// Age is the time since the store last answered the sender.
 	Age clock.Millis
-	// Back is how long ago the store came back from an outage; 0 when it has not
-	// been away.
+	// Back is the time since the store recovered from an outage; 0 if there was none.
 	Back clock.Millis
 }
 
-// Want asks the daemon that gives orders to a server for an adapter.
-type Want struct {
+// AdapterRequest asks the owner of a server to load an adapter.
+type AdapterRequest struct {
 	Server  string
-	Adapter port.Adapter
+	Adapter platformapi.Adapter
 	Version int
 	Rank    int
-	Left    clock.Millis // until the request gives up
-	Absent  bool         // the server has just refused a request for lack of it
+	Left    clock.Millis // time until the request is given up
+	Absent  bool         // the server has just refused a request because it lacks the adapter
 }
 
-// Pull asks a peer for what it has read of the store after a revision.
+// Pull asks a peer for what it has read from the store after a revision.
 type Pull struct {
 	After int64
-	Era   int64 `cbor:",omitempty"` // that the revision is of
+	Era   int64 `cbor:",omitempty"` // era of the revision
 }
 
-// Message is one of its parts; the others are nil.
+// Message holds one of its parts; the others are nil.
 type Message struct {
-	Update   *Update
-	Digest   *Digest
-	Want     *Want
-	Pull     *Pull
-	Items    *StoreItems // answers a Pull
-	Warnings *Warnings
+	Update         *Update
+	Delta          *Delta
+	AdapterRequest *AdapterRequest
+	Pull           *Pull
+	Items          *StoreItems // answers a Pull
+	Warnings       *Warnings
 }
 
-// Warnings are what the receiver has not been told on the same connection of contents under
-// which servers ended, of limits that servers named, and of servers that said that they leave.
+// Warnings holds what was not yet sent to the receiver on the same connection about contents
+// of requests under which servers crashed, limits that servers reported, and servers that
+// announced that they leave.
 type Warnings struct {
 	Quarantine []quarantine.Record
-	Limits     []throttle.Word
-	Leaving    []fleet.Departure
+	Limits     []throttle.ServerLimit
+	Leaving    []fleet.DrainNotice
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there are no warnings.
 func (warnings Warnings) Empty() bool {
 	return len(warnings.Quarantine) == 0 && len(warnings.Limits) == 0 && len(warnings.Leaving) == 0
 }
--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -5,25 +5,26 @@
 
 	"github.com/stretchr/testify/require"
 
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/content"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
 	"teaselmoor/internal/direct/peers"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quarantine"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/throttle"
 	"teaselmoor/internal/direct/topology"
 )
 
+// messages returns example messages of every kind.
 func messages() []peers.Message {
-	adapter := port.Adapter{Model: "m", Name: "a"}
+	adapter := platformapi.Adapter{Model: "m", Name: "a"}
 	return []peers.Message{
 		{Update: &peers.Update{
-			Word: membership.Word{
+			Status: membership.Status{
 				Record: membership.Record{
 					Daemon:      topology.Daemon{Name: "d", Address: "1.2.3.4:5", DataCentre: "z", Capacity: 400},
 					Incarnation: 7, Number: 3, State: membership.Leaving,
@@ -33,52 +34,52 @@
 			Members: []membership.Record{{
 				Daemon: topology.Daemon{Name: "e", Address: "x", DataCentre: "y", Capacity: 1}, Incarnation: 2, Number: 1, State: membership.Gone,
 			}},
-			Claimed: true, Claims: []tenure.Claim{{Server: "s", Fence: 1 << 52, Idle: 12}},
+			Claimed: true, Claims: []claims.Claim{{Server: "s", Fence: 1 << 52, Idle: 12}},
 		}},
-		{Digest: &peers.Digest{
-			Shares: []peers.DaemonShare{{Name: "d", Incarnation: 7, Number: 2, Share: tally.Share{
-				Loads: map[string]tally.Load{"s": {Runs: 1, Reading: 20}}, Uses: map[tally.Use]int{{Server: "s", Adapter: adapter}: 1},
+		{Delta: &peers.Delta{
+			Shares: []peers.DaemonShare{{Name: "d", Incarnation: 7, Number: 2, Share: inflight.Share{
+				Loads: map[string]inflight.Load{"s": {Runs: 1, Reading: 20}}, Uses: map[inflight.Use]int{{Server: "s", Adapter: adapter}: 1},
 			}}},
 			Tables: []fleet.Table{{
 				Server: "s", Born: 1, Fence: 2, Number: 3, Models: []string{"m"},
-				Slots: []fleet.Slot{{Adapter: adapter, Version: 4, Coming: true, Queued: true}, {Adapter: port.Adapter{Model: "n", Name: "b"}}},
+				Slots: []fleet.Slot{{Adapter: adapter, Version: 4, Coming: true, Queued: true}, {Adapter: platformapi.Adapter{Model: "n", Name: "b"}}},
 			}},
-			Store: &peers.StoreNews{
+			Store: &peers.StoreUpdate{
 				StoreItems: peers.StoreItems{Items: []peers.Item{{Key: "k", Value: []byte("v"), Revision: 4}}, AsOf: 5, Era: 2, Whole: true}, Age: 6, Back: 7,
 			},
-			Loads: map[string]peers.Work{"s": {Load: tally.Load{Runs: 2, Reading: 30}, Sent: 40}, "r": {}},
+			Loads: map[string]peers.ServerLoad{"s": {Load: inflight.Load{Runs: 2, Reading: 30}, Sent: 40}, "r": {}},
 		}},
-		{Digest: &peers.Digest{Sums: &peers.Sums{
-			Whole: true, Servers: map[string]tally.Sum{"s": {Load: tally.Load{Runs: 3, Reading: 40}, Adapters: 2}},
-			Uses: []peers.ServerUses{{Server: "s", Uses: map[port.Adapter]int{adapter: 2}}},
+		{Delta: &peers.Delta{Sums: &peers.Sums{
+			Whole: true, Servers: map[string]inflight.Sum{"s": {Load: inflight.Load{Runs: 3, Reading: 40}, Adapters: 2}},
+			Uses: []peers.ServerUses{{Server: "s", Uses: map[platformapi.Adapter]int{adapter: 2}}},
 		}}},
-		{Digest: &peers.Digest{
-			Group: &peers.GroupShare{Number: 4, Whole: true, Share: tally.Share{
-				Loads: map[string]tally.Load{"s": {Runs: 1, Reading: 20}, "r": {}},
-				Uses:  map[tally.Use]int{{Server: "s", Adapter: adapter}: 1, {Server: "r", Adapter: adapter}: 0},
+		{Delta: &peers.Delta{
+			Group: &peers.GroupShare{Number: 4, Whole: true, Share: inflight.Share{
+				Loads: map[string]inflight.Load{"s": {Runs: 1, Reading: 20}, "r": {}},
+				Uses:  map[inflight.Use]int{{Server: "s", Adapter: adapter}: 1, {Server: "r", Adapter: adapter}: 0},
 			}},
-			Owners:   &peers.Owners{By: map[string]string{"s": "d", "r": "e", "t": "d"}, Learned: loading.Learned{LoadTime: 250, AtOnce: 40}},
-			Reported: []peers.Reported{{Server: "s", Born: 5, Holdings: []port.Holding{{Model: "m", Adapters: map[string]int{"a": 2}}}}},
+			Owners:   &peers.Owners{By: map[string]string{"s": "d", "r": "e", "t": "d"}, Learned: loading.RateEstimate{LoadTime: 250, AtOnce: 40}},
+			Reported: []peers.ServerReport{{Server: "s", Born: 5, Holdings: []platformapi.Holding{{Model: "m", Adapters: map[string]int{"a": 2}}}}},
 		}},
 		{Warnings: &peers.Warnings{
 			Quarantine: []quarantine.Record{
 				{Content: content.ID{1, 2, 3}, Number: 2, Servers: []string{"s@1", "t@0"}, Age: 5},
 				{Content: content.ID{4}, Number: 3, Age: 7},
 			},
-			Limits:  []throttle.Word{{Server: "s", Born: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
-			Leaving: []fleet.Departure{{Server: "s", Born: 1}, {Server: "t"}},
+			Limits:  []throttle.ServerLimit{{Server: "s", StartedAt: 1, Number: 2, Limited: true, Rate: 1.6}, {Server: "t", Number: 3}},
+			Leaving: []fleet.DrainNotice{{Server: "s", StartedAt: 1}, {Server: "t"}},
 		}},
-		{Digest: &peers.Digest{Usage: &quota.Word{
+		{Delta: &peers.Delta{Usage: &quota.Report{
 			Scope: quota.Others, Incarnation: 7, Daemons: 59,
 			Readings: []quota.Reading{{Account: "payroll", Number: 2, Total: 1630, Recent: 800}},
 		}}},
-		{Want: &peers.Want{Server: "s", Adapter: adapter, Version: 2, Rank: 1, Left: 300, Absent: true}},
+		{AdapterRequest: &peers.AdapterRequest{Server: "s", Adapter: adapter, Version: 2, Rank: 1, Left: 300, Absent: true}},
 		{Pull: &peers.Pull{After: 4, Era: 2}},
 		{Items: &peers.StoreItems{Items: []peers.Item{{Key: "k", Packed: true, Deleted: true, Revision: 4}}, AsOf: 5}},
 	}
 }
 
-func TestMessagesArriveAsSent(t *testing.T) {
+func TestEncodeAndDecode(t *testing.T) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
 		require.NoError(t, err)
@@ -88,7 +89,7 @@
 	}
 }
 
-// FuzzDecode: whatever arrives is a message or an error.
+// FuzzDecode checks that any bytes are decoded to a message that can be encoded, or to an error.
 func FuzzDecode(f *testing.F) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
--- a/internal/direct/peers/warnings.go
+++ b/internal/direct/peers/warnings.go
@@ -8,19 +8,20 @@
 	"teaselmoor/internal/direct/throttle"
 )
 
-// The wire types of warnings are arrays but for the first, to which parts can be added.
+// The wire types of warnings are encoded as arrays, except wireWarnings, a map to which fields
+// can be added.
 type (
 	wireWarnings struct {
-		Quarantine []wireRefused `cbor:",omitempty"`
-		Limits     []wireLimit   `cbor:",omitempty"`
-		Leaving    []wireLeaving `cbor:",omitempty"`
+		Quarantine []wireQuarantine `cbor:",omitempty"`
+		Limits     []wireLimit      `cbor:",omitempty"`
+		Leaving    []wireLeaving    `cbor:",omitempty"`
 	}
 	wireLeaving struct {
 		_      struct{} `cbor:",toarray"`
 		Server string
 		Born   int64
 	}
-	wireRefused struct {
+	wireQuarantine struct {
 		_       struct{} `cbor:",toarray"`
 		Content []byte
 		Number  int64
@@ -36,24 +37,25 @@
 	}
 )
 
+// encodeWarnings returns the wire form of warnings, which may be nil.
 func encodeWarnings(warnings *Warnings) *wireWarnings {
 	if warnings == nil {
 		return nil
 	}
 	wire := &wireWarnings{}
 	for _, record := range warnings.Quarantine {
-		wire.Quarantine = append(wire.Quarantine, wireRefused{Content: record.Content[:], Number: record.Number, Servers: record.Servers, Age: int64(record.Age)})
+		wire.Quarantine = append(wire.Quarantine, wireQuarantine{Content: record.Content[:], Number: record.Number, Servers: record.Servers, Age: int64(record.Age)})
 	}
-	for _, word := range warnings.Limits {
-		wire.Limits = append(wire.Limits, wireLimit{Server: word.Server, Born: word.Born, Number: word.Number, Limited: word.Limited, Rate: word.Rate})
+	for _, limit := range warnings.Limits {
+		wire.Limits = append(wire.Limits, wireLimit{Server: limit.Server, Born: limit.StartedAt, Number: limit.Number, Limited: limit.Limited, Rate: limit.Rate})
 	}
-	for _, word := range warnings.Leaving {
-		wire.Leaving = append(wire.Leaving, wireLeaving{Server: word.Server, Born: word.Born})
+	for _, departure := range warnings.Leaving {
+		wire.Leaving = append(wire.Leaving, wireLeaving{Server: departure.Server, Born: departure.StartedAt})
 	}
 	return wire
 }
 
-// decodeWarnings leaves out a record whose content has another length.
+// decodeWarnings skips quarantine records whose content ID has the wrong length.
 func decodeWarnings(wire *wireWarnings) *Warnings {
 	if wire == nil {
 		return nil
@@ -68,10 +70,10 @@
 		})
 	}
 	for _, each := range wire.Limits {
-		warnings.Limits = append(warnings.Limits, throttle.Word{Server: each.Server, Born: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
+		warnings.Limits = append(warnings.Limits, throttle.ServerLimit{Server: each.Server, StartedAt: each.Born, Number: each.Number, Limited: each.Limited, Rate: each.Rate})
 	}
 	for _, each := range wire.Leaving {
-		warnings.Leaving = append(warnings.Leaving, fleet.Departure{Server: each.Server, Born: each.Born})
+		warnings.Leaving = append(warnings.Leaving, fleet.DrainNotice{Server: each.Server, StartedAt: each.Born})
 	}
 	return warnings
 }
