--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -8,30 +8,30 @@
 	"github.com/pkg/errors"
 
 	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/claims"
 	"teaselmoor/internal/direct/fleet"
+	"teaselmoor/internal/direct/inflight"
 	"teaselmoor/internal/direct/loading"
 	"teaselmoor/internal/direct/membership"
-	"teaselmoor/internal/direct/port"
+	"teaselmoor/internal/direct/platformapi"
 	"teaselmoor/internal/direct/quota"
-	"teaselmoor/internal/direct/tally"
-	"teaselmoor/internal/direct/tenure"
 	"teaselmoor/internal/direct/topology"
 )
 
-// The wire types are arrays, so that names of fields cost no bytes, and name each
-// server and model once. Fields are added at the end only: old and new daemons
-// meet during a replacement.
+// The wire types within wireMessage are encoded as arrays, so that field names take no space,
+// and contain each server and model name only once. New fields may be added only at the end, as daemons of two versions
+// are connected with each other during an upgrade.
 type (
 	wireMessage struct {
-		Update *wireUpdate `cbor:",omitempty"`
-		Digest *wireDigest `cbor:",omitempty"`
-		Want   *wireWant   `cbor:",omitempty"`
-		Pull   *Pull       `cbor:",omitempty"`
-		Items  *StoreItems `cbor:",omitempty"`
-		// Era is that of an update's revision. It stands outside of the update, an array
-		// whose length daemons of other versions know.
+		Update *wireUpdate         `cbor:",omitempty"`
+		Digest *wireDelta          `cbor:",omitempty"`
+		Want   *wireAdapterRequest `cbor:",omitempty"`
+		Pull   *Pull               `cbor:",omitempty"`
+		Items  *StoreItems         `cbor:",omitempty"`
+		// Era is the era of the update's revision. It is not part of wireUpdate because
+		// daemons of other versions expect that array to have a fixed length.
 		Era int64 `cbor:",omitempty"`
-		// Warnings are passed over by daemons that do not know of them.
+		// Warnings is ignored by daemons that do not support it.
 		Warnings *wireWarnings `cbor:",omitempty"`
 	}
 	wireUpdate struct {
@@ -54,16 +54,16 @@
 		Incarnation, Number       int64
 		State                     int
 	}
-	wireDigest struct {
+	wireDelta struct {
 		_        struct{} `cbor:",toarray"`
 		Shares   []wireShare
 		Tables   []wireTable
-		Store    *StoreNews
+		Store    *StoreUpdate
 		Sums     *wireSums
-		Loads    []wireWork
+		Loads    []wireServerLoad
 		Group    *wireGroup
 		Owners   *wireOwners
-		Reported []wireReported
+		Reported []wireServerReport
 		Usage    *wireUsage
 	}
 	wireUsage struct {
@@ -76,7 +76,7 @@
 	wireReading struct {
 		_                     struct{} `cbor:",toarray"`
 		Account               string
-		Number, Total, Recent int64 // units are whole
+		Number, Total, Recent int64 // units, rounded to integers
 	}
 	wireGroup struct {
 		_      struct{} `cbor:",toarray"`
@@ -95,13 +95,13 @@
 		Owner   string
 		Servers []string
 	}
-	wireReported struct {
+	wireServerReport struct {
 		_        struct{} `cbor:",toarray"`
 		Server   string
 		Born     int64
-		Holdings []port.Holding
+		Holdings []platformapi.Holding
 	}
-	wireWork struct {
+	wireServerLoad struct {
 		_                   struct{} `cbor:",toarray"`
 		Server              string
 		Runs, Reading, Sent int
@@ -109,11 +109,11 @@
 	wireSums struct {
 		_       struct{} `cbor:",toarray"`
 		Whole   bool
-		Servers []wireSum
+		Servers []wireServerSum
 		Models  []string
 		Uses    []wireServerUses
 	}
-	wireSum struct {
+	wireServerSum struct {
 		_                       struct{} `cbor:",toarray"`
 		Server                  string
 		Runs, Reading, Adapters int
@@ -138,7 +138,7 @@
 	}
 	wireUse struct {
 		_     struct{} `cbor:",toarray"`
-		Model int      // index in the update's models
+		Model int      // index in the models of the message
 		Named string
 		Count int
 	}
@@ -151,18 +151,18 @@
 		_                   struct{} `cbor:",toarray"`
 		Server              string
 		Born, Fence, Number int64
-		Held                int // the first of Models that the server holds; the rest are named by slots only
+		Held                int // the number of Models, from the first, that the server holds; slots refer to the others
 		Models              []string
 		Slots               []wireSlot
 	}
 	wireSlot struct {
 		_              struct{} `cbor:",toarray"`
-		Model          int      // index in the table's models
+		Model          int      // index in the models of the table
 		Named          string
 		Version        int
 		Coming, Queued bool
 	}
-	wireWant struct {
+	wireAdapterRequest struct {
 		_                    struct{} `cbor:",toarray"`
 		Server, Model, Named string
 		Version, Rank        int
@@ -171,20 +171,20 @@
 	}
 )
 
-// Encode returns the bytes of a message.
+// Encode encodes a message.
 func Encode(message Message) ([]byte, error) {
 	wire := wireMessage{Pull: message.Pull, Items: message.Items, Warnings: encodeWarnings(message.Warnings)}
 	if message.Update != nil {
 		wire.Update = encodeUpdate(message.Update)
 		wire.Era = message.Update.Era
 	}
-	if message.Digest != nil {
-		wire.Digest = encodeDigest(message.Digest)
+	if message.Delta != nil {
+		wire.Digest = encodeDelta(message.Delta)
 	}
-	if want := message.Want; want != nil {
-		wire.Want = &wireWant{
-			Server: want.Server, Model: want.Adapter.Model, Named: want.Adapter.Name, Version: want.Version,
-			Rank: want.Rank, Left: int64(want.Left), Absent: want.Absent,
+	if request := message.AdapterRequest; request != nil {
+		wire.Want = &wireAdapterRequest{
+			Server: request.Server, Model: request.Adapter.Model, Named: request.Adapter.Name, Version: request.Version,
+			Rank: request.Rank, Left: int64(request.Left), Absent: request.Absent,
 		}
 	}
 	encoded, err := cbor.Marshal(wire)
@@ -213,39 +213,39 @@
 	}
 }
 
-func encodeDigest(digest *Digest) *wireDigest {
-	wire := &wireDigest{Store: digest.Store}
-	for _, share := range digest.Shares {
+func encodeDelta(delta *Delta) *wireDelta {
+	wire := &wireDelta{Store: delta.Store}
+	for _, share := range delta.Shares {
 		encoded := wireShare{Name: share.Name, Incarnation: share.Incarnation, Number: share.Number}
 		encoded.Loads, encoded.Models = encodeShare(share.Share)
 		wire.Shares = append(wire.Shares, encoded)
 	}
-	for _, table := range digest.Tables {
+	for _, table := range delta.Tables {
 		wire.Tables = append(wire.Tables, encodeTable(table))
 	}
-	if digest.Sums != nil {
-		wire.Sums = encodeSums(digest.Sums)
+	if delta.Sums != nil {
+		wire.Sums = encodeSums(delta.Sums)
 	}
-	for server, load := range digest.Loads {
-		wire.Loads = append(wire.Loads, wireWork{Server: server, Runs: load.Runs, Reading: load.Reading, Sent: load.Sent})
+	for server, load := range delta.Loads {
+		wire.Loads = append(wire.Loads, wireServerLoad{Server: server, Runs: load.Runs, Reading: load.Reading, Sent: load.Sent})
 	}
-	if group := digest.Group; group != nil {
+	if group := delta.Group; group != nil {
 		wire.Group = &wireGroup{Number: group.Number, Whole: group.Whole}
 		wire.Group.Loads, wire.Group.Models = encodeShare(group.Share)
 	}
-	if digest.Owners != nil {
-		wire.Owners = encodeOwners(digest.Owners)
+	if delta.Owners != nil {
+		wire.Owners = encodeOwners(delta.Owners)
 	}
-	for _, reported := range digest.Reported {
-		wire.Reported = append(wire.Reported, wireReported{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
+	for _, report := range delta.Reported {
+		wire.Reported = append(wire.Reported, wireServerReport{Server: report.Server, Born: report.Born, Holdings: report.Holdings})
 	}
-	if digest.Usage != nil {
-		wire.Usage = encodeUsage(digest.Usage)
+	if delta.Usage != nil {
+		wire.Usage = encodeUsage(delta.Usage)
 	}
 	return wire
 }
 
-func encodeUsage(usage *quota.Word) *wireUsage {
+func encodeUsage(usage *quota.Report) *wireUsage {
 	wire := &wireUsage{Scope: int(usage.Scope), Incarnation: usage.Incarnation, Daemons: usage.Daemons}
 	for _, reading := range usage.Readings {
 		wire.Readings = append(wire.Readings, wireReading{
@@ -256,8 +256,8 @@
 	return wire
 }
 
-func decodeUsage(wire *wireUsage) *quota.Word {
-	usage := &quota.Word{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
+func decodeUsage(wire *wireUsage) *quota.Report {
+	usage := &quota.Report{Scope: quota.Scope(wire.Scope), Incarnation: wire.Incarnation, Daemons: wire.Daemons}
 	for _, reading := range wire.Readings {
 		usage.Readings = append(usage.Readings, quota.Reading{
 			Account: reading.Account, Number: reading.Number, Total: float64(reading.Total), Recent: float64(reading.Recent),
@@ -284,7 +284,7 @@
 func decodeOwners(wire *wireOwners) *Owners {
 	owners := &Owners{
 		By:      make(map[string]string),
-		Learned: loading.Learned{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
+		Learned: loading.RateEstimate{LoadTime: clock.Millis(wire.LoadTime), AtOnce: int(wire.AtOnce)},
 	}
 	for _, owned := range wire.Owned {
 		for _, server := range owned.Servers {
@@ -297,9 +297,9 @@
 func encodeSums(sums *Sums) *wireSums {
 	wire := &wireSums{Whole: sums.Whole}
 	for server, sum := range sums.Servers {
-		wire.Servers = append(wire.Servers, wireSum{Server: server, Runs: sum.Runs, Reading: sum.Reading, Adapters: sum.Adapters})
+		wire.Servers = append(wire.Servers, wireServerSum{Server: server, Runs: sum.Runs, Reading: sum.Reading, Adapters: sum.Adapters})
 	}
-	models := names{}
+	models := stringTable{}
 	for _, uses := range sums.Uses {
 		encoded := wireServerUses{Server: uses.Server}
 		for adapter, count := range uses.Uses {
@@ -312,77 +312,77 @@
 }
 
 func decodeSums(wire *wireSums) *Sums {
-	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]tally.Sum, len(wire.Servers))}
+	sums := &Sums{Whole: wire.Whole, Servers: make(map[string]inflight.Sum, len(wire.Servers))}
 	for _, sum := range wire.Servers {
-		sums.Servers[sum.Server] = tally.Sum{Load: tally.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
+		sums.Servers[sum.Server] = inflight.Sum{Load: inflight.Load{Runs: sum.Runs, Reading: sum.Reading}, Adapters: sum.Adapters}
 	}
 	for _, uses := range wire.Uses {
-		decoded := ServerUses{Server: uses.Server, Uses: make(map[port.Adapter]int, len(uses.Uses))}
+		decoded := ServerUses{Server: uses.Server, Uses: make(map[platformapi.Adapter]int, len(uses.Uses))}
 		for _, use := range uses.Uses {
-			decoded.Uses[port.Adapter{Model: named(wire.Models, use.Model), Name: use.Named}] = use.Count
+			decoded.Uses[platformapi.Adapter{Model: nameAt(wire.Models, use.Model), Name: use.Named}] = use.Count
 		}
 		sums.Uses = append(sums.Uses, decoded)
 	}
 	return sums
 }
 
-func decodeDigest(wire *wireDigest) *Digest {
-	digest := &Digest{Store: wire.Store}
+func decodeDelta(wire *wireDelta) *Delta {
+	delta := &Delta{Store: wire.Store}
 	for _, share := range wire.Shares {
-		digest.Shares = append(digest.Shares, DaemonShare{
+		delta.Shares = append(delta.Shares, DaemonShare{
 			Name: share.Name, Incarnation: share.Incarnation, Number: share.Number, Share: decodeShare(share.Loads, share.Models),
 		})
 	}
 	for _, table := range wire.Tables {
-		digest.Tables = append(digest.Tables, decodeTable(table))
+		delta.Tables = append(delta.Tables, decodeTable(table))
 	}
 	if wire.Sums != nil {
-		digest.Sums = decodeSums(wire.Sums)
+		delta.Sums = decodeSums(wire.Sums)
 	}
 	if len(wire.Loads) > 0 {
-		digest.Loads = make(map[string]Work, len(wire.Loads))
+		delta.Loads = make(map[string]ServerLoad, len(wire.Loads))
 	}
-	for _, work := range wire.Loads {
-		digest.Loads[work.Server] = Work{Load: tally.Load{Runs: work.Runs, Reading: work.Reading}, Sent: work.Sent}
+	for _, load := range wire.Loads {
+		delta.Loads[load.Server] = ServerLoad{Load: inflight.Load{Runs: load.Runs, Reading: load.Reading}, Sent: load.Sent}
 	}
 	if group := wire.Group; group != nil {
-		digest.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
+		delta.Group = &GroupShare{Number: group.Number, Whole: group.Whole, Share: decodeShare(group.Loads, group.Models)}
 	}
 	if wire.Owners != nil {
-		digest.Owners = decodeOwners(wire.Owners)
+		delta.Owners = decodeOwners(wire.Owners)
 	}
-	for _, reported := range wire.Reported {
-		digest.Reported = append(digest.Reported, Reported{Server: reported.Server, Born: reported.Born, Holdings: reported.Holdings})
+	for _, report := range wire.Reported {
+		delta.Reported = append(delta.Reported, ServerReport{Server: report.Server, Born: report.Born, Holdings: report.Holdings})
 	}
 	if wire.Usage != nil {
-		digest.Usage = decodeUsage(wire.Usage)
+		delta.Usage = decodeUsage(wire.Usage)
 	}
-	return digest
+	return delta
 }
 
-// names gives each name a number.
-type names struct {
+// stringTable assigns an index to each distinct name.
+type stringTable struct {
 	list []string
 }
 
-func (names *names) index(name string) int {
-	if at := slices.Index(names.list, name); at >= 0 {
+func (stringTable *stringTable) index(name string) int {
+	if at := slices.Index(stringTable.list, name); at >= 0 {
 		return at
 	}
-	names.list = append(names.list, name)
-	return len(names.list) - 1
+	stringTable.list = append(stringTable.list, name)
+	return len(stringTable.list) - 1
 }
 
-// named returns the name of a number, or none for a number that was not given.
-func named(list []string, index int) string {
+// nameAt returns the name with an index, or "" if the index is out of range.
+func nameAt(list []string, index int) string {
 	if index < 0 || index >= len(list) {
 		return ""
 	}
 	return list[index]
 }
 
-func encodeShare(share tally.Share) ([]wireLoad, []string) {
-	models := names{}
+func encodeShare(share inflight.Share) ([]wireLoad, []string) {
+	models := stringTable{}
 	at := make(map[string]int, len(share.Loads))
 	loads := make([]wireLoad, 0, len(share.Loads))
 	for server, load := range share.Loads {
@@ -392,27 +392,27 @@
 	for use, count := range share.Uses {
 		index, ok := at[use.Server]
 		if !ok {
-			continue // a use without work: no share has one
+			continue // a use at a server without load; shares contain none
 		}
 		loads[index].Uses = append(loads[index].Uses, wireUse{Model: models.index(use.Adapter.Model), Named: use.Adapter.Name, Count: count})
 	}
 	return loads, models.list
 }
 
-func decodeShare(loads []wireLoad, models []string) tally.Share {
-	share := tally.Share{Loads: make(map[string]tally.Load, len(loads)), Uses: make(map[tally.Use]int)}
+func decodeShare(loads []wireLoad, models []string) inflight.Share {
+	share := inflight.Share{Loads: make(map[string]inflight.Load, len(loads)), Uses: make(map[inflight.Use]int)}
 	for _, load := range loads {
-		share.Loads[load.Server] = tally.Load{Runs: load.Runs, Reading: load.Reading}
+		share.Loads[load.Server] = inflight.Load{Runs: load.Runs, Reading: load.Reading}
 		for _, use := range load.Uses {
-			adapter := port.Adapter{Model: named(models, use.Model), Name: use.Named}
-			share.Uses[tally.Use{Server: load.Server, Adapter: adapter}] = use.Count
+			adapter := platformapi.Adapter{Model: nameAt(models, use.Model), Name: use.Named}
+			share.Uses[inflight.Use{Server: load.Server, Adapter: adapter}] = use.Count
 		}
 	}
 	return share
 }
 
 func encodeTable(table fleet.Table) wireTable {
-	models := names{list: slices.Clone(table.Models)}
+	models := stringTable{list: slices.Clone(table.Models)}
 	wire := wireTable{Server: table.Server, Born: table.Born, Fence: table.Fence, Number: table.Number, Held: len(table.Models)}
 	for _, slot := range table.Slots {
 		wire.Slots = append(wire.Slots, wireSlot{
@@ -424,7 +424,7 @@
 	return wire
 }
 
-// Decode reads the bytes of a message.
+// Decode decodes a message.
 func Decode(encoded []byte) (Message, error) {
 	var wire wireMessage
 	if err := cbor.Unmarshal(encoded, &wire); err != nil {
@@ -436,12 +436,12 @@
 		message.Update.Era = wire.Era
 	}
 	if wire.Digest != nil {
-		message.Digest = decodeDigest(wire.Digest)
+		message.Delta = decodeDelta(wire.Digest)
 	}
-	if want := wire.Want; want != nil {
-		message.Want = &Want{
-			Server: want.Server, Adapter: port.Adapter{Model: want.Model, Name: want.Named}, Version: want.Version,
-			Rank: want.Rank, Left: clock.Millis(want.Left), Absent: want.Absent,
+	if request := wire.Want; request != nil {
+		message.AdapterRequest = &AdapterRequest{
+			Server: request.Server, Adapter: platformapi.Adapter{Model: request.Model, Name: request.Named}, Version: request.Version,
+			Rank: request.Rank, Left: clock.Millis(request.Left), Absent: request.Absent,
 		}
 	}
 	return message, nil
@@ -449,7 +449,7 @@
 
 func decodeUpdate(wire *wireUpdate) *Update {
 	update := &Update{
-		Word: membership.Word{
+		Status: membership.Status{
 			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, Wants: wire.Wants,
 			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, Orderers: wire.Orderers,
 		},
@@ -459,7 +459,7 @@
 		update.Members = append(update.Members, decodeRecord(record))
 	}
 	for _, claim := range wire.Claims {
-		update.Claims = append(update.Claims, tenure.Claim{Server: claim.Server, Fence: claim.Fence, Idle: clock.Millis(claim.Idle)})
+		update.Claims = append(update.Claims, claims.Claim{Server: claim.Server, Fence: claim.Fence, Idle: clock.Millis(claim.Idle)})
 	}
 	return update
 }
@@ -475,7 +475,7 @@
 	held := min(max(wire.Held, 0), len(wire.Models))
 	table := fleet.Table{Server: wire.Server, Born: wire.Born, Fence: wire.Fence, Number: wire.Number, Models: wire.Models[:held]}
 	for _, slot := range wire.Slots {
-		adapter := port.Adapter{Model: named(wire.Models, slot.Model), Name: slot.Named}
+		adapter := platformapi.Adapter{Model: nameAt(wire.Models, slot.Model), Name: slot.Named}
 		table.Slots = append(table.Slots, fleet.Slot{Adapter: adapter, Version: slot.Version, Coming: slot.Coming, Queued: slot.Queued})
 	}
 	return table
--- /dev/null
+++ b/internal/direct/platformapi/port.go
@@ -0,0 +1,227 @@
+// Package platformapi defines the boundary between the gateway and the platform that it runs on: types
+// for what the platform sends and expects, independent of its formats, and the interfaces that
+// the code for a platform implements. It makes no decisions.
+package platformapi
+
+import (
+	"context"
+	"net/http"
+
+	"teaselmoor/internal/base/clock"
+	"teaselmoor/internal/direct/catalog"
+)
+
+// RequestHeaders holds the values from the headers of a caller's request.
+type RequestHeaders struct {
+	Attempt         string       // the caller's id of this attempt
+	TimeLeft        clock.Millis // time until the caller gives up; 0: unknown
+	Model           string
+	Adapter         string // empty: the base model
+	PromptTokens    int    // number of prompt tokens; 0 for a plain service
+	MaxOutputTokens int    // maximum number of output tokens
+	Parts           []Part
+	LastEventID     string // id of the event after which a stream is to be resumed
+	AccountKey      string // identifies the caller's account; empty: none
+}
+
+// Tokens returns the prompt and output tokens together, 0 if the request states none.
+func (requestHeaders RequestHeaders) Tokens() int {
+	return requestHeaders.PromptTokens + requestHeaders.MaxOutputTokens
+}
+
+// Part is a part of a prompt. Requests with the same first parts can share the engine's cache
+// of them.
+type Part struct {
+	ID     string
+	Tokens int
+}
+
+// ForwardHeaders holds the values that a daemon adds to a request that it forwards.
+type ForwardHeaders struct {
+	Server      string // the only server that may run the request
+	TimeLeft    clock.Millis
+	Version     int // required version of the adapter; 0: any
+	Urgency     int // 0 to 9, 0 is the most urgent; negative: the engine's default
+	LastEventID string
+	// AccountsListed reports that the configuration lists accounts. The caller's key is then not
+	// forwarded, and the server receives Account instead, which is empty for a caller without
+	// one.
+	AccountsListed bool
+	Account        string
+}
+
+// AnswerHeaders holds the values from the head of a backend server's answer.
+type AnswerHeaders struct {
+	Attempt string // the attempt that the answer belongs to; empty: not stated
+	NotRun  bool   // the server states that it did not run the request
+	Absent  bool   // the server is a different one, or does not hold the model, adapter or version
+	Signed  bool   // the answer carries the server's signature
+	Leaving bool   // the server announces that it will end soon
+	// Pause is how long the server wants no requests from this daemon; 0 if it does not say.
+	Pause clock.Millis
+	// HasLimit reports that the server takes no more than Limit requests a second from all
+	// daemons together.
+	HasLimit bool
+	Limit    float64
+}
+
+// Protocol converts between HTTP headers and the types of this package.
+type Protocol interface {
+	// ParseRequest reads the headers of a caller's request.
+	ParseRequest(request *http.Request) (RequestHeaders, error)
+	// ForwardedHeader returns the headers of a request for forwarding.
+	ForwardedHeader(incoming http.Header, added ForwardHeaders) http.Header
+	// ParseAnswer reads the head of a backend server's answer.
+	ParseAnswer(response *http.Response) AnswerHeaders
+	// SetRefusalHeaders sets the headers of a refusal; after is the time until the caller may retry, or 0
+	// if unknown.
+	SetRefusalHeaders(header http.Header, after clock.Millis)
+}
+
+// Item is an entry of the store.
+type Item struct {
+	Key      string
+	Value    []byte
+	Revision int64
+	Deleted  bool
+}
+
+// Page is a page of the store's items or changes.
+type Page struct {
+	Items []Item
+	More  bool  // another page follows, after the last item's key
+	AsOf  int64 // the revision of the store that the page reflects
+	// Era increases each time the store is restored from an earlier copy, which has lower
+	// revisions; 0 if the store does not report it.
+	Era int64
+}
+
+// Failure classifies why a call of the store failed.
+type Failure int
+
+// Failures of calls of the store.
+const (
+	Unreachable  Failure = iota // no answer, or one that is not from the store
+	Unavailable                 // the store did nothing
+	TooManyCalls                // the store refused the call for its rate limit
+	HistoryGone                 // the requested changes are no longer available
+)
+
+// StoreError is a failed call of the store.
+type StoreError struct {
+	Failure Failure
+	Err     error
+}
+
+// Error implements error.
+func (storeError *StoreError) Error() string { return storeError.Err.Error() }
+
+// Unwrap returns the underlying error.
+func (storeError *StoreError) Unwrap() error { return storeError.Err }
+
+// Store reads the platform's store. Its errors are of type *StoreError.
+type Store interface {
+	// Range returns a page of the items whose keys begin with prefix and follow the key after.
+	Range(ctx context.Context, prefix, after string) (Page, error)
+	// Watch returns the changes after a revision as soon as there are any, or none when wait
+	// has passed.
+	Watch(ctx context.Context, prefix string, after int64, wait clock.Millis) (Page, error)
+}
+
+// DecodedItem is the decoded content of an item. Exactly one of its pointers is set.
+type DecodedItem struct {
+	Catalog        *catalog.Catalog
+	Server         *Server
+	AdapterVersion *AdapterVersion
+}
+
+// Decoder decodes items of the store.
+type Decoder interface {
+	// Prefix returns the common prefix of all keys that are read.
+	Prefix() string
+	// Decode returns the content of an item, or an error if it is unusable.
+	Decode(item Item) (DecodedItem, error)
+	// ServerID returns the id of the server that a key belongs to, if any.
+	ServerID(key string) (string, bool)
+}
+
+// Server is a backend server as it is registered in the store.
+type Server struct {
+	ID         string
+	Service    string
+	Address    string
+	DataCentre string
+	Slots      int
+	Draining   bool
+	LeavesIn   clock.Millis // time until the server ends; 0: not announced
+	StartedAt  int64        // start of its process in Unix milliseconds; 0: unknown
+	Models     []Holding
+}
+
+// Holding is a base model that a server holds, with its adapters.
+type Holding struct {
+	Model    string
+	Adapters map[string]int // versions by adapter name
+}
+
+// Adapter identifies an adapter of a base model.
+type Adapter struct {
+	Model string
+	Name  string
+}
+
+// AdapterVersion is the newest version of an adapter that operators have named.
+type AdapterVersion struct {
+	Adapter Adapter
+	Version int
+}
+
+// Order tells a server to load or unload an adapter, or a base model if Adapter's name is
+// empty.
+type Order struct {
+	Load    bool
+	Adapter Adapter
+	Version int // to load; 0: the newest
+	Owner   string
+	Fence   int64
+}
+
+// Result is the result of an order.
+type Result int
+
+// Results of orders.
+const (
+	Unknown      Result = iota // no answer; the order may have been accepted
+	Accepted                   // the order is being carried out
+	NothingToDo                // the server is already in the ordered state
+	Conflict                   // another order is in progress
+	Fenced                     // the server has seen a higher fencing number
+	InvalidOrder               // the server does not know such an order
+	WrongServer                // the address belongs to another server
+)
+
+// String implements fmt.Stringer.
+func (result Result) String() string {
+	return [...]string{"Unknown", "Accepted", "Holds", "Conflict", "Fenced", "Invalid", "Other"}[result]
+}
+
+// OrderAnswer is a server's answer to an order.
+type OrderAnswer struct {
+	Result  Result
+	Leaving bool // the server announces that it will end soon
+}
+
+// Report is a server's state, some hundred milliseconds old.
+type Report struct {
+	Leaving   bool // the server announces that it will end soon
+	StartedAt int64
+	Busy      bool // a model is being loaded or unloaded
+	Models    []Holding
+	Incoming  []Adapter
+}
+
+// ServerClient sends orders to model engines and reads their reports.
+type ServerClient interface {
+	SendOrder(ctx context.Context, server Server, order Order) (OrderAnswer, error)
+	ReadReport(ctx context.Context, server Server) (Report, error)
+}
--- a/internal/direct/quarantine/quarantine.go
+++ b/internal/direct/quarantine/quarantine.go
@@ -94,9 +94,9 @@
 	return &List{options: options, daemonHash: xxhash.Sum64String(daemon), entries: make(map[content.ID]*entry), answers: newRecentSet[content.ID](options.Trust, options.Answers)}
 }
 
-// Ended records that a server ended while it had a request with a content, unless a response
+// ServerEnded records that a server ended while it had a request with a content, unless a response
 // to the content was seen recently at this daemon.
-func (list *List) Ended(now clock.Millis, id content.ID, server string) {
+func (list *List) ServerEnded(now clock.Millis, id content.ID, server string) {
 	if list.answers.has(now, id) {
 		return
 	}
@@ -123,9 +123,9 @@
 	return list.mergeRecord(now, Record{Content: id, Number: entry.number + 1})
 }
 
-// Refuses returns for how much longer requests with a content are refused, or 0 if they are
+// RefusedFor returns for how much longer requests with a content are refused, or 0 if they are
 // not.
-func (list *List) Refuses(now clock.Millis, id content.ID) clock.Millis {
+func (list *List) RefusedFor(now clock.Millis, id content.ID) clock.Millis {
 	entry, ok := list.entries[id]
 	if !ok || len(entry.servers) < list.options.Servers {
 		return 0
@@ -134,8 +134,8 @@
 	return max(0, entry.updatedAt+span+list.extraSpan(id, span)-now)
 }
 
-// Servers returns how many servers have ended while running a content.
-func (list *List) Servers(id content.ID) int {
+// ServerCount returns how many servers have ended while running a content.
+func (list *List) ServerCount(id content.ID) int {
 	entry, ok := list.entries[id]
 	if !ok {
 		return 0
@@ -143,11 +143,11 @@
 	return len(entry.servers)
 }
 
-// Refused returns how many contents are refused now.
-func (list *List) Refused(now clock.Millis) int {
+// RefusedCount returns how many contents are refused now.
+func (list *List) RefusedCount(now clock.Millis) int {
 	count := 0
 	for id := range list.entries {
-		if list.Refuses(now, id) > 0 {
+		if list.RefusedFor(now, id) > 0 {
 			count++
 		}
 	}
@@ -227,13 +227,13 @@
 	}
 }
 
-// Changes returns the revision of the list. It increases with each change.
-func (list *List) Changes() int64 {
+// Revision returns the revision of the list. It increases with each change.
+func (list *List) Revision() int64 {
 	return list.revision
 }
 
-// Since returns the records that have changed after the given revision.
-func (list *List) Since(now clock.Millis, revision int64) []Record {
+// ChangedSince returns the records that have changed after the given revision.
+func (list *List) ChangedSince(now clock.Millis, revision int64) []Record {
 	if revision >= list.revision {
 		return nil
 	}
--- a/internal/direct/quarantine/quarantine_test.go
+++ b/internal/direct/quarantine/quarantine_test.go
@@ -22,15 +22,15 @@
 
 func TestRefusedOnceServersHaveEnded(t *testing.T) {
 	list := quarantine.New(options, "d")
-	list.Ended(start, crasher, "a@1")
-	list.Ended(start, crasher, "a@1")
-	require.Zero(t, list.Refuses(start, crasher), "one server ended")
-	list.Ended(start+10, crasher, "a@2")
-	require.GreaterOrEqual(t, list.Refuses(start+10, crasher), options.FirstSpan)
-	require.Zero(t, list.Refuses(start+10, other))
-	require.Equal(t, 1, list.Refused(start+10))
+	list.ServerEnded(start, crasher, "a@1")
+	list.ServerEnded(start, crasher, "a@1")
+	require.Zero(t, list.RefusedFor(start, crasher), "one server ended")
+	list.ServerEnded(start+10, crasher, "a@2")
+	require.GreaterOrEqual(t, list.RefusedFor(start+10, crasher), options.FirstSpan)
+	require.Zero(t, list.RefusedFor(start+10, other))
+	require.Equal(t, 1, list.RefusedCount(start+10))
 	list.Prune(start + 20)
-	require.Equal(t, 2, list.Servers(crasher))
+	require.Equal(t, 2, list.ServerCount(crasher))
 }
 
 // TestRefusalSpanGrows sends a content whenever it is not refused, and each time a server
@@ -41,9 +41,9 @@
 	ends := 0
 	for now < start+clock.Hour {
 		list.Prune(now)
-		if list.Refuses(now, crasher) == 0 {
+		if list.RefusedFor(now, crasher) == 0 {
 			ends++
-			list.Ended(now, crasher, fmt.Sprintf("s%d", ends))
+			list.ServerEnded(now, crasher, fmt.Sprintf("s%d", ends))
 		}
 		now += clock.Second
 	}
@@ -54,17 +54,17 @@
 func TestAnswerClearsTheRecord(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	for _, server := range []string{"a", "b", "c"} {
-		list.Ended(start, crasher, server)
+		list.ServerEnded(start, crasher, server)
 	}
-	require.True(t, peer.Merge(start, list.Since(start, 0)))
+	require.True(t, peer.Merge(start, list.ChangedSince(start, 0)))
 	require.False(t, list.Answered(start, other))
 	require.True(t, list.Answered(start, crasher))
-	require.Zero(t, list.Refuses(start, crasher))
+	require.Zero(t, list.RefusedFor(start, crasher))
 	require.False(t, list.Answered(start, crasher), "it was cleared before")
-	require.True(t, peer.Merge(start, list.Since(start, 0)))
-	require.Zero(t, peer.Refuses(start, crasher))
-	peer.Ended(start, crasher, "d")
-	require.Zero(t, peer.Refuses(start, crasher), "it counts from the start again")
+	require.True(t, peer.Merge(start, list.ChangedSince(start, 0)))
+	require.Zero(t, peer.RefusedFor(start, crasher))
+	peer.ServerEnded(start, crasher, "d")
+	require.Zero(t, peer.RefusedFor(start, crasher), "it counts from the start again")
 }
 
 // TestDaemonsRetryAtDifferentTimes requests a crashing content at all daemons all the time.
@@ -75,21 +75,21 @@
 	lists := make([]*quarantine.List, daemons)
 	for i := range lists {
 		lists[i] = quarantine.New(options, fmt.Sprintf("d%d", i))
-		lists[i].Ended(start, crasher, "a")
-		lists[i].Ended(start, crasher, "b")
+		lists[i].ServerEnded(start, crasher, "a")
+		lists[i].ServerEnded(start, crasher, "b")
 	}
 	first := clock.Millis(0)
 	sent := 0
 	for now := start; first == 0 || now < first+delay; now++ {
 		for _, list := range lists {
-			if list.Refuses(now, crasher) > 0 {
+			if list.RefusedFor(now, crasher) > 0 {
 				continue
 			}
 			if first == 0 {
 				first = now
 			}
 			sent++
-			list.Ended(now, crasher, fmt.Sprintf("c%d", sent))
+			list.ServerEnded(now, crasher, fmt.Sprintf("c%d", sent))
 		}
 	}
 	require.LessOrEqual(t, sent, 3)
@@ -110,24 +110,24 @@
 			list := lists[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				list.Ended(now, crasher, fmt.Sprintf("s%d", rapid.IntRange(0, 9).Draw(t, "server")))
+				list.ServerEnded(now, crasher, fmt.Sprintf("s%d", rapid.IntRange(0, 9).Draw(t, "server")))
 			case 2:
 				list.Answered(now, crasher)
 			default:
 				peer := lists[rapid.IntRange(0, daemons-1).Draw(t, "peer")]
-				list.Merge(now, peer.Since(now, int64(rapid.IntRange(0, 3).Draw(t, "since"))))
+				list.Merge(now, peer.ChangedSince(now, int64(rapid.IntRange(0, 3).Draw(t, "since"))))
 			}
 		}
 		for range daemons {
 			for _, list := range lists {
 				for _, peer := range lists {
-					list.Merge(now, peer.Since(now, 0))
+					list.Merge(now, peer.ChangedSince(now, 0))
 				}
 			}
 		}
 		for _, list := range lists {
-			require.Equal(t, lists[0].Servers(crasher), list.Servers(crasher))
-			require.False(t, list.Merge(now, lists[0].Since(now, 0)))
+			require.Equal(t, lists[0].ServerCount(crasher), list.ServerCount(crasher))
+			require.False(t, list.Merge(now, lists[0].ChangedSince(now, 0)))
 		}
 	})
 }
@@ -136,15 +136,15 @@
 func TestListIsBounded(t *testing.T) {
 	list := quarantine.New(options, "d")
 	for _, server := range []string{"a", "b"} {
-		list.Ended(start, crasher, server)
+		list.ServerEnded(start, crasher, server)
 	}
 	for i := range 3 * options.Records {
-		list.Ended(start+clock.Millis(i), content.Of(content.Request{Target: fmt.Sprint(i)}), "c")
+		list.ServerEnded(start+clock.Millis(i), content.Of(content.Request{Target: fmt.Sprint(i)}), "c")
 	}
-	require.LessOrEqual(t, len(list.Since(start, 0)), options.Records)
-	require.Positive(t, list.Refuses(start, crasher))
+	require.LessOrEqual(t, len(list.ChangedSince(start, 0)), options.Records)
+	require.Positive(t, list.RefusedFor(start, crasher))
 	list.Prune(start + options.Keep + clock.Hour)
-	require.Empty(t, list.Since(start, 0))
+	require.Empty(t, list.ChangedSince(start, 0))
 }
 
 // TestRecentlyAnsweredContentIsNotRefused checks a recently answered content that is in progress
@@ -153,20 +153,20 @@
 func TestRecentlyAnsweredContentIsNotRefused(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	require.False(t, list.Answered(start, crasher), "there is nothing to clear")
-	list.Ended(start+10, crasher, "a")
-	list.Ended(start+10, crasher, "b")
-	require.Zero(t, list.Refuses(start+10, crasher))
-	peer.Ended(start+10, crasher, "a")
-	peer.Ended(start+10, crasher, "b")
-	require.Positive(t, peer.Refuses(start+10, crasher))
-	require.True(t, list.Merge(start+20, peer.Since(start+20, 0)))
-	require.Zero(t, list.Refuses(start+20, crasher))
-	require.True(t, peer.Merge(start+30, list.Since(start+30, 0)))
-	require.Zero(t, peer.Refuses(start+30, crasher))
+	list.ServerEnded(start+10, crasher, "a")
+	list.ServerEnded(start+10, crasher, "b")
+	require.Zero(t, list.RefusedFor(start+10, crasher))
+	peer.ServerEnded(start+10, crasher, "a")
+	peer.ServerEnded(start+10, crasher, "b")
+	require.Positive(t, peer.RefusedFor(start+10, crasher))
+	require.True(t, list.Merge(start+20, peer.ChangedSince(start+20, 0)))
+	require.Zero(t, list.RefusedFor(start+20, crasher))
+	require.True(t, peer.Merge(start+30, list.ChangedSince(start+30, 0)))
+	require.Zero(t, peer.RefusedFor(start+30, crasher))
 	later := start + 30 + 2*options.Trust
-	list.Ended(later, crasher, "c")
-	list.Ended(later, crasher, "d")
-	require.Positive(t, list.Refuses(later, crasher), "it may have changed since it was answered")
+	list.ServerEnded(later, crasher, "c")
+	list.ServerEnded(later, crasher, "d")
+	require.Positive(t, list.RefusedFor(later, crasher), "it may have changed since it was answered")
 }
 
 // TestAnswersAreRememberedInBoundedSpace checks that the answered contents which are requested
@@ -178,9 +178,9 @@
 		list.Answered(start, other)
 	}
 	for _, server := range []string{"a", "b"} {
-		list.Ended(start, other, server)
-		list.Ended(start, content.Of(content.Request{Target: "0"}), server)
+		list.ServerEnded(start, other, server)
+		list.ServerEnded(start, content.Of(content.Request{Target: "0"}), server)
 	}
-	require.Zero(t, list.Refuses(start, other))
-	require.Positive(t, list.Refuses(start, content.Of(content.Request{Target: "0"})), "it was forgotten")
+	require.Zero(t, list.RefusedFor(start, other))
+	require.Positive(t, list.RefusedFor(start, content.Of(content.Request{Target: "0"})), "it was forgotten")
 }
--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -77,20 +77,20 @@
 
 // Decision says whether a request is within its account's limit, and the figures behind that.
 type Decision struct {
-	Within  bool
-	After   clock.Millis // how long the caller should wait before a retry, if it is not
-	Cost    float64      // units
-	Left    float64      // units before the request
-	Rate    float64      // units a second that the daemons counted together may use
-	Reached int          // daemons that are counted together, this one included
-	Daemons int          // of the site
+	Allowed    bool
+	RetryAfter clock.Millis // how long the caller should wait before a retry, if it is not
+	Cost       float64      // units
+	Left       float64      // units before the request
+	Rate       float64      // units a second that the daemons counted together may use
+	Reached    int          // daemons that are counted together, this one included
+	Daemons    int          // of the site
 }
 
 // Take charges a request to its account if enough units are left, and returns the decision.
 func (ledger *Ledger) Take(now clock.Millis, name string, cost float64) Decision {
 	limit := ledger.limits.Limit(name)
 	if !limit.Limited() {
-		return Decision{Within: true, Cost: cost}
+		return Decision{Allowed: true, Cost: cost}
 	}
 	usage := ledger.usageOf(now, name, limit)
 	split := ledger.advance(now, usage, limit)
@@ -99,9 +99,9 @@
 		Reached: ledger.site.Reached, Daemons: ledger.site.Daemons,
 	}
 	required := ledger.required(cost, split)
-	decision.Within = usage.level >= required
-	if !decision.Within {
-		decision.After = ledger.retryAfter(required-usage.level, decision.Rate)
+	decision.Allowed = usage.level >= required
+	if !decision.Allowed {
+		decision.RetryAfter = ledger.retryAfter(required-usage.level, decision.Rate)
 		return decision
 	}
 	ledger.charge(now, usage, cost)
@@ -177,8 +177,8 @@
 	return known
 }
 
-// Limits reports whether any account has a limit.
-func (ledger *Ledger) Limits() bool {
+// Limited reports whether any account has a limit.
+func (ledger *Ledger) Limited() bool {
 	return ledger.limits.Limited()
 }
 
--- a/internal/direct/quota/ledger_bench_test.go
+++ b/internal/direct/quota/ledger_bench_test.go
@@ -33,8 +33,8 @@
 			sources := make(map[string]quota.Source)
 			for i := range 30 {
 				name := fmt.Sprint("daemon", i)
-				ledger.Hear(1000, name, quota.Word{Incarnation: 1, Daemons: 1, Readings: readings}, true)
-				sources[name] = quota.Source{Live: true, HeardAt: 1000, Daemons: 1}
+				ledger.ApplyReport(1000, name, quota.Report{Incarnation: 1, Daemons: 1, Readings: readings}, true)
+				sources[name] = quota.Source{Live: true, LastReportAt: 1000, Daemons: 1}
 			}
 			ledger.SetSite(1000, quota.Site{Daemons: 31, Reached: 31, Sources: sources})
 			runtime.GC()
--- a/internal/direct/quota/report.go
+++ b/internal/direct/quota/report.go
@@ -28,24 +28,24 @@
 	Recent  float64 // the recent part of Total, as an exponentially decaying sum
 }
 
-// Word is a report of a daemon on the usage of accounts.
-type Word struct {
+// Report is a report of a daemon on the usage of accounts.
+type Report struct {
 	Scope       Scope
 	Incarnation int64 // start of the sending process
 	Daemons     int   // that the report covers, the sender included
 	Readings    []Reading
 }
 
-// Hear applies the report of a source. With counts the reported usage is added up. Otherwise
+// ApplyReport applies the report of a source. With counts the reported usage is added up. Otherwise
 // another source covers this one, and its totals are only stored, as the base from which
 // usage counts if its reports are added up later.
-func (ledger *Ledger) Hear(now clock.Millis, name string, report Word, counts bool) {
+func (ledger *Ledger) ApplyReport(now clock.Millis, name string, report Report, counts bool) {
 	if ledger.incarnations[name] != report.Incarnation {
 		ledger.dropSource(name)
 	}
 	ledger.incarnations[name] = report.Incarnation
 	if counts && report.Scope != Others && ledger.hubReported {
-		ledger.Follow() // this daemon adds up the reports of the other daemons itself now
+		ledger.ForgetHub() // this daemon adds up the reports of the other daemons itself now
 		ledger.hubReported = false
 	}
 	for _, reading := range report.Readings {
@@ -75,16 +75,16 @@
 	}
 }
 
-// Follow drops what the former hub has reported, because another hub or none reports the
+// ForgetHub drops what the former hub has reported, because another hub or none reports the
 // usage of the other daemons from now on.
-func (ledger *Ledger) Follow() {
+func (ledger *Ledger) ForgetHub() {
 	for _, usage := range ledger.accounts {
 		maps.DeleteFunc(usage.sources, func(_ string, reported *sourceUsage) bool { return reported.scope == Others })
 	}
 }
 
-// Forget drops what a source has reported: another source covers it, or it is gone.
-func (ledger *Ledger) Forget(name string) {
+// ForgetSource drops what a source has reported: another source covers it, or it is gone.
+func (ledger *Ledger) ForgetSource(name string) {
 	delete(ledger.incarnations, name)
 	ledger.dropSource(name)
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// Told holds the totals last sent to a daemon, by account.
-type Told map[string]sentTotal
+// SentTotals holds the totals last sent to a daemon, by account.
+type SentTotals map[string]sentTotal
 
 // sentTotal is the total last sent, with the number of its count.
 type sentTotal struct {
@@ -105,10 +105,10 @@
 	units  float64
 }
 
-// News returns the readings in a scope that differ enough from those last sent to a receiver,
+// UnsentReadings returns the readings in a scope that differ enough from those last sent to a receiver,
 // and records them in sent. Reporters is the number of daemons whose reports the receiver
 // adds up; with 0, all but negligible changes are returned.
-func (ledger *Ledger) News(now clock.Millis, scope Scope, receiver string, sent Told, reporters int) []Reading {
+func (ledger *Ledger) UnsentReadings(now clock.Millis, scope Scope, receiver string, sent SentTotals, reporters int) []Reading {
 	var readings []Reading
 	for name, usage := range ledger.accounts {
 		limit := ledger.limits.Limit(name)
--- a/internal/direct/quota/site.go
+++ b/internal/direct/quota/site.go
@@ -6,8 +6,8 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// SilentAfter is how long after its last report a source counts as silent.
-const SilentAfter = 750 * clock.Millisecond
+// SourceTimeout is how long after its last report a source counts as silent.
+const SourceTimeout = 750 * clock.Millisecond
 
 // overdueAfter is how long after its last report a source is assumed to continue at its last
 // reported rate.
@@ -15,9 +15,9 @@
 
 // Source is a daemon whose reports this daemon adds up.
 type Source struct {
-	Live    bool         // it sends reports; false once it is silent
-	HeardAt clock.Millis // when its last report arrived
-	Daemons int          // that its last report covered, itself included
+	Live         bool         // it sends reports; false once it is silent
+	LastReportAt clock.Millis // when its last report arrived
+	Daemons      int          // that its last report covered, itself included
 }
 
 // Site is what a daemon knows of the daemons that share the limits with it.
@@ -39,7 +39,7 @@
 func (site Site) overdue(now clock.Millis) []string {
 	var names []string
 	for name, source := range site.Sources {
-		if source.Live && now-source.HeardAt > overdueAfter {
+		if source.Live && now-source.LastReportAt > overdueAfter {
 			names = append(names, name)
 		}
 	}
--- a/internal/direct/quota/site_test.go
+++ b/internal/direct/quota/site_test.go
@@ -59,7 +59,7 @@
 	incarnation int64
 	startedAt   clock.Millis
 	ledger      *quota.Ledger
-	sent        map[int]quota.Told
+	sent        map[int]quota.SentTotals
 	reportedAt  map[int]clock.Millis // when the last report of each peer arrived
 	reached     map[int]int          // daemons that the last report of each peer covered
 	down        bool
@@ -100,7 +100,7 @@
 	each.down = false
 	each.ledger = quota.New(site.now, site.tolerance)
 	each.ledger.SetLimits(site.now, site.directory())
-	each.sent = make(map[int]quota.Told)
+	each.sent = make(map[int]quota.SentTotals)
 	each.reportedAt = make(map[int]clock.Millis)
 	each.reached = make(map[int]int)
 	for _, other := range site.daemons {
@@ -140,7 +140,7 @@
 // live reports whether the last report of another daemon is recent enough.
 func (site *site) live(each *daemon, other int) bool {
 	at, ok := each.reportedAt[other]
-	return ok && site.now-at < quota.SilentAfter
+	return ok && site.now-at < quota.SourceTimeout
 }
 
 // view returns what a daemon knows of the others.
@@ -163,7 +163,7 @@
 		if each.hub == each.number && site.daemons[other].hub == each.number {
 			covers = 1
 		}
-		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, HeardAt: at, Daemons: covers}
+		view.Sources[fmt.Sprint(other)] = quota.Source{Live: live, LastReportAt: at, Daemons: covers}
 		if live {
 			view.Reached += covers
 		}
@@ -199,16 +199,16 @@
 	for to, scope := range site.targets(from) {
 		sent, ok := from.sent[to.number]
 		if !ok {
-			sent = make(quota.Told)
+			sent = make(quota.SentTotals)
 			from.sent[to.number] = sent
 		}
 		sharers := map[quota.Scope]int{quota.Own: len(site.daemons), quota.Group: len(site.daemons)/8 + 1, quota.Others: 4}[scope]
 		if site.now%fullReportSpan == 0 {
 			sharers = 0
 		}
-		report := quota.Word{
+		report := quota.Report{
 			Scope: scope, Incarnation: from.incarnation, Daemons: site.covers(from, scope),
-			Readings: from.ledger.News(site.now, scope, fmt.Sprint(to.number), sent, sharers),
+			Readings: from.ledger.UnsentReadings(site.now, scope, fmt.Sprint(to.number), sent, sharers),
 		}
 		if !site.connected(from, to) {
 			if len(report.Readings) > 0 {
@@ -220,7 +220,7 @@
 		site.readings += len(report.Readings)
 		to.reportedAt[from.number] = site.now
 		to.reached[from.number] = report.Daemons
-		to.ledger.Hear(site.now, fmt.Sprint(from.number), report, true)
+		to.ledger.ApplyReport(site.now, fmt.Sprint(from.number), report, true)
 	}
 }
 
@@ -242,7 +242,7 @@
 	if each.down {
 		return
 	}
-	if !each.ledger.Take(site.now, caller, units).Within {
+	if !each.ledger.Take(site.now, caller, units).Allowed {
 		site.refused += units
 		return
 	}
--- a/internal/direct/quota/split.go
+++ b/internal/direct/quota/split.go
@@ -63,7 +63,7 @@
 	if !ok || source.Live {
 		return 0
 	}
-	return reported.counted.recent.rate(source.HeardAt)
+	return reported.counted.recent.rate(source.LastReportAt)
 }
 
 // isolated reports whether this daemon receives reports from none of the others.
@@ -97,7 +97,7 @@
 		if !ok {
 			continue
 		}
-		units := reported.counted.recent.rate(ledger.site.Sources[name].HeardAt) * seconds
+		units := reported.counted.recent.rate(ledger.site.Sources[name].LastReportAt) * seconds
 		reported.assumed += units
 		usage.addUnits(reported, units)
 	}
@@ -153,7 +153,7 @@
 		if !limit.Limited() {
 			continue
 		}
-		before := usage.history.at(now - SilentAfter)
+		before := usage.history.at(now - SourceTimeout)
 		usage.atSplit = before
 		split := ledger.splitOf(usage, limit)
 		share := split.reachableRate() / max(1, before.reachableRate)
--- a/internal/direct/trail/trail.go
+++ b/internal/direct/requestlog/trail.go
@@ -1,7 +1,7 @@
-// Package trail reconstructs the outcome of one request from the log of gateways. It
+// Package requestlog reconstructs the outcome of one request from the log of gateways. It
 // needs nothing but the log: daemons keep nothing about past requests, and the one that
 // handled the request may no longer exist.
-package trail
+package requestlog
 
 import (
 	"bufio"
@@ -97,25 +97,25 @@
 func (reader *reader) apply(line line) {
 	reader.lines++
 	switch line.Message {
-	case ending.MessageAskedFor:
+	case ending.MessageAdapterRequested:
 		reader.addCandidate(line)
-	case ending.MessageNotReady:
+	case ending.MessageAdapterNotReady:
 		reader.notReady = line
-	case ending.MessageOverLimit:
+	case ending.MessageAccountOverLimit:
 		reader.overLimit = line
-	case ending.MessageSent:
+	case ending.MessageRequestSent:
 		reader.record.Attempts = append(reader.record.Attempts, outcome.Attempt{
 			Engine: ident.EngineID(line.Server), At: clock.Millis(line.Time.UnixMilli()), Dispatched: true,
 		})
 	case ending.MessageNoAnswer:
 		reader.endAttempt(line, line.Sent, outcome.Lost(outcome.ServiceLost))
-	case ending.MessageDeclined:
+	case ending.MessageServerDeclined:
 		reader.endAttempt(line, true, outcome.Refused(outcome.EngineRefused, 0))
-	case ending.MessageFailed:
+	case ending.MessageServerFailed:
 		reader.endAttempt(line, true, outcome.Outcome{Kind: outcome.Answered, Reason: outcome.ServerFailed})
-	case ending.MessageBroken, ending.MessageStreamCut:
+	case ending.MessageAnswerBroken, ending.MessageStreamBroken:
 		reader.endAttempt(line, true, outcome.Lost(outcome.Truncated))
-	case ending.MessageEnded:
+	case ending.MessageRequestEnded:
 		reader.end(line)
 	}
 }
@@ -164,14 +164,14 @@
 	if line.Route != "" {
 		record.Deadline = record.At + line.LeftMillis
 	}
-	ended := ending.Ending{Reason: line.Reason, Status: line.Status, Offers: line.Offers}
+	ended := ending.Ending{Reason: line.Reason, Status: line.Status, TimesSent: line.Offers}
 	record.Outcome, reader.reasonKnown = ended.Outcome()
 	record.Outcome.RetryAfter = line.RetryAfterMillis
-	if line.Reason == ending.LoadWait {
+	if line.Reason == ending.AdapterNotReady {
 		record.Detail = fmt.Sprintf("the request could wait %d ms, a load was expected to take %d ms, %d adapters were on their way and %d waited",
 			reader.notReady.PatienceMillis, reader.notReady.LoadMillis, reader.notReady.Loading, reader.notReady.Queued)
 	}
-	if line.Reason == ending.OverLimit {
+	if line.Reason == ending.AccountLimit {
 		over := reader.overLimit
 		record.Detail = fmt.Sprintf("account %s had %.0f units left and the request counts %.0f; its limit is %.0f a second; %d of %d daemons were counted together",
 			over.Account, over.LeftUnits, over.Units, over.LimitPerSecond, over.DaemonsCounted, over.Daemons)
--- a/internal/direct/trail/trail_test.go
+++ b/internal/direct/requestlog/trail_test.go
@@ -1,4 +1,4 @@
-package trail_test
+package requestlog_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"teaselmoor/internal/decide/outcome"
-	"teaselmoor/internal/direct/trail"
+	"teaselmoor/internal/direct/requestlog"
 	"teaselmoor/internal/serve/explain"
 )
 
@@ -25,7 +25,7 @@
 `
 
 func TestRefusedWhileWaiting(t *testing.T) {
-	record, err := trail.Read(strings.NewReader(log), "765d")
+	record, err := requestlog.Read(strings.NewReader(log), "765d")
 	require.NoError(t, err)
 	require.Equal(t, outcome.Refused(outcome.AdapterLate, 500), record.Outcome)
 	require.Equal(t, "a2602", record.Target)
@@ -39,7 +39,7 @@
 }
 
 func TestLostWithItsServer(t *testing.T) {
-	record, err := trail.Read(strings.NewReader(log), "6bfc")
+	record, err := requestlog.Read(strings.NewReader(log), "6bfc")
 	require.NoError(t, err)
 	require.Equal(t, outcome.Lost(outcome.Truncated), record.Outcome)
 	require.Len(t, record.Attempts, 1)
@@ -50,7 +50,7 @@
 // TestOverItsLimit checks that the detail says what the account had left and how many daemons
 // were counted.
 func TestOverItsLimit(t *testing.T) {
-	record, err := trail.Read(strings.NewReader(`{"time":"2026-06-10T17:35:06.500Z","msg":"account over its limit","Request":"4290","Account":"payroll","Units":1630,"LeftUnits":-20,"RatePerSecond":200,"LimitPerSecond":240,"DaemonsCounted":39,"Daemons":59}
+	record, err := requestlog.Read(strings.NewReader(`{"time":"2026-06-10T17:35:06.500Z","msg":"account over its limit","Request":"4290","Account":"payroll","Units":1630,"LeftUnits":-20,"RatePerSecond":200,"LimitPerSecond":240,"DaemonsCounted":39,"Daemons":59}
 {"time":"2026-06-10T17:35:06.500Z","msg":"request ended","Request":"4290","Status":429,"Reason":"AccountLimit","Offers":0,"Config":21,"Daemon":"d","RetryAfterMillis":900,"Account":"payroll"}
 `), "4290")
 	require.NoError(t, err)
@@ -59,9 +59,9 @@
 }
 
 func TestMissingOrUnfinishedRequest(t *testing.T) {
-	_, err := trail.Read(strings.NewReader(log), "none")
-	require.ErrorIs(t, err, trail.ErrNotFound)
-	_, err = trail.Read(strings.NewReader(log), "aaaa")
+	_, err := requestlog.Read(strings.NewReader(log), "none")
+	require.ErrorIs(t, err, requestlog.ErrNotFound)
+	_, err = requestlog.Read(strings.NewReader(log), "aaaa")
 	require.ErrorContains(t, err, "not how it ended")
 }
 
@@ -69,7 +69,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add(log, "765d")
 	f.Fuzz(func(t *testing.T, text, request string) {
-		record, err := trail.Read(strings.NewReader(text), request)
+		record, err := requestlog.Read(strings.NewReader(text), request)
 		if err == nil {
 			require.Equal(t, request, record.Request)
 			require.NotEmpty(t, record.Outcome.Kind)
@@ -83,7 +83,7 @@
 	const lines = `{"time":"2026-06-10T17:35:11.139Z","msg":"request sent","Request":"8bc7","Server":"i-62"}
 {"time":"2026-06-10T17:35:11.141Z","msg":"server failed","Request":"8bc7","Server":"i-62","Status":500}
 {"time":"2026-06-10T17:35:11.141Z","msg":"request ended","Request":"8bc7","Status":500,"Reason":"ServerFailure","Offers":1,"Config":9,"Daemon":"d","Route":"r1","Service":"s","Kind":"streaming"}`
-	record, err := trail.Read(strings.NewReader(lines), "8bc7")
+	record, err := requestlog.Read(strings.NewReader(lines), "8bc7")
 	require.NoError(t, err)
 	require.Equal(t, outcome.Answered, record.Outcome.Kind)
 	text := explain.Render(record, explain.Regulator)
--- a/internal/direct/retry/budget_test.go
+++ b/internal/direct/retry/budget_test.go
@@ -12,7 +12,7 @@
 
 var limits = retry.Limits{Ratio: 0.2, Extra: 54, Window: 10 * clock.Second}
 
-func TestFixedAllowanceIsDivided(t *testing.T) {
+func TestFixedAllowanceIsSharedByDaemons(t *testing.T) {
 	budget := retry.New(limits)
 	taken := 0
 	for budget.Take(5000, 9) {
@@ -23,33 +23,32 @@
 	require.True(t, budget.Take(16_100, 9))
 }
 
-// TestNoWindowIsExceeded draws requests and repeats at several daemons and counts
-// every sliding window, as it is judged: repeats against the requests of the
-// window itself.
-func TestNoWindowIsExceeded(t *testing.T) {
+// TestLimitHoldsForEverySlidingWindow draws requests and retries at several daemons. It
+// checks each sliding window that ends with a retry against the limit.
+func TestLimitHoldsForEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 8).Draw(t, "daemons")
 		budgets := make([]*retry.Budget, daemons)
 		for i := range budgets {
 			budgets[i] = retry.New(limits)
 		}
-		var requests, repeats []clock.Millis
+		var requests, retries []clock.Millis
 		now := clock.Millis(100_000)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += clock.Millis(rapid.IntRange(0, 120).Draw(t, "gap"))
 			budget := budgets[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "repeat") {
 				if budget.Take(now, daemons) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 				continue
 			}
 			budget.Request(now)
 			requests = append(requests, now)
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			allowed := limits.Ratio*float64(within(requests, end)+within(requests, end-limits.Window/2)) + limits.Extra
-			require.LessOrEqual(t, float64(within(repeats, end)), allowed)
+			require.LessOrEqual(t, float64(within(retries, end)), allowed)
 		}
 	})
 }
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -15,32 +15,32 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// Word is the last known limit of a server, as daemons send it to each other. Between two
+// ServerLimit is the last known limit of a server, as daemons send it to each other. Between two
 // of the same server process the one with the higher number wins; with equal numbers, the
 // lower limit.
-type Word struct {
-	Server  string
-	Born    int64 // start of the server's process, 0 where it is not known
-	Number  int64 // increases with each change
-	Limited bool
-	Rate    float64 // requests a second
+type ServerLimit struct {
+	Server    string
+	StartedAt int64 // start of the server's process, 0 where it is not known
+	Number    int64 // increases with each change
+	Limited   bool
+	Rate      float64 // requests a second
 }
 
 // supersedes reports whether a limit replaces another one of the same server.
-func (word Word) supersedes(other Word) bool {
+func (serverLimit ServerLimit) supersedes(other ServerLimit) bool {
 	switch {
-	case word.Born != other.Born:
-		return word.Born > other.Born
-	case word.Number != other.Number:
-		return word.Number > other.Number
+	case serverLimit.StartedAt != other.StartedAt:
+		return serverLimit.StartedAt > other.StartedAt
+	case serverLimit.Number != other.Number:
+		return serverLimit.Number > other.Number
 	default:
-		return word.Limited && (!other.Limited || word.Rate < other.Rate)
+		return serverLimit.Limited && (!other.Limited || serverLimit.Rate < other.Rate)
 	}
 }
 
 // entry is the last known limit of a server and this daemon's share of it.
 type entry struct {
-	limit     Word
+	limit     ServerLimit
 	learnedAt clock.Millis // when this daemon learned of the limit
 	revision  int64        // revision of Limits at which the entry changed last
 	share     share
@@ -60,15 +60,15 @@
 	return &Limits{self: self, daemons: []string{self}, entries: make(map[string]*entry)}
 }
 
-// Heard applies the limit that a response of a server carried, and gives it a number. A
+// ApplyResponse applies the limit that a response of a server carried, and gives it a number. A
 // response to a request that was sent before the limit was known does not lift it, as responses
 // can overtake each other. It reports whether the limit changed.
-func (limits *Limits) Heard(now, sentAt clock.Millis, limit Word) bool {
+func (limits *Limits) ApplyResponse(now, sentAt clock.Millis, limit ServerLimit) bool {
 	known := limits.lookup(limit.Server)
 	switch {
-	case limit.Born < known.limit.Born:
+	case limit.StartedAt < known.limit.StartedAt:
 		return false
-	case limit.Born > known.limit.Born: // a new process: the old limit is void
+	case limit.StartedAt > known.limit.StartedAt: // a new process: the old limit is void
 		if !limit.Limited && !known.limit.Limited {
 			return false
 		}
@@ -83,7 +83,7 @@
 }
 
 // Merge applies the limits that another daemon knows. It reports whether any limit changed.
-func (limits *Limits) Merge(now clock.Millis, received []Word) bool {
+func (limits *Limits) Merge(now clock.Millis, received []ServerLimit) bool {
 	changed := false
 	for _, limit := range received {
 		if known, ok := limits.entries[limit.Server]; !ok || limit.supersedes(known.limit) {
@@ -96,10 +96,10 @@
 
 // replace replaces the limit of a server. While the same process keeps a limit, the level of
 // its bucket is kept.
-func (limits *Limits) replace(now clock.Millis, limit Word) {
+func (limits *Limits) replace(now clock.Millis, limit ServerLimit) {
 	limits.revision++
 	known, ok := limits.entries[limit.Server]
-	if !ok || !known.limit.Limited || !limit.Limited || known.limit.Born != limit.Born {
+	if !ok || !known.limit.Limited || !limit.Limited || known.limit.StartedAt != limit.StartedAt {
 		known = &entry{}
 	}
 	known.limit, known.learnedAt, known.revision = limit, now, limits.revision
@@ -110,17 +110,17 @@
 	}
 }
 
-// Changes returns the revision of the limits. It increases with each change.
-func (limits *Limits) Changes() int64 {
+// Revision returns the revision of the limits. It increases with each change.
+func (limits *Limits) Revision() int64 {
 	return limits.revision
 }
 
-// Since returns the limits that have changed after the given revision.
-func (limits *Limits) Since(revision int64) []Word {
+// ChangedSince returns the limits that have changed after the given revision.
+func (limits *Limits) ChangedSince(revision int64) []ServerLimit {
 	if revision >= limits.revision {
 		return nil
 	}
-	var changed []Word
+	var changed []ServerLimit
 	for _, known := range limits.entries {
 		if known.revision > revision {
 			changed = append(changed, known.limit)
--- a/internal/direct/throttle/throttle_test.go
+++ b/internal/direct/throttle/throttle_test.go
@@ -26,7 +26,7 @@
 	for _, name := range names {
 		limits := throttle.New(name)
 		limits.SetDaemons(start, names)
-		limits.Merge(start, []throttle.Word{{Server: "s", Number: 1, Limited: true, Rate: rate}})
+		limits.Merge(start, []throttle.ServerLimit{{Server: "s", Number: 1, Limited: true, Rate: rate}})
 		site = append(site, limits)
 	}
 	return site
@@ -96,21 +96,21 @@
 
 func TestLimitIsLiftedByALaterAnswer(t *testing.T) {
 	limits := throttle.New("d")
-	limited, lifted := throttle.Word{Server: "s", Born: 5, Limited: true, Rate: 2}, throttle.Word{Server: "s", Born: 5}
-	require.False(t, limits.Heard(start, start, lifted), "no limit was set")
-	require.True(t, limits.Heard(start, start, limited))
-	require.False(t, limits.Heard(start, start, limited), "the limit is known")
+	limited, lifted := throttle.ServerLimit{Server: "s", StartedAt: 5, Limited: true, Rate: 2}, throttle.ServerLimit{Server: "s", StartedAt: 5}
+	require.False(t, limits.ApplyResponse(start, start, lifted), "no limit was set")
+	require.True(t, limits.ApplyResponse(start, start, limited))
+	require.False(t, limits.ApplyResponse(start, start, limited), "the limit is known")
 	require.False(t, limits.Allows(start, "s"))
-	require.False(t, limits.Heard(start+10, start-1, lifted), "response to a request sent before the limit was known")
-	require.True(t, limits.Heard(start+10, start+5, lifted))
+	require.False(t, limits.ApplyResponse(start+10, start-1, lifted), "response to a request sent before the limit was known")
+	require.True(t, limits.ApplyResponse(start+10, start+5, lifted))
 	require.True(t, limits.Allows(start+10, "s"))
 	require.Zero(t, limits.Limited())
-	require.True(t, limits.Heard(start+20, start, limited))
-	require.True(t, limits.Heard(start+30, start, throttle.Word{Server: "s", Born: 6}), "the new process has no limit")
+	require.True(t, limits.ApplyResponse(start+20, start, limited))
+	require.True(t, limits.ApplyResponse(start+30, start, throttle.ServerLimit{Server: "s", StartedAt: 6}), "the new process has no limit")
 	require.True(t, limits.Allows(start+30, "s"))
-	require.False(t, limits.Heard(start+40, start, limited), "response of the old process")
+	require.False(t, limits.ApplyResponse(start+40, start, limited), "response of the old process")
 	limits.Retain(func(string) bool { return false })
-	require.True(t, limits.Heard(start+50, start, limited))
+	require.True(t, limits.ApplyResponse(start+50, start, limited))
 	require.Equal(t, 1, limits.Limited())
 }
 
@@ -128,26 +128,26 @@
 			now += clock.Millis(rapid.IntRange(0, 50).Draw(t, "gap"))
 			limits := site[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "answer") {
-				limit := throttle.Word{Server: "s", Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))}
+				limit := throttle.ServerLimit{Server: "s", StartedAt: int64(rapid.IntRange(1, 2).Draw(t, "born"))}
 				if rate := rapid.IntRange(0, 2).Draw(t, "rate"); rate > 0 {
 					limit.Limited, limit.Rate = true, float64(rate)
 				}
-				limits.Heard(now, now-20, limit)
+				limits.ApplyResponse(now, now-20, limit)
 				continue
 			}
-			limits.Merge(now, site[rapid.IntRange(0, daemons-1).Draw(t, "peer")].Since(0))
+			limits.Merge(now, site[rapid.IntRange(0, daemons-1).Draw(t, "peer")].ChangedSince(0))
 		}
 		for range 2 {
 			for _, limits := range site {
 				for _, peer := range site {
-					limits.Merge(now, peer.Since(0))
+					limits.Merge(now, peer.ChangedSince(0))
 				}
 			}
 		}
 		for _, limits := range site {
 			require.Equal(t, site[0].Limited(), limits.Limited())
-			require.False(t, limits.Merge(now, site[0].Since(0)))
-			require.Empty(t, limits.Since(limits.Changes()))
+			require.False(t, limits.Merge(now, site[0].ChangedSince(0)))
+			require.Empty(t, limits.ChangedSince(limits.Revision()))
 		}
 	})
 }
--- a/internal/direct/topology/topology.go
+++ b/internal/direct/topology/topology.go
@@ -1,19 +1,19 @@
-// Package topology decides which daemons keep a connection to each other, who may
-// claim servers, and who tells whom what. A small site is a mesh: each daemon is
-// connected with all others and tells them what is its own. In a larger one a bounded
-// number of daemons of each data centre are candidates, which alone claim servers and
-// are connected with each other; the others are connected with the candidates of their
-// data centre. One of these is a daemon's hub: the daemon tells it what is its own and
-// hears from it what all others have in progress, added up by server. It does no I/O
-// and keeps no state.
+// Package topology decides which daemons keep a connection to each other, which may claim
+// servers, and what each sends to which others. A small site is a mesh: each daemon is
+// connected to all others and sends them its own state. In a larger site, a bounded number
+// of daemons of each data centre are candidates. Only candidates claim servers, and they are
+// connected to each other; the other daemons are connected to the candidates of their data
+// centre. One of these is a daemon's hub: the daemon sends its own state to it, and receives
+// from it the load of all other daemons, summed by server. The package does no I/O and keeps
+// no state.
 //
-// Every daemon computes this from what it knows itself. Two that know different things
-// may choose different hubs and different candidates: a hub is whom a daemon says that
-// it has chosen, and any two daemons that claim servers hear each other's claims.
+// Every daemon computes its plan from its own view of the site, so two daemons may choose
+// different hubs and candidates. This is safe: a daemon is a hub if another daemon reports
+// it as its hub, and any two daemons that claim servers receive each other's claims.
 //
 // With n daemons in d data centres there are 2·CandidatesPerDataCentre·n connections
-// of members and candidates and (d·CandidatesPerDataCentre)² among candidates: 880 at
-// 195 daemons in six data centres, instead of 37,830 of each with each other.
+// between members and candidates and (d·CandidatesPerDataCentre)² among candidates: 880 at
+// 195 daemons in six data centres, instead of 37,830 in a full mesh.
 package topology
 
 import (
@@ -23,15 +23,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MeshLimit is the number of daemons up to which a site is a mesh: a mesh of 12
-// at ten updates a second is 110 messages a second for each daemon, about 0.5% of
-// a core at 20 us a message, both ways.
+// MeshLimit is the maximum number of daemons of a mesh. In a mesh of 12 daemons with ten
+// updates a second, each daemon sends 110 messages a second, which takes about 0.5% of a
+// core at 20 us a message, counting both directions.
 const MeshLimit = 12
 
-// CandidatesPerDataCentre is how many daemons of a data centre claim servers in a site
-// that is no mesh. One is the hub and the other takes its place at once, as its members
-// are connected with both; with both lost the next ones are candidates as soon as they
-// have found them silent. At 15 data centres 30 candidates hear 29 others each.
+// CandidatesPerDataCentre is the number of daemons of a data centre that claim servers in a
+// site that is not a mesh. One is the hub, and the other replaces it at once if it fails, as
+// members are connected to both. If both fail, other daemons become candidates as soon as
+// they detect that the two are silent. With 15 data centres, each of the 30 candidates
+// receives updates of 29 others.
 const CandidatesPerDataCentre = 2
 
 // Daemon is a daemon of the site.
@@ -39,93 +40,94 @@
 	Name       string
 	Address    string
 	DataCentre string
-	Capacity   int // in thousandths of a core; candidates are chosen among the largest
+	Capacity   int // in thousandths of a core; the largest daemons become candidates
 }
 
-// Role is what a daemon does for the site.
+// Role is the role of a daemon in its site.
 type Role int
 
-// Roles. Their numbers are sent between daemons.
+// Roles of a daemon. The numbers are part of the wire format.
 const (
-	Member    Role = iota // serves callers only
-	Candidate             // may claim servers that nobody gives orders to
-	Retired               // gives orders to the servers that it has, and claims no more
+	Member    Role = iota // only serves callers
+	Candidate             // may claim servers without an owner
+	Retired               // sends orders to the servers that it owns, but claims no more
 )
 
-// GivesOrders reports whether a daemon in this role may give orders to servers.
-func (role Role) GivesOrders() bool {
+// SendsOrders reports whether a daemon in this role may send orders to servers.
+func (role Role) SendsOrders() bool {
 	return role == Candidate || role == Retired
 }
 
-// Peer is a daemon that is heard directly, and what it says of itself.
+// Peer is a daemon that reports to this one directly, with its reported state.
 type Peer struct {
 	Daemon
 	Role Role
-	Hub  string // the daemon that it has chosen as its hub; empty: none
+	Hub  string // the daemon chosen as hub; empty: none
 }
 
-// addsUp reports whether a daemon adds up the work of others.
-func (peer Peer) addsUp() bool {
-	return peer.Hub == "" && peer.Role.GivesOrders()
+// aggregates reports whether a daemon aggregates the load of other daemons.
+func (peer Peer) aggregates() bool {
+	return peer.Hub == "" && peer.Role.SendsOrders()
 }
 
-// Scope is what a target is told.
+// Scope is the set of daemons whose state is sent to a target.
 type Scope int
 
-// Scopes.
+// Scopes of a target.
 const (
-	Own   Scope = iota // what is this daemon's own
-	Group              // what is known of this daemon and of those whose hub it is
-	Sums               // all that is known, requests in progress added up
+	Own   Scope = iota // the state of this daemon
+	Group              // the state of this daemon and of those whose hub it is
+	Sums               // the state of all daemons, with the requests in progress summed
 )
 
-// Target is a daemon to tell news to.
+// Target is a daemon to send state changes to.
 type Target struct {
-	Name    string
-	Address string
-	Scope   Scope
-	Store   bool // what was read of the store as well
+	Name          string
+	Address       string
+	Scope         Scope
+	IncludesStore bool // also send what was read from the store
 }
 
-// Plan is what a daemon has to do.
+// Plan is the part that a daemon plays in its site.
 type Plan struct {
-	// Mesh reports whether every daemon tells every other one.
+	// Mesh reports whether every daemon sends its state to every other one.
 	Mesh bool
 	// Role is Member or Candidate.
 	Role Role
-	// Links are the daemons to keep a connection to. Others that keep one to this
-	// daemon are answered on one as well.
+	// Links are the daemons to keep a connection to. This daemon also connects to others
+	// that want a connection to it.
 	Links   []Daemon
 	Targets []Target
-	// Hub is the daemon that tells this one what all others have in progress; it is
-	// empty where this daemon adds up itself, or has found no hub yet.
+	// Hub is the daemon that sends this one the load of all others. It is empty if this
+	// daemon aggregates load itself, or has not found a hub yet.
 	Hub string
-	// Reads reports whether this daemon reads the store itself. In a mesh each
-	// does: passing entries on costs more there than the calls that it saves.
-	Reads bool
+	// ReadsStore reports whether this daemon reads the store itself. In a mesh every daemon
+	// does: forwarding entries would cost more there than the calls that it saves.
+	ReadsStore bool
 }
 
-// Of returns the plan of self. Known are the daemons that are taken to live, heard those
-// of them that are heard directly; neither need include self. Orders tells that self gives
-// orders to servers.
-func Of(self Daemon, known []Daemon, heard []Peer, orders bool) Plan {
+// PlanFor returns the plan of self. The known daemons are those considered live, and heard are
+// those of them that report directly; neither needs to include self. The parameter orders
+// reports whether self sends orders to servers.
+func PlanFor(self Daemon, known []Daemon, heard []Peer, orders bool) Plan {
 	all := append(slices.Clone(known), self)
 	if len(all) <= MeshLimit {
-		return mesh(self, all, heard)
+		return meshPlan(self, all, heard)
 	}
 	candidates := candidatesOf(all)
 	plan := Plan{Role: Member}
 	if slices.Contains(candidates[self.DataCentre], self) || isHub(self, heard) {
 		plan.Role = Candidate
 	}
-	plan.Links = links(self, plan.Role == Candidate || orders, candidates)
+	plan.Links = linksOf(self, plan.Role == Candidate || orders, candidates)
 	plan.Hub = hubOf(self, candidates[self.DataCentre], heard)
-	plan.Reads = plan.Hub == ""
-	plan.Targets = targets(self, plan, heard)
+	plan.ReadsStore = plan.Hub == ""
+	plan.Targets = targetsOf(self, plan, heard)
 	return plan
 }
 
-func better(a, b Daemon) int {
+// compareRank orders daemons by their suitability as candidates, the best first.
+func compareRank(a, b Daemon) int {
 	return cmp.Or(
 		cmp.Compare(b.Capacity, a.Capacity),
 		cmp.Compare(xxhash.Sum64String(b.Name), xxhash.Sum64String(a.Name)),
@@ -133,9 +135,10 @@
 	)
 }
 
-func mesh(self Daemon, all []Daemon, heard []Peer) Plan {
-	plan := Plan{Mesh: true, Role: Candidate, Reads: true}
-	slices.SortFunc(all, better)
+// meshPlan returns the plan of self in a mesh.
+func meshPlan(self Daemon, all []Daemon, heard []Peer) Plan {
+	plan := Plan{Mesh: true, Role: Candidate, ReadsStore: true}
+	slices.SortFunc(all, compareRank)
 	for _, daemon := range all {
 		if daemon.Name != self.Name {
 			plan.Links = append(plan.Links, daemon)
@@ -147,14 +150,14 @@
 	return plan
 }
 
-// candidatesOf returns the candidates of each data centre, the best first. Nothing is
-// sorted: the daemons of a large site look for them ten times a second.
+// candidatesOf returns the candidates of each data centre, the best first. It avoids sorting
+// all daemons, as it runs ten times a second in large sites.
 func candidatesOf(all []Daemon) map[string][]Daemon {
 	candidates := make(map[string][]Daemon)
 	for _, daemon := range all {
 		of := candidates[daemon.DataCentre]
 		at := len(of)
-		for at > 0 && better(daemon, of[at-1]) < 0 {
+		for at > 0 && compareRank(daemon, of[at-1]) < 0 {
 			at--
 		}
 		if at < CandidatesPerDataCentre {
@@ -165,9 +168,9 @@
 	return candidates
 }
 
-// links returns the daemons that self keeps a connection to: all candidates where it may
-// give orders, else those of its data centre.
-func links(self Daemon, orders bool, candidates map[string][]Daemon) []Daemon {
+// linksOf returns the daemons that self keeps a connection to: all candidates if self may
+// send orders, otherwise those of its data centre.
+func linksOf(self Daemon, orders bool, candidates map[string][]Daemon) []Daemon {
 	var linked []Daemon
 	for dataCentre, of := range candidates {
 		if !orders && dataCentre != self.DataCentre {
@@ -179,7 +182,7 @@
 			}
 		}
 	}
-	slices.SortFunc(linked, better)
+	slices.SortFunc(linked, compareRank)
 	return linked
 }
 
@@ -188,8 +191,8 @@
 	return slices.ContainsFunc(heard, func(peer Peer) bool { return peer.Hub == self.Name })
 }
 
-// hubOf returns the best candidate of the data centre that is heard. A daemon that is
-// itself the best, or that another has chosen as its hub, has none.
+// hubOf returns the best candidate of the data centre that reports to self. It returns ""
+// for a daemon that is itself better, or that another one has chosen as its hub.
 func hubOf(self Daemon, candidates []Daemon, heard []Peer) string {
 	if isHub(self, heard) {
 		return ""
@@ -205,23 +208,23 @@
 	return ""
 }
 
-// targets returns whom self tells news: its hub, or as a hub those that have chosen it
-// and the other hubs.
-func targets(self Daemon, plan Plan, heard []Peer) []Target {
-	var told []Target
+// targetsOf returns the daemons that self sends its state to: its hub, or, for a hub, the
+// daemons that have chosen it and the other hubs.
+func targetsOf(self Daemon, plan Plan, heard []Peer) []Target {
+	var targets []Target
 	for _, peer := range heard {
 		target := Target{Name: peer.Name, Address: peer.Address}
 		switch {
 		case peer.Hub == self.Name:
-			target.Scope, target.Store = Sums, true
+			target.Scope, target.IncludesStore = Sums, true
 		case plan.Hub != "" && peer.Name != plan.Hub:
 			continue
-		case plan.Hub == "" && !peer.addsUp():
+		case plan.Hub == "" && !peer.aggregates():
 			continue
 		case plan.Hub == "":
 			target.Scope = Group
 		}
-		told = append(told, target)
+		targets = append(targets, target)
 	}
-	return told
+	return targets
 }
--- a/internal/direct/topology/topology_test.go
+++ b/internal/direct/topology/topology_test.go
@@ -20,22 +20,22 @@
 	return daemons
 }
 
-// settle returns the plans of daemons that all know each other and hear those that they
-// are linked with.
+// settle returns the final plans of daemons that all know each other and receive reports of
+// those that they are connected to.
 func settle(daemons []topology.Daemon) map[string]topology.Plan {
 	plans := make(map[string]topology.Plan)
 	for range 4 {
 		next := make(map[string]topology.Plan)
 		for i, daemon := range daemons {
 			others := append(append([]topology.Daemon{}, daemons[:i]...), daemons[i+1:]...)
-			next[daemon.Name] = topology.Of(daemon, others, heard(daemon, others, plans), false)
+			next[daemon.Name] = topology.PlanFor(daemon, others, heard(daemon, others, plans), false)
 		}
 		plans = next
 	}
 	return plans
 }
 
-// heard returns the daemons that self is linked with, on its own part or on theirs.
+// heard returns the daemons that self is connected to, by its own plan or by theirs.
 func heard(self topology.Daemon, others []topology.Daemon, plans map[string]topology.Plan) []topology.Peer {
 	var peers []topology.Peer
 	for _, other := range others {
@@ -47,8 +47,8 @@
 	return peers
 }
 
-// reach spreads one piece of news of a daemon and returns who has it, and the
-// number of messages that one round of all daemons takes.
+// reach propagates one state change of a daemon. It returns the addresses of the daemons
+// that receive it, and the number of messages in one round of all daemons.
 func reach(daemons []topology.Daemon, origin int) (reached map[string]bool, messages int) {
 	plans := settle(daemons)
 	known := map[string]bool{daemons[origin].Address: true}
@@ -72,7 +72,7 @@
 	return known, messages
 }
 
-func TestNewsReachEveryone(t *testing.T) {
+func TestChangesReachEveryDaemon(t *testing.T) {
 	for _, count := range []int{1, 2, 7, 12, 13, 69, 390} {
 		daemons := site(count)
 		for _, origin := range []int{0, count / 2, count - 1} {
@@ -82,17 +82,18 @@
 	}
 }
 
-// TestMessagesGrowWithTheSite: linearly, not with the square.
-func TestMessagesGrowWithTheSite(t *testing.T) {
+// TestMessagesGrowWithSite checks that the number of messages grows linearly with the number
+// of daemons, not with its square.
+func TestMessagesGrowWithSite(t *testing.T) {
 	_, few := reach(site(69), 0)
 	_, many := reach(site(390), 0)
 	require.LessOrEqual(t, few, 2*69+12)
 	require.LessOrEqual(t, many, 2*390+12)
 }
 
-// TestConnectionsGrowWithTheSite: those of a daemon that is no candidate do not grow at
-// all, those of a candidate with the number of data centres only.
-func TestConnectionsGrowWithTheSite(t *testing.T) {
+// TestConnectionsGrowWithSite checks that the number of connections of a member is constant,
+// and that of a candidate grows only with the number of data centres.
+func TestConnectionsGrowWithSite(t *testing.T) {
 	for _, count := range []int{30, 100, 195, 395} {
 		for name, plan := range settle(site(count)) {
 			if plan.Role == topology.Member {
@@ -104,7 +105,8 @@
 	}
 }
 
-// TestCandidates: a bounded number of each data centre, the largest ones.
+// TestCandidates checks that the largest daemons of each data centre are candidates, in a
+// bounded number.
 func TestCandidates(t *testing.T) {
 	daemons := site(195)
 	for i := range daemons {
@@ -124,29 +126,30 @@
 	require.Len(t, of, 4)
 }
 
-// TestOneHubTellsSums: a daemon hears the others' work from its hub only, else it
-// would count it twice.
-func TestOneHubTellsSums(t *testing.T) {
+// TestOneHubSendsSums checks that a daemon receives the load of the others only from its hub;
+// otherwise it would count that load twice.
+func TestOneHubSendsSums(t *testing.T) {
 	daemons := site(69)
 	plans := settle(daemons)
-	tellers := make(map[string][]string)
+	senders := make(map[string][]string)
 	for name, plan := range plans {
 		for _, target := range plan.Targets {
 			if target.Scope == topology.Sums {
-				tellers[target.Name] = append(tellers[target.Name], name)
+				senders[target.Name] = append(senders[target.Name], name)
 			}
 		}
 	}
 	for _, daemon := range daemons {
 		if hub := plans[daemon.Name].Hub; hub != "" {
-			require.Equal(t, []string{hub}, tellers[daemon.Name])
+			require.Equal(t, []string{hub}, senders[daemon.Name])
 			continue
 		}
-		require.Empty(t, tellers[daemon.Name], "a hub adds up itself")
+		require.Empty(t, senders[daemon.Name], "a hub aggregates load itself")
 	}
 }
 
-// TestSilentHub: the other candidate is the hub of those that do not hear the first.
+// TestSilentHub checks that the second candidate becomes the hub of members to which the first
+// one is silent.
 func TestSilentHub(t *testing.T) {
 	daemons := site(69)
 	plans := settle(daemons)
@@ -155,22 +158,22 @@
 	})
 	self, first := daemons[member], plans[daemons[member].Name].Hub
 	others := slices.DeleteFunc(slices.Clone(daemons), func(daemon topology.Daemon) bool { return daemon == self })
-	left := slices.DeleteFunc(heard(self, others, plans), func(peer topology.Peer) bool { return peer.Name == first })
-	plan := topology.Of(self, others, left, false)
-	require.Len(t, left, 1)
-	require.Equal(t, left[0].Name, plan.Hub)
+	remaining := slices.DeleteFunc(heard(self, others, plans), func(peer topology.Peer) bool { return peer.Name == first })
+	plan := topology.PlanFor(self, others, remaining, false)
+	require.Len(t, remaining, 1)
+	require.Equal(t, remaining[0].Name, plan.Hub)
 	second := slices.IndexFunc(daemons, func(daemon topology.Daemon) bool { return daemon.Name == plan.Hub })
-	chosen := topology.Of(daemons[second], others, []topology.Peer{{Daemon: self, Hub: plan.Hub}, {Daemon: daemons[0], Role: topology.Candidate}}, false)
-	require.Empty(t, chosen.Hub, "who is chosen adds up itself")
+	chosen := topology.PlanFor(daemons[second], others, []topology.Peer{{Daemon: self, Hub: plan.Hub}, {Daemon: daemons[0], Role: topology.Candidate}}, false)
+	require.Empty(t, chosen.Hub, "a chosen hub aggregates load itself")
 	require.Equal(t, topology.Candidate, chosen.Role)
-	require.True(t, chosen.Reads)
+	require.True(t, chosen.ReadsStore)
 }
 
-func TestSomebodyReadsTheStore(t *testing.T) {
+func TestStoreReaders(t *testing.T) {
 	for _, count := range []int{1, 7, 69} {
 		readers := 0
 		for _, plan := range settle(site(count)) {
-			if plan.Reads {
+			if plan.ReadsStore {
 				readers++
 			}
 		}
@@ -178,14 +181,15 @@
 	}
 }
 
-// BenchmarkOf: the plan of one daemon takes 1.5 us among 8, 18 us among 78 and 125 us among
-// 390. Each request and each word on prompts computed one before digests kept it.
+// BenchmarkOf measures the plan of one daemon: 1.5 us among 8 daemons, 18 us among 78 and
+// 125 us among 390. This is why plans are kept rather than computed for each request and each
+// message about prompt tokens.
 func BenchmarkOf(b *testing.B) {
 	for _, count := range []int{8, 78, 390} {
 		daemons := site(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
-				topology.Of(daemons[0], daemons[1:], nil, false)
+				topology.PlanFor(daemons[0], daemons[1:], nil, false)
 			}
 		})
 	}
--- a/internal/direct/upstream/check.go
+++ b/internal/direct/upstream/check.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// Presence is the result of trying to connect to an address.
-type Presence int
+// CheckResult is the result of trying to connect to an address.
+type CheckResult int
 
 // Results of Check.
 const (
-	Unknown Presence = iota // the connection attempt failed for another reason
-	Listens                 // the connection was accepted
-	Refuses                 // the connection was refused: the server process has ended
+	Unknown           CheckResult = iota // the connection attempt failed for another reason
+	Listening                            // the connection was accepted
+	ConnectionRefused                    // the connection was refused: the server process has ended
 )
 
 // Check tries to connect to a server, after a connection to it broke. A successful connection
 // is kept for requests.
-func (pool *Pool) Check(ctx context.Context, address string) Presence {
+func (pool *Pool) Check(ctx context.Context, address string) CheckResult {
 	opened, err := pool.dial(ctx, address)
 	switch {
 	case err == nil:
 		pool.put(opened, 0)
-		return Listens
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refuses
+		return ConnectionRefused
 	default:
 		return Unknown
 	}
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -312,8 +312,8 @@
 	return &conn{Conn: dialed, address: address, reader: bufio.NewReaderSize(dialed, pool.options.BufferBytes)}, nil
 }
 
-// Sweep closes idle connections that have expired.
-func (pool *Pool) Sweep() {
+// CloseExpired closes idle connections that have expired.
+func (pool *Pool) CloseExpired() {
 	now := time.Now()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
--- a/internal/serve/command/explain.go
+++ b/internal/serve/command/explain.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v2"
 
 	"teaselmoor/internal/decide/outcome"
-	"teaselmoor/internal/direct/trail"
+	"teaselmoor/internal/direct/requestlog"
 	"teaselmoor/internal/serve/explain"
 	"teaselmoor/internal/serve/operators"
 )
@@ -95,8 +95,8 @@
 	if err != nil {
 		return outcome.Record{}, err
 	}
-	record, err := trail.Read(log, request)
-	if errors.Is(err, trail.ErrNotFound) {
+	record, err := requestlog.Read(log, request)
+	if errors.Is(err, requestlog.ErrNotFound) {
 		return record, withCode(ExitNotFound, err)
 	}
 	return record, withCode(ExitMistakes, err)
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -76,9 +76,9 @@
 
 func ownershipOptions(settings settings.Ownership) ownership.Options {
 	return ownership.Options{
-		ViewAge: settings.ViewAgeMillis, ListLag: settings.ListLagMillis, ClockMargin: settings.ClockMarginMillis,
-		HandoverSpan: settings.HandoverSpanMillis, OrderSpan: settings.OrderSpanMillis,
-		ReportLag: settings.ReportLagMillis, Suspicion: settings.SuspicionMillis, Pause: settings.PauseMillis,
+		MaxListAge: settings.ViewAgeMillis, ListLag: settings.ListLagMillis, ClockMargin: settings.ClockMarginMillis,
+		MaxHandoverAge: settings.HandoverSpanMillis, MaxOrderDelay: settings.OrderSpanMillis,
+		ReportLag: settings.ReportLagMillis, SilenceTimeout: settings.SuspicionMillis, MaxStepGap: settings.PauseMillis,
 	}
 }
 
@@ -100,9 +100,9 @@
 	options.Owner.LoadBackoff = settings.Loads.BackoffMillis
 	options.Owner.LoadTries = settings.Loads.Tries
 	options.Owner.HalfLife = settings.Loads.HalfLifeMillis
-	options.Owner.AskInterval = settings.Loads.AskIntervalMillis
-	options.Owner.RoomWait = settings.Queue.RoomWaitMillis
-	options.Owner.RoutineFloor = settings.Queue.RoutineFloor
+	options.Owner.LoadRequestInterval = settings.Loads.AskIntervalMillis
+	options.Owner.YieldDelay = settings.Queue.RoomWaitMillis
+	options.Owner.MaxUrgentInRow = settings.Queue.RoutineFloor
 	options.Loads.Span = settings.Loads.SpanMillis
 	options.Loads.Margin = settings.Loads.MarginMillis
 	options.Loads.Silence = settings.Loads.BrokerSilenceMillis
@@ -110,12 +110,12 @@
 	options.Loads.Lease = settings.Loads.LeaseMillis
 	options.Loads.Parallel = settings.Loads.Parallel
 	options.Home = homeOptions(settings)
-	options.Weights.Load = settings.Placement.LoadCost
-	options.Weights.Spare = settings.Placement.SpareCost
-	options.Weights.Set = settings.Placement.SetSize
-	options.Weights.Batch = settings.Placement.BatchGain
-	options.Weights.Affinity = settings.Placement.AffinityCost
-	options.Weights.Silence = settings.Placement.SilenceMillis
+	options.Weights.LoadCost = settings.Placement.LoadCost
+	options.Weights.SpareCost = settings.Placement.SpareCost
+	options.Weights.AffinitySetSize = settings.Placement.SetSize
+	options.Weights.BatchGain = settings.Placement.BatchGain
+	options.Weights.AffinityCost = settings.Placement.AffinityCost
+	options.Weights.MaxStateAge = settings.Placement.SilenceMillis
 	return options
 }
 
