--- a/internal/decide/home/bench_test.go
+++ b/internal/decide/home/bench_test.go
@@ -23,8 +23,8 @@
 	options.MaxRecords = 1 << 30
 	home := home.New("daemon-0", options)
 	list := members.List{Version: 1, VMs: []members.VM{{Name: "daemon-0", Role: members.EntryRole, Region: "north", State: members.Live}}}
-	home.ListRead(now-clock.Minute, members.NewView(list, now-clock.Minute))
-	home.ListRead(now, members.NewView(list, now))
+	home.UpdateVMList(now-clock.Minute, members.NewView(list, now-clock.Minute))
+	home.UpdateVMList(now, members.NewView(list, now))
 	return home
 }
 
@@ -62,12 +62,12 @@
 // answers and keeps every record.
 func TestHomeIsBounded(t *testing.T) {
 	options := home.DefaultOptions()
-	options.MaxRecords, options.MaxStored, options.MaxAnswer = 2, 10, 8
+	options.MaxRecords, options.MaxStoredBytes, options.MaxAnswerBytes = 2, 10, 8
 	now := clock.Day
 	home := home.New("daemon-0", options)
 	list := members.List{Version: 1, VMs: []members.VM{{Name: "daemon-0", Role: members.EntryRole, Region: "north", State: members.Live}}}
-	home.ListRead(now-clock.Minute, members.NewView(list, now-clock.Minute))
-	home.ListRead(now, members.NewView(list, now))
+	home.UpdateVMList(now-clock.Minute, members.NewView(list, now-clock.Minute))
+	home.UpdateVMList(now, members.NewView(list, now))
 	for number, body := range []string{"12345678", "12345678"} {
 		first := begin(number, now)
 		require.True(t, decisionOf(t, home.Begin(now, first)).Granted)
--- a/internal/decide/home/copy.go
+++ b/internal/decide/home/copy.go
@@ -81,11 +81,11 @@
 	return record.stream == pending.stream && !finishedSince && !slices.Contains(record.copiedTo, pending.to)
 }
 
-// Copied stores the copy of another home's record, if there is room. It replaces a
+// StoreCopy stores the copy of another home's record, if there is room. It replaces a
 // record of a different attempt under the same key, unless this daemon is itself
 // the key's home or that attempt has finished. In each case a record of the key
 // remains, so no attempt runs twice.
-func (home *Home) Copied(now clock.Millis, copied message.HomeCopy) []effect.Effect {
+func (home *Home) StoreCopy(now clock.Millis, copied message.HomeCopy) []effect.Effect {
 	held, found := home.records[copied.Key]
 	key := Key{Key: copied.Key, Caller: copied.Caller, Region: copied.Region}
 	if !found {
@@ -113,9 +113,9 @@
 	return home.takeEffects()
 }
 
-// CopyConfirmed records that a daemon holds a copy, and grants the attempt if it
+// ConfirmCopy records that a daemon holds a copy, and grants the attempt if it
 // was waiting for one.
-func (home *Home) CopyConfirmed(ack message.HomeCopyAck) []effect.Effect {
+func (home *Home) ConfirmCopy(ack message.HomeCopyAck) []effect.Effect {
 	record, found := home.records[ack.Key]
 	if !found || record.stream != ack.Stream || ack.Finished != (record.state == recordFinished) {
 		return home.takeEffects()
@@ -129,9 +129,9 @@
 	return home.takeEffects()
 }
 
-// Forgotten deletes the copy of a record whose attempt did not run. A finished
+// DeleteCopy deletes the copy of a record whose attempt did not run. A finished
 // record is kept.
-func (home *Home) Forgotten(forget message.HomeCopyDelete) []effect.Effect {
+func (home *Home) DeleteCopy(forget message.HomeCopyDelete) []effect.Effect {
 	record, found := home.records[forget.Key]
 	if found && record.stream == forget.Stream && record.state != recordFinished {
 		home.remove(record)
--- a/internal/decide/home/home.go
+++ b/internal/decide/home/home.go
@@ -31,34 +31,34 @@
 	// ClockMargin is the maximum difference between the clocks of two daemons, and
 	// between a daemon's clock and the one that a key's issue time comes from.
 	ClockMargin clock.Millis
-	// MaxViewAge is the maximum age of the VM list with which a daemon acts as home.
-	MaxViewAge clock.Millis
+	// MaxListAge is the maximum age of the VM list with which a daemon acts as home.
+	MaxListAge clock.Millis
 	// ListLag is the maximum time by which the published VM list is out of date.
 	ListLag clock.Millis
-	// CopySpan is how long a grant waits until a copy of its record is confirmed.
-	CopySpan clock.Millis
+	// CopyTimeout is how long a grant waits until a copy of its record is confirmed.
+	CopyTimeout clock.Millis
 	// CopyInterval is the time after which an unconfirmed copy is sent again.
 	CopyInterval clock.Millis
 	// MaxRecords is the maximum number of records, including copies from other homes.
 	MaxRecords int
-	// MaxStored is the maximum size of all stored answers together, in bytes.
-	MaxStored int
-	// MaxAnswer is the maximum size of one stored answer, in bytes.
-	MaxAnswer int
+	// MaxStoredBytes is the maximum size of all stored answers together, in bytes.
+	MaxStoredBytes int
+	// MaxAnswerBytes is the maximum size of one stored answer, in bytes.
+	MaxAnswerBytes int
 }
 
 // DefaultOptions returns the limits that apply if the settings do not set any.
 func DefaultOptions() Options {
 	return Options{
-		Retention:    clock.Hour,
-		ClockMargin:  clock.Second,
-		MaxViewAge:   3 * clock.Second,
-		ListLag:      clock.Second,
-		CopySpan:     150 * clock.Millisecond,
-		CopyInterval: 500 * clock.Millisecond,
-		MaxRecords:   50_000,
-		MaxStored:    24 << 20,
-		MaxAnswer:    256 << 10,
+		Retention:      clock.Hour,
+		ClockMargin:    clock.Second,
+		MaxListAge:     3 * clock.Second,
+		ListLag:        clock.Second,
+		CopyTimeout:    150 * clock.Millisecond,
+		CopyInterval:   500 * clock.Millisecond,
+		MaxRecords:     50_000,
+		MaxStoredBytes: 24 << 20,
+		MaxAnswerBytes: 256 << 10,
 	}
 }
 
@@ -159,7 +159,7 @@
 	case record.key.Caller != begin.Caller || record.bodyHash != begin.BodyHash:
 		home.deny(begin, outcome.Refused(outcome.KeyConflict, 0), nil)
 	case record.state == recordFinished && record.outcome.Kind == outcome.Answered && record.answer == nil:
-		home.deny(begin, outcome.Lost(outcome.AnswerNotKept), nil)
+		home.deny(begin, outcome.MayHaveRun(outcome.AnswerNotKept), nil)
 	case record.state == recordFinished:
 		home.deny(begin, record.outcome, record.answer)
 	case record.stream != begin.Stream:
@@ -246,7 +246,7 @@
 // storeAnswer stores an answer if it is within the size limits. Without a stored
 // answer the attempt still counts as answered.
 func (home *Home) storeAnswer(record *record, answer *message.StoredAnswer) {
-	if answer == nil || len(answer.Body) > home.options.MaxAnswer || home.storedBytes+len(answer.Body) > home.options.MaxStored {
+	if answer == nil || len(answer.Body) > home.options.MaxAnswerBytes || home.storedBytes+len(answer.Body) > home.options.MaxStoredBytes {
 		return
 	}
 	home.storedBytes += len(answer.Body)
@@ -282,7 +282,7 @@
 	for len(home.pendingGrants) > 0 {
 		record, found := home.records[home.pendingGrants[0]]
 		if found && record.state == recordCopying {
-			if now-record.changedAt < home.options.CopySpan {
+			if now-record.changedAt < home.options.CopyTimeout {
 				return
 			}
 			home.grant(record)
@@ -304,7 +304,7 @@
 		case record.changedAt+home.options.Retention > now:
 			home.expiries = append(home.expiries, expiry{dueAt: record.changedAt + home.options.Retention, key: due.key})
 		case record.state != recordFinished:
-			home.finish(now, record, outcome.Lost(outcome.EntryLost), nil)
+			home.finish(now, record, outcome.MayHaveRun(outcome.EntryLost), nil)
 			home.expiries = append(home.expiries, expiry{dueAt: now + home.options.Retention, key: due.key})
 		default:
 			home.remove(record)
@@ -312,8 +312,8 @@
 	}
 }
 
-// Met records the current incarnation of a daemon.
-func (home *Home) Met(now clock.Millis, daemon ident.DaemonID, incarnation ident.Incarnation) []effect.Effect {
+// ObserveIncarnation records the current incarnation of a daemon.
+func (home *Home) ObserveIncarnation(now clock.Millis, daemon ident.DaemonID, incarnation ident.Incarnation) []effect.Effect {
 	home.observeIncarnation(now, ident.StreamID{Daemon: daemon, Incarnation: incarnation})
 	return home.takeEffects()
 }
@@ -336,7 +336,7 @@
 func (home *Home) endAsUnknown(now clock.Millis, accept func(*record) bool) {
 	for _, record := range home.recordsInOrder() {
 		if record.state != recordFinished && accept(record) {
-			home.finish(now, record, outcome.Lost(outcome.EntryLost), nil)
+			home.finish(now, record, outcome.MayHaveRun(outcome.EntryLost), nil)
 		}
 	}
 }
--- a/internal/decide/home/vouch.go
+++ b/internal/decide/home/vouch.go
@@ -125,7 +125,7 @@
 // mayActAsHome reports whether this daemon is the key's home according to a VM list
 // that is recent enough.
 func (home *Home) mayActAsHome(now clock.Millis, key Key) bool {
-	if len(home.history.periods) == 0 || now-home.history.readAt > home.options.MaxViewAge {
+	if len(home.history.periods) == 0 || now-home.history.readAt > home.options.MaxListAge {
 		return false
 	}
 	homeDaemon, found := home.history.latest().homeOf(key)
@@ -143,7 +143,7 @@
 	if issuedAt > now+margin || issuedAt < now-home.options.Retention+2*margin {
 		return false
 	}
-	from := issuedAt - 2*margin - home.options.MaxViewAge - home.options.ListLag
+	from := issuedAt - 2*margin - home.options.MaxListAge - home.options.ListLag
 	eras := home.history.periods
 	if len(eras) == 0 || eras[0].since > from {
 		return false
@@ -160,21 +160,21 @@
 	return true
 }
 
-// VouchesFresh reports whether this daemon could vouch for a key issued now,
+// CanVouchForNewKeys reports whether this daemon could vouch for a key issued now,
 // provided that it is the key's home under every list it has read.
-func (home *Home) VouchesFresh(now clock.Millis) bool {
-	needed := 2*home.options.ClockMargin + home.options.MaxViewAge + home.options.ListLag
+func (home *Home) CanVouchForNewKeys(now clock.Millis) bool {
+	needed := 2*home.options.ClockMargin + home.options.MaxListAge + home.options.ListLag
 	eras := home.history.periods
-	return len(eras) > 0 && eras[0].since <= now-needed && now-home.history.readAt <= home.options.MaxViewAge
+	return len(eras) > 0 && eras[0].since <= now-needed && now-home.history.readAt <= home.options.MaxListAge
 }
 
-// ListRead applies a VM list that was read. If the roster changed, records are copied
+// UpdateVMList applies a VM list that was read. If the roster changed, records are copied
 // again to where they may now belong, and unfinished attempts granted to entries
 // that are no longer listed end as unknown.
-func (home *Home) ListRead(now clock.Millis, view *members.View) []effect.Effect {
+func (home *Home) UpdateVMList(now clock.Millis, view *members.View) []effect.Effect {
 	before := home.history.latest()
 	changed := home.history.update(view)
-	home.history.prune(now - home.options.Retention - home.options.MaxViewAge - home.options.ListLag)
+	home.history.prune(now - home.options.Retention - home.options.MaxListAge - home.options.ListLag)
 	if !changed || before == nil {
 		return home.takeEffects()
 	}
--- a/internal/decide/loads/broker.go
+++ b/internal/decide/loads/broker.go
@@ -24,25 +24,25 @@
 	// Lease is the duration of a lease. When it ends, the broker grants another load
 	// even if the lease was not returned.
 	Lease clock.Millis
-	// Parallel is the maximum number of leases at a time.
-	Parallel int
-	// Span is the assumed duration of a load. The mean of the measured durations
+	// MaxParallel is the maximum number of leases at a time.
+	MaxParallel int
+	// LoadDuration is the assumed duration of a load. The mean of the measured durations
 	// starts from it.
-	Span clock.Millis
+	LoadDuration clock.Millis
 	// Interval is the minimum time between two grants. It limits the broker to its
 	// region's share of a store that several regions load from. It is 0 if only this
 	// region uses the store.
 	Interval clock.Millis
-	// Margin is the minimum time between the end of a load and its deadline.
-	Margin clock.Millis
-	// Silence is the time without a reply after which a daemon takes the broker as
+	// DeadlineMargin is the minimum time between the end of a load and its deadline.
+	DeadlineMargin clock.Millis
+	// BrokerTimeout is the time without a reply after which a daemon takes the broker as
 	// unreachable and loads at its own share of the store's rate.
-	Silence clock.Millis
-	// Floor is the number of urgent loads in a row after which a routine load is
+	BrokerTimeout clock.Millis
+	// MaxUrgentInRow is the number of urgent loads in a row after which a routine load is
 	// granted next, unless that would make an urgent one late.
-	Floor int
-	// Patient disables refusals. It is a baseline that replays compare with.
-	Patient bool
+	MaxUrgentInRow int
+	// NeverRefuse disables refusals. It is a baseline that replays compare with.
+	NeverRefuse bool
 	// ArrivalOrder grants loads in order of arrival and ignores class and deadline. It
 	// is a baseline that replays compare with.
 	ArrivalOrder bool
@@ -51,8 +51,8 @@
 // DefaultOptions returns the limits that apply if the settings do not set any.
 func DefaultOptions() Options {
 	return Options{
-		Lease: 5 * clock.Second, Parallel: 1, Span: 500 * clock.Millisecond,
-		Margin: 100 * clock.Millisecond, Silence: 2 * clock.Second, Floor: 7,
+		Lease: 5 * clock.Second, MaxParallel: 1, LoadDuration: 500 * clock.Millisecond,
+		DeadlineMargin: 100 * clock.Millisecond, BrokerTimeout: 2 * clock.Second, MaxUrgentInRow: 7,
 	}
 }
 
@@ -98,12 +98,12 @@
 
 // New returns the broker of a weight store.
 func New(options Options) *Broker {
-	return &Broker{options: options, leases: map[loadKey]lease{}, meanDuration: float64(options.Span)}
+	return &Broker{options: options, leases: map[loadKey]lease{}, meanDuration: float64(options.LoadDuration)}
 }
 
-// Ask adds, replaces or withdraws a waiting load. Every request except a withdrawal is
+// Request adds, replaces or withdraws a waiting load. Every request except a withdrawal is
 // answered with at least a decision.
-func (broker *Broker) Ask(now clock.Millis, from ident.DaemonID, request message.LoadRequest) []Reply {
+func (broker *Broker) Request(now clock.Millis, from ident.DaemonID, request message.LoadRequest) []Reply {
 	key := loadKey{engine: request.Engine, adapter: request.Adapter}
 	if at := broker.indexOf(key); at >= 0 {
 		broker.waiting = slices.Delete(broker.waiting, at, at+1)
@@ -145,8 +145,8 @@
 	broker.waiting = slices.Insert(broker.waiting, at, added)
 }
 
-// Done ends a returned lease and adds the duration of its load to the mean.
-func (broker *Broker) Done(now clock.Millis, done message.LoadDone) []Reply {
+// ReturnLease ends a returned lease and adds the duration of its load to the mean.
+func (broker *Broker) ReturnLease(now clock.Millis, done message.LoadDone) []Reply {
 	key := loadKey{engine: done.Engine, adapter: done.Adapter}
 	if lease, known := broker.leases[key]; known {
 		delete(broker.leases, key)
@@ -183,7 +183,7 @@
 // nextStart returns the time at which the next load is expected to be able to start.
 func (broker *Broker) nextStart(now clock.Millis) clock.Millis {
 	now = max(now, broker.nextGrantAt)
-	if len(broker.leases) < broker.options.Parallel {
+	if len(broker.leases) < broker.options.MaxParallel {
 		return now
 	}
 	firstEnd := clock.Millis(0)
@@ -199,7 +199,7 @@
 // grant grants waiting loads while leases are free, and appends the grants to the
 // replies.
 func (broker *Broker) grant(now clock.Millis, replies []Reply) []Reply {
-	for len(broker.waiting) > 0 && len(broker.leases) < broker.options.Parallel && now >= broker.nextGrantAt {
+	for len(broker.waiting) > 0 && len(broker.leases) < broker.options.MaxParallel && now >= broker.nextGrantAt {
 		broker.nextGrantAt = now + broker.options.Interval
 		at := broker.nextIndex(now)
 		next := broker.waiting[at]
--- a/internal/decide/loads/broker_test.go
+++ b/internal/decide/loads/broker_test.go
@@ -44,7 +44,7 @@
 func (store *store) request(request message.LoadRequest) {
 	store.deadlines[request.Adapter.Name] = store.now + request.Budget
 	delete(store.refused, request.Adapter.Name)
-	store.handle(store.broker.Ask(store.now, "daemon", request))
+	store.handle(store.broker.Request(store.now, "daemon", request))
 }
 
 func (store *store) handle(replies []loads.Reply) {
@@ -73,7 +73,7 @@
 		store.now = store.endsAt
 		done := message.LoadDone{Store: "weights", Engine: "engine", Adapter: ident.Adapter{Name: store.loading, Version: "1"}}
 		store.loading = ""
-		store.handle(store.broker.Done(store.now, done))
+		store.handle(store.broker.ReturnLease(store.now, done))
 	}
 	store.now = until
 	store.handle(store.broker.Tick(store.now))
@@ -84,7 +84,7 @@
 func TestEveryLoadIsGrantedInTimeOrRefused(t *testing.T) {
 	nodetest.CheckHistories(t, 200, func(t *rapid.T) {
 		options := loads.DefaultOptions()
-		options.Floor = rapid.IntRange(0, 5).Draw(t, "floor")
+		options.MaxUrgentInRow = rapid.IntRange(0, 5).Draw(t, "floor")
 		store := newStore(t, options)
 		for i := range rapid.IntRange(1, 60).Draw(t, "asks") {
 			class := config.Class(rapid.IntRange(0, 1).Draw(t, "class"))
@@ -123,7 +123,7 @@
 func TestFloorYieldsToUrgentDeadlines(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
 	for i := range 20 {
-		store.request(requestOf(i, config.Urgent, 20*loadDuration+loads.DefaultOptions().Margin, 1))
+		store.request(requestOf(i, config.Urgent, 20*loadDuration+loads.DefaultOptions().DeadlineMargin, 1))
 	}
 	store.request(requestOf(100, config.Routine, 5*clock.Second, 1))
 	store.runUntil(store.now + 20*clock.Second)
@@ -144,8 +144,8 @@
 func TestLeaseExpires(t *testing.T) {
 	options := loads.DefaultOptions()
 	broker := loads.New(options)
-	require.Len(t, broker.Ask(0, "daemon", requestOf(0, config.Routine, clock.Minute, 1)), 2)
-	broker.Ask(0, "daemon", requestOf(1, config.Routine, clock.Minute, 1))
+	require.Len(t, broker.Request(0, "daemon", requestOf(0, config.Routine, clock.Minute, 1)), 2)
+	broker.Request(0, "daemon", requestOf(1, config.Routine, clock.Minute, 1))
 	require.Empty(t, broker.Tick(options.Lease-1))
 	granted := broker.Tick(options.Lease)
 	require.Len(t, granted, 1)
@@ -158,7 +158,7 @@
 	store.request(requestOf(1, config.Routine, clock.Minute, 1))
 	withdrawn := requestOf(1, config.Routine, 0, 0)
 	withdrawn.Withdraw = true
-	store.handle(store.broker.Ask(store.now, "daemon", withdrawn))
+	store.handle(store.broker.Request(store.now, "daemon", withdrawn))
 	store.runUntil(store.now + clock.Minute)
 	require.Equal(t, []string{"0"}, store.order)
 }
--- a/internal/decide/loads/schedule.go
+++ b/internal/decide/loads/schedule.go
@@ -8,7 +8,7 @@
 
 // refuseInfeasible refuses waiting loads until the schedule of the others is feasible.
 func (broker *Broker) refuseInfeasible(now clock.Millis) []Reply {
-	if broker.options.Patient || broker.options.ArrivalOrder {
+	if broker.options.NeverRefuse || broker.options.ArrivalOrder {
 		return nil
 	}
 	var replies []Reply
@@ -26,7 +26,7 @@
 
 // firstLate returns the index of the first load that would end too late, or -1.
 func (broker *Broker) firstLate(now clock.Millis) int {
-	expectedEnd := float64(broker.nextStart(now) + broker.options.Margin)
+	expectedEnd := float64(broker.nextStart(now) + broker.options.DeadlineMargin)
 	for i := range broker.waiting {
 		expectedEnd += broker.meanInterval()
 		if clock.Millis(expectedEnd) > broker.waiting[i].deadline {
@@ -72,7 +72,7 @@
 	if broker.options.ArrivalOrder {
 		return 0
 	}
-	if routine := broker.firstOfClass(config.Routine); routine >= 0 && broker.consecutiveUrgent >= broker.options.Floor &&
+	if routine := broker.firstOfClass(config.Routine); routine >= 0 && broker.consecutiveUrgent >= broker.options.MaxUrgentInRow &&
 		broker.feasibleAfter(now, routine) {
 		return routine
 	}
@@ -92,7 +92,7 @@
 // feasibleAfter reports whether the loads ahead of the given one in the schedule
 // would still end in time if that one were granted first.
 func (broker *Broker) feasibleAfter(now clock.Millis, first int) bool {
-	expectedEnd := float64(broker.nextStart(now)+broker.options.Margin) + broker.meanInterval()
+	expectedEnd := float64(broker.nextStart(now)+broker.options.DeadlineMargin) + broker.meanInterval()
 	for i := range first {
 		expectedEnd += broker.meanInterval()
 		if clock.Millis(expectedEnd) > broker.waiting[i].deadline {
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -41,8 +41,8 @@
 	return Outcome{Kind: NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// Lost returns the outcome Unknown with a reason.
-func Lost(reason Reason) Outcome {
+// MayHaveRun returns the outcome Unknown with a reason.
+func MayHaveRun(reason Reason) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason}
 }
 
@@ -62,8 +62,8 @@
 	Chosen Verdict = "Chosen"
 	// RankedLower means that the engine could have run the request, but another one
 	// ranked higher.
-	RankedLower Verdict = "RankedLower"
-	EngineAway  Verdict = "EngineLeaving"
+	RankedLower   Verdict = "RankedLower"
+	EngineLeaving Verdict = "EngineLeaving"
 	// EngineSilent means that the newest state of the engine was too old to rely on.
 	EngineSilent Verdict = "EngineSilent"
 	OwnerUnknown Verdict = "OwnerUnknown"
--- a/internal/decide/rollout/fetch.go
+++ b/internal/decide/rollout/fetch.go
@@ -207,15 +207,15 @@
 	rollout.auditRefusal(candidate.mark, cause)
 }
 
-// PartRead handles the result of reading a part from the configuration service.
-func (rollout *Rollout) PartRead(now clock.Millis, name string, body []byte, failed bool) []effect.Effect {
+// HandlePartRead handles the result of reading a part from the configuration service.
+func (rollout *Rollout) HandlePartRead(now clock.Millis, name string, body []byte, failed bool) []effect.Effect {
 	rollout.now = now
 	rollout.partArrived(name, body, failed)
 	return rollout.takeEffects()
 }
 
-// Part handles a part, or the manifest, sent by another daemon.
-func (rollout *Rollout) Part(now clock.Millis, part message.ConfigPart) []effect.Effect {
+// HandlePart handles a part, or the manifest, sent by another daemon.
+func (rollout *Rollout) HandlePart(now clock.Millis, part message.ConfigPart) []effect.Effect {
 	rollout.now = now
 	current := rollout.fetching
 	if current != nil && current.candidate.mark == part.Mark {
@@ -271,9 +271,9 @@
 	return false
 }
 
-// Assembled handles the result of an AssembleConfig effect. If the snapshot is nil,
+// HandleAssembled handles the result of an AssembleConfig effect. If the snapshot is nil,
 // the candidate is refused with the given cause.
-func (rollout *Rollout) Assembled(now clock.Millis, mark config.Mark, snapshot *config.Snapshot, cause string) []effect.Effect {
+func (rollout *Rollout) HandleAssembled(now clock.Millis, mark config.Mark, snapshot *config.Snapshot, cause string) []effect.Effect {
 	rollout.now = now
 	current := rollout.fetching
 	if current == nil || current.candidate.mark != mark || !current.assembling {
--- a/internal/decide/rollout/peers.go
+++ b/internal/decide/rollout/peers.go
@@ -48,11 +48,11 @@
 		return false
 	}
 	return peers.offeredConfig || len(peers.offersFrom) >= min(maxInquiries, len(peers.all)) ||
-		now-peers.knownAt >= options.InquirySpan
+		now-peers.knownAt >= options.InquiryTimeout
 }
 
-// Peers applies a VM list that was read.
-func (rollout *Rollout) Peers(now clock.Millis, view *members.View, dataCentre, region string) []effect.Effect {
+// UpdateVMList applies a VM list that was read.
+func (rollout *Rollout) UpdateVMList(now clock.Millis, view *members.View, dataCentre, region string) []effect.Effect {
 	rollout.now = now
 	sameDataCentre := view.Daemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
 	order := ownership.Rank("configuration watch", sameDataCentre)
@@ -67,17 +67,17 @@
 	}
 	peers.sameDataCentre = rollout.withoutSelf(sameDataCentre)
 	peers.region = rollout.withoutSelf(view.Daemons(func(vm *members.VM) bool { return vm.Region == region }))
-	peers.all = append(slices.Clone(peers.region), Contacts(view, rollout.self, region)...)
+	peers.all = append(slices.Clone(peers.region), CrossRegionPeers(view, rollout.self, region)...)
 	rollout.offerPeriodically()
 	rollout.callIfDue()
 	return rollout.takeEffects()
 }
 
-// Contacts returns the daemons of other regions to which a daemon keeps connections, so
+// CrossRegionPeers returns the daemons of other regions to which a daemon keeps connections, so
 // that configurations spread between regions without the configuration service. There
 // is one in each region, among the daemons whose names sort after this daemon's: of two
 // daemons, the one whose name sorts first dials.
-func Contacts(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
+func CrossRegionPeers(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
 	later := map[string][]ident.DaemonID{}
 	for _, daemon := range view.Daemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
 		vm, _ := view.Daemon(daemon)
@@ -155,9 +155,9 @@
 	return list[(peers.rotation+peers.rank*7)%len(list)]
 }
 
-// Offered handles an offer from another daemon. It replies to the offer, unless that is
+// HandleOffer handles an offer from another daemon. It replies to the offer, unless that is
 // itself a reply, if the other daemon has no configuration or a lower one.
-func (rollout *Rollout) Offered(now clock.Millis, from ident.DaemonID, offer message.ConfigOffer) []effect.Effect {
+func (rollout *Rollout) HandleOffer(now clock.Millis, from ident.DaemonID, offer message.ConfigOffer) []effect.Effect {
 	rollout.now = now
 	if offer.Contact && slices.Contains(rollout.peers.sameDataCentre, from) {
 		rollout.watch.lastContactAt = now
@@ -188,8 +188,8 @@
 	}
 }
 
-// Fetched answers another daemon's request for a part or the manifest.
-func (rollout *Rollout) Fetched(now clock.Millis, from ident.DaemonID, fetch message.ConfigFetch) []effect.Effect {
+// HandleFetch answers another daemon's request for a part or the manifest.
+func (rollout *Rollout) HandleFetch(now clock.Millis, from ident.DaemonID, fetch message.ConfigFetch) []effect.Effect {
 	rollout.now = now
 	part := message.ConfigPart{Mark: fetch.Mark, Part: fetch.Part}
 	switch {
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -45,9 +45,9 @@
 	OfferInterval clock.Millis
 	// FetchTimeout is the time after which a part is requested from another source.
 	FetchTimeout clock.Millis
-	// InquirySpan is the maximum time for which a new daemon waits for offers of its
+	// InquiryTimeout is the maximum time for which a new daemon waits for offers of its
 	// peers.
-	InquirySpan clock.Millis
+	InquiryTimeout clock.Millis
 }
 
 // DefaultOptions returns the limits that apply if the settings do not set any.
@@ -61,7 +61,7 @@
 		ContactTimeout:   2500 * clock.Millisecond,
 		OfferInterval:    clock.Second,
 		FetchTimeout:     400 * clock.Millisecond,
-		InquirySpan:      clock.Second,
+		InquiryTimeout:   clock.Second,
 	}
 }
 
--- a/internal/decide/rollout/watch.go
+++ b/internal/decide/rollout/watch.go
@@ -86,8 +86,8 @@
 	Cause string
 }
 
-// Watched handles the result of a call to the service.
-func (rollout *Rollout) Watched(now clock.Millis, result WatchResult) []effect.Effect {
+// HandleWatchResult handles the result of a call to the service.
+func (rollout *Rollout) HandleWatchResult(now clock.Millis, result WatchResult) []effect.Effect {
 	rollout.now = now
 	rollout.watch.calling = false
 	if result.Cause != "" {
--- a/internal/serve/explain/explain.go
+++ b/internal/serve/explain/explain.go
@@ -159,15 +159,15 @@
 
 // verdicts explain why an engine was chosen or passed over.
 var verdicts = map[outcome.Verdict]string{
-	outcome.Chosen:       "was chosen",
-	outcome.RankedLower:  "could have run the request, but another ranked higher",
-	outcome.EngineAway:   "was leaving service",
-	outcome.EngineSilent: "had not been heard of recently",
-	outcome.OwnerUnknown: "had no known owner",
-	outcome.Quarantined:  "was quarantined",
-	outcome.TriedBefore:  "had failed in an earlier attempt",
-	outcome.LoadsFail:    "had failed to load the adapter",
-	outcome.LoadsAdapter: "was asked to load the adapter",
+	outcome.Chosen:        "was chosen",
+	outcome.RankedLower:   "could have run the request, but another ranked higher",
+	outcome.EngineLeaving: "was leaving service",
+	outcome.EngineSilent:  "had not been heard of recently",
+	outcome.OwnerUnknown:  "had no known owner",
+	outcome.Quarantined:   "was quarantined",
+	outcome.TriedBefore:   "had failed in an earlier attempt",
+	outcome.LoadsFail:     "had failed to load the adapter",
+	outcome.LoadsAdapter:  "was asked to load the adapter",
 }
 
 // home tells who kept the record of the idempotency key.
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -61,16 +61,16 @@
 		RetryInterval: settings.RetryIntervalMillis, MaxRetryInterval: settings.MaxRetryIntervalMillis,
 		PollInterval: settings.PollIntervalMillis, ContactTimeout: settings.ContactTimeoutMillis,
 		OfferInterval: settings.OfferIntervalMillis, FetchTimeout: settings.FetchTimeoutMillis,
-		InquirySpan: settings.InquirySpanMillis,
+		InquiryTimeout: settings.InquirySpanMillis,
 	}
 }
 
 func homeOptions(settings settings.Settings) home.Options {
 	return home.Options{
 		Retention: settings.Keys.RetentionMillis, ClockMargin: settings.Keys.ClockMarginMillis,
-		MaxViewAge: settings.Keys.ViewAgeMillis, ListLag: settings.Ownership.ListLagMillis,
-		CopySpan: settings.Keys.CopySpanMillis, CopyInterval: settings.Keys.CopyIntervalMillis,
-		MaxRecords: settings.Keys.MaxRecords, MaxStored: settings.Keys.MaxStoredBytes, MaxAnswer: settings.Keys.MaxAnswerBytes,
+		MaxListAge: settings.Keys.ViewAgeMillis, ListLag: settings.Ownership.ListLagMillis,
+		CopyTimeout: settings.Keys.CopySpanMillis, CopyInterval: settings.Keys.CopyIntervalMillis,
+		MaxRecords: settings.Keys.MaxRecords, MaxStoredBytes: settings.Keys.MaxStoredBytes, MaxAnswerBytes: settings.Keys.MaxAnswerBytes,
 	}
 }
 
@@ -103,12 +103,12 @@
 	options.Owner.LoadRequestInterval = settings.Loads.AskIntervalMillis
 	options.Owner.YieldDelay = settings.Queue.RoomWaitMillis
 	options.Owner.MaxUrgentInRow = settings.Queue.RoutineFloor
-	options.Loads.Span = settings.Loads.SpanMillis
-	options.Loads.Margin = settings.Loads.MarginMillis
-	options.Loads.Silence = settings.Loads.BrokerSilenceMillis
-	options.Loads.Floor = settings.Loads.RoutineFloor
+	options.Loads.LoadDuration = settings.Loads.SpanMillis
+	options.Loads.DeadlineMargin = settings.Loads.MarginMillis
+	options.Loads.BrokerTimeout = settings.Loads.BrokerSilenceMillis
+	options.Loads.MaxUrgentInRow = settings.Loads.RoutineFloor
 	options.Loads.Lease = settings.Loads.LeaseMillis
-	options.Loads.Parallel = settings.Loads.Parallel
+	options.Loads.MaxParallel = settings.Loads.Parallel
 	options.Home = homeOptions(settings)
 	options.Weights.LoadCost = settings.Placement.LoadCost
 	options.Weights.SpareCost = settings.Placement.SpareCost
