--- a/internal/serve/callers/answer.go
+++ b/internal/serve/callers/answer.go
@@ -29,13 +29,13 @@
 }
 
 // answer runs a request and writes its answer as it arrives.
-func (api *API) answer(writer http.ResponseWriter, request *http.Request, arrived node.RequestArrived, ticket *daemon.Ticket) {
-	api.daemon.Begin(arrived, ticket)
+func (api *API) answer(writer http.ResponseWriter, request *http.Request, arrived node.RequestArrived, pending *daemon.PendingRequest) {
+	api.daemon.StartRequest(arrived, pending)
 	response := &response{writer: writer, requestID: arrived.RequestID}
 	for {
-		items, err := ticket.Inbox.Next(request.Context())
+		items, err := pending.Inbox.Next(request.Context())
 		if err != nil {
-			api.daemon.Gone(ticket)
+			api.daemon.CallerDisconnected(pending)
 			return
 		}
 		written := 0
@@ -48,7 +48,7 @@
 			written += len(item.Payload)
 		}
 		response.flush()
-		ticket.Inbox.Consumed(written)
+		pending.Inbox.Consumed(written)
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	record := api.record(arrived, outcome.Refused(reason, 0))
 	record.Detail = found.detail
-	record = api.daemon.Refused(record)
+	record = api.daemon.RecordRefusal(record)
 	if reason == outcome.BodyTooLarge || reason == outcome.BodyTimeout {
 		writer.Header().Set("Connection", "close") // the rest of the body stays unread
 	}
--- a/internal/serve/callers/callers.go
+++ b/internal/serve/callers/callers.go
@@ -67,10 +67,10 @@
 
 // Daemon is what the API needs of a daemon.
 type Daemon interface {
-	Begin(arrived node.RequestArrived, ticket *daemon.Ticket)
-	Gone(ticket *daemon.Ticket)
-	// Refused notes a refusal and returns its record completed.
-	Refused(record outcome.Record) outcome.Record
+	StartRequest(arrived node.RequestArrived, pending *daemon.PendingRequest)
+	CallerDisconnected(pending *daemon.PendingRequest)
+	// RecordRefusal notes a refusal and returns its record completed.
+	RecordRefusal(record outcome.Record) outcome.Record
 	Config() *config.Snapshot
 	Ready() bool
 }
@@ -144,7 +144,7 @@
 		return
 	}
 	arrived.Path = request.URL.Path
-	api.answer(writer, request, arrived, &daemon.Ticket{})
+	api.answer(writer, request, arrived, &daemon.PendingRequest{})
 }
 
 // readModel reads what a model request addresses.
@@ -190,13 +190,13 @@
 		api.refuse(writer, arrived, err)
 		return
 	}
-	ticket := &daemon.Ticket{}
-	ticket.Call.Method = request.Method
-	ticket.Call.Path = target
-	ticket.Call.ContentType = request.Header.Get("Content-Type")
-	ticket.Call.RequestID = arrived.RequestID
-	ticket.Call.Body = arrived.Body
-	api.answer(writer, request, arrived, ticket)
+	pending := &daemon.PendingRequest{}
+	pending.Call.Method = request.Method
+	pending.Call.Path = target
+	pending.Call.ContentType = request.Header.Get("Content-Type")
+	pending.Call.RequestID = arrived.RequestID
+	pending.Call.Body = arrived.Body
+	api.answer(writer, request, arrived, pending)
 }
 
 // serviceTarget returns a service's name and what is asked of it: path and
--- a/internal/serve/callers/callers_test.go
+++ b/internal/serve/callers/callers_test.go
@@ -26,28 +26,28 @@
 
 // fakeDaemon keeps the refusals. It takes in no request unless begin is set.
 type fakeDaemon struct {
-	begin    func(arrived node.RequestArrived, ticket *daemon.Ticket)
+	begin    func(arrived node.RequestArrived, pending *daemon.PendingRequest)
 	t        testing.TB
 	snapshot *config.Snapshot
 	refused  []outcome.Record
 	ready    bool
 }
 
-func (fake *fakeDaemon) Begin(arrived node.RequestArrived, ticket *daemon.Ticket) {
+func (fake *fakeDaemon) StartRequest(arrived node.RequestArrived, pending *daemon.PendingRequest) {
 	if fake.begin != nil {
-		fake.begin(arrived, ticket)
+		fake.begin(arrived, pending)
 		return
 	}
 	fake.t.Errorf("request %s reached the decision machines", arrived.RequestID)
 }
 
-func (fake *fakeDaemon) Gone(*daemon.Ticket) {}
+func (fake *fakeDaemon) CallerDisconnected(*daemon.PendingRequest) {}
 
 func (fake *fakeDaemon) Ready() bool { return fake.ready }
 
 func (fake *fakeDaemon) Config() *config.Snapshot { return fake.snapshot }
 
-func (fake *fakeDaemon) Refused(record outcome.Record) outcome.Record {
+func (fake *fakeDaemon) RecordRefusal(record outcome.Record) outcome.Record {
 	fake.refused = append(fake.refused, record)
 	return record
 }
@@ -206,10 +206,10 @@
 		t.Run(each.path, func(t *testing.T) {
 			fake := newFake(t)
 			var name, target string
-			fake.begin = func(arrived node.RequestArrived, ticket *daemon.Ticket) {
-				name, target = arrived.Service, ticket.Call.Path
-				ticket.Inbox = relay.NewInbox(false)
-				ticket.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
+			fake.begin = func(arrived node.RequestArrived, pending *daemon.PendingRequest) {
+				name, target = arrived.Service, pending.Call.Path
+				pending.Inbox = relay.NewInbox(false)
+				pending.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
 			}
 			handler := callers.New(fake, callers.DefaultOptions(), slog.New(slog.DiscardHandler))
 			request := httptest.NewRequest(http.MethodPost, each.path, nil)
