--- a/internal/serve/callers/callers_test.go
+++ b/internal/serve/callers/callers_test.go
@@ -24,9 +24,10 @@
 
 const apiKey = "clerk-secret"
 
-// fakeDaemon keeps the refusals. It takes in no request unless begin is set.
+// fakeDaemon records refusals. It fails the test when a request is started, unless start
+// is set.
 type fakeDaemon struct {
-	begin    func(arrived node.RequestArrived, pending *daemon.PendingRequest)
+	start    func(arrived node.RequestArrived, pending *daemon.PendingRequest)
 	t        testing.TB
 	snapshot *config.Snapshot
 	refused  []outcome.Record
@@ -34,11 +35,11 @@
 }
 
 func (fake *fakeDaemon) StartRequest(arrived node.RequestArrived, pending *daemon.PendingRequest) {
-	if fake.begin != nil {
-		fake.begin(arrived, pending)
+	if fake.start != nil {
+		fake.start(arrived, pending)
 		return
 	}
-	fake.t.Errorf("request %s reached the decision machines", arrived.RequestID)
+	fake.t.Errorf("request %s was started", arrived.RequestID)
 }
 
 func (fake *fakeDaemon) CallerDisconnected(*daemon.PendingRequest) {}
@@ -61,7 +62,7 @@
 	return &fakeDaemon{t: t, snapshot: snapshot}
 }
 
-// badRequest is a request that must be refused.
+// badRequest is a request that must be refused, with the expected answer.
 type badRequest struct {
 	name    string
 	method  string // POST when empty
@@ -70,7 +71,7 @@
 	body    string
 	status  int
 	reason  outcome.Reason
-	detail  string // contained in the message
+	detail  string // expected within the message
 }
 
 const goodBody = `{"model":"letters@1"}`
@@ -159,7 +160,8 @@
 	}
 }
 
-// TestSlowBodyIsRefused sends the head of a request and never its body.
+// TestSlowBodyIsRefused sends the headers of a request but not its body. The request must be
+// refused after the timeout.
 func TestSlowBodyIsRefused(t *testing.T) {
 	fake := newFake(t)
 	options := callers.DefaultOptions()
@@ -178,8 +180,9 @@
 	require.Equal(t, "BodyTimeout", response.Header.Get(callers.ReasonHeader))
 }
 
-// TestBalancerIsAnswered asks for readiness without an API key.
-func TestBalancerIsAnswered(t *testing.T) {
+// TestHealthChecksNeedNoAPIKey checks health and readiness without an API key, as a load
+// balancer does.
+func TestHealthChecksNeedNoAPIKey(t *testing.T) {
 	fake := newFake(t)
 	handler := callers.New(fake, callers.DefaultOptions(), slog.New(slog.DiscardHandler))
 	status := func(path string) int {
@@ -193,8 +196,9 @@
 	require.Equal(t, http.StatusOK, status(callers.ReadyPath))
 }
 
-// TestServicePathIsPassedOn looks at what a service would be asked for.
-func TestServicePathIsPassedOn(t *testing.T) {
+// TestServicePathIsForwarded checks the path and query that a service is sent, escaped as
+// the caller sent them.
+func TestServicePathIsForwarded(t *testing.T) {
 	cases := []struct{ path, name, target string }{
 		{"/services/records", "records", "/"},
 		{"/services/records/", "records", "/"},
@@ -206,7 +210,7 @@
 		t.Run(each.path, func(t *testing.T) {
 			fake := newFake(t)
 			var name, target string
-			fake.begin = func(arrived node.RequestArrived, pending *daemon.PendingRequest) {
+			fake.start = func(arrived node.RequestArrived, pending *daemon.PendingRequest) {
 				name, target = arrived.Service, pending.Call.Path
 				pending.Inbox = relay.NewInbox(false)
 				pending.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
--- a/internal/serve/callers/take.go
+++ b/internal/serve/callers/request.go
@@ -24,21 +24,23 @@
 	maxAPIKey    = 512 // bytes of an API key
 )
 
-// mistake is what is wrong with a request. It is an error.
-type mistake struct {
+// requestError is the error of an invalid request.
+type requestError struct {
 	reason outcome.Reason
 	detail string
 }
 
-// Error says what is wrong, for the caller.
-func (mistake mistake) Error() string {
-	if mistake.detail == "" {
-		return mistake.reason.Sentence()
+// Error returns the text for the caller: the detail, or the reason's sentence if there is
+// none.
+func (requestError requestError) Error() string {
+	if requestError.detail == "" {
+		return requestError.reason.Sentence()
 	}
-	return mistake.detail
+	return requestError.detail
 }
 
-// newArrival reads the request id, for an answer of any kind.
+// newArrival returns an arrival with the caller's request id, or with a new one if the
+// request has no valid id, so that every answer can carry one.
 func newArrival(request *http.Request) node.RequestArrived {
 	given := request.Header.Get(RequestHeader)
 	if given == "" || !isToken(given, maxRequestID) {
@@ -47,12 +49,12 @@
 	return node.RequestArrived{RequestID: given}
 }
 
-// take reads what all requests have in common. The arrival has a request id even
-// when there is an error.
-func (api *API) take(writer http.ResponseWriter, request *http.Request) (node.RequestArrived, error) {
+// readRequest reads and checks what all kinds of requests have in common. The arrival has
+// a request id even if an error is returned.
+func (api *API) readRequest(writer http.ResponseWriter, request *http.Request) (node.RequestArrived, error) {
 	arrived := newArrival(request)
 	if given := request.Header.Get(RequestHeader); given != "" && given != arrived.RequestID {
-		return arrived, mistake{outcome.BadRequest, RequestHeader + ": want at most 128 printable characters"}
+		return arrived, requestError{outcome.BadRequest, RequestHeader + ": want at most 128 printable characters"}
 	}
 	key, err := api.authorize(request)
 	if err != nil {
@@ -65,28 +67,29 @@
 	if arrived.Body, err = api.readBody(writer, request); err != nil {
 		return arrived, err
 	}
-	return arrived, api.takeKey(request, &arrived)
+	return arrived, api.readIdempotencyKey(request, &arrived)
 }
 
-// authorize returns the API key. An unknown one is refused before the body is
-// read, so that strangers cost little.
+// authorize returns the API key. An unknown key is refused before the body is read, so
+// that unauthorized requests use few resources.
 func (api *API) authorize(request *http.Request) (string, error) {
 	given := request.Header.Values("Authorization")
 	if len(given) == 0 {
-		return "", mistake{outcome.Unauthorized, ""}
+		return "", requestError{outcome.Unauthorized, ""}
 	}
 	key, found := strings.CutPrefix(given[0], "Bearer ")
 	if !found || len(given) > 1 || !isToken(key, maxAPIKey) {
-		return "", mistake{outcome.Unauthorized, "Authorization: want one header, Bearer and an API key"}
+		return "", requestError{outcome.Unauthorized, "Authorization: want one header, Bearer and an API key"}
 	}
 	if snapshot := api.daemon.Config(); snapshot != nil {
 		if _, known := snapshot.CallerByKey(key); !known {
-			return "", mistake{outcome.Unauthorized, ""}
+			return "", requestError{outcome.Unauthorized, ""}
 		}
 	}
 	return key, nil
 }
 
+// notRepeatable reads NotRepeatableHeader.
 func notRepeatable(request *http.Request) (bool, error) {
 	switch request.Header.Get(NotRepeatableHeader) {
 	case "", "false":
@@ -94,14 +97,14 @@
 	case "true":
 		return true, nil
 	}
-	return false, mistake{outcome.BadRequest, NotRepeatableHeader + ": want true or false"}
+	return false, requestError{outcome.BadRequest, NotRepeatableHeader + ": want true or false"}
 }
 
-// readBody reads the body within the limits. The server sets no timeout for it,
-// because that one would also end answers that take longer.
+// readBody reads the body within the limits on size and time. The HTTP server has no read
+// timeout, because it would also end answers that take longer.
 func (api *API) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if encoding := request.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
-		return nil, mistake{outcome.UnsupportedType, "Content-Encoding: want none"}
+		return nil, requestError{outcome.UnsupportedType, "Content-Encoding: want none"}
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(api.options.BodyTimeout.Duration()))
@@ -112,24 +115,24 @@
 	case err == nil:
 		return body, nil
 	case errors.As(err, &tooLarge):
-		return nil, mistake{outcome.BodyTooLarge, "body: want at most " + strconv.FormatInt(tooLarge.Limit, 10) + " bytes"}
+		return nil, requestError{outcome.BodyTooLarge, "body: want at most " + strconv.FormatInt(tooLarge.Limit, 10) + " bytes"}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, mistake{outcome.BodyTimeout, ""}
+		return nil, requestError{outcome.BodyTimeout, ""}
 	}
-	return nil, mistake{outcome.BadRequest, "body: ended early"}
+	return nil, requestError{outcome.BadRequest, "body: ended early"}
 }
 
-// takeKey reads the idempotency key, if there is one.
-func (api *API) takeKey(request *http.Request, arrived *node.RequestArrived) error {
+// readIdempotencyKey reads the idempotency key and its issue time, if there is a key.
+func (api *API) readIdempotencyKey(request *http.Request, arrived *node.RequestArrived) error {
 	given := request.Header.Values(KeyHeader)
 	if len(given) == 0 {
 		return nil
 	}
 	if len(given) > 1 || !isToken(given[0], api.options.MaxKey) {
-		return mistake{outcome.BadRequest, KeyHeader + ": want one header of at most " +
+		return requestError{outcome.BadRequest, KeyHeader + ": want one header of at most " +
 			strconv.Itoa(api.options.MaxKey) + " printable characters"}
 	}
-	issued, err := issuedAt(given[0], request.Header.Get(IssuedHeader))
+	issued, err := keyIssuedAt(given[0], request.Header.Get(IssuedHeader))
 	if err != nil {
 		return err
 	}
@@ -138,26 +141,27 @@
 	return nil
 }
 
-// checkJSON refuses a content type that says something else than JSON.
+// checkJSON refuses a content type other than JSON. A missing one is accepted.
 func checkJSON(request *http.Request) error {
 	given := request.Header.Get("Content-Type")
 	if given == "" {
 		return nil
 	}
 	if media, _, err := mime.ParseMediaType(given); err != nil || media != "application/json" {
-		return mistake{outcome.UnsupportedType, "Content-Type: want application/json"}
+		return requestError{outcome.UnsupportedType, "Content-Type: want application/json"}
 	}
 	return nil
 }
 
-// isToken reports whether a header's value is short enough and has only
-// printable ASCII characters, without spaces.
+// isToken reports whether a header's value is not empty, no longer than limit, and has only
+// printable ASCII characters other than spaces.
 func isToken(text string, limit int) bool {
 	return text != "" && len(text) <= limit &&
 		strings.IndexFunc(text, func(char rune) bool { return char <= ' ' || char >= 0x7f }) < 0
 }
 
-// bodyHash identifies a request's content, with what it is addressed to.
+// bodyHash returns a hash of a request's method, target and body. It detects that an
+// idempotency key is used for another request.
 func bodyHash(request *http.Request, body []byte) string {
 	digest := sha256.New()
 	_, _ = io.WriteString(digest, request.Method+" "+request.URL.RequestURI()+"\n")
@@ -165,19 +169,19 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// issuedAt tells when an idempotency key was made: from the header, or from the
-// key itself when it is a UUID of version 7.
-func issuedAt(key, header string) (clock.Millis, error) {
+// keyIssuedAt returns when an idempotency key was created, from the header or, if there is
+// none, from the key, which must then be a UUID of version 7.
+func keyIssuedAt(key, header string) (clock.Millis, error) {
 	if header != "" {
 		millis, err := strconv.ParseInt(header, 10, 64)
 		if err != nil || millis <= 0 {
-			return 0, mistake{outcome.BadRequest, IssuedHeader + ": want milliseconds since the Unix epoch"}
+			return 0, requestError{outcome.BadRequest, IssuedHeader + ": want milliseconds since the Unix epoch"}
 		}
 		return clock.Millis(millis), nil
 	}
 	parsed, err := uuid.Parse(key)
 	if err != nil || parsed.Version() != 7 {
-		return 0, mistake{outcome.BadRequest, KeyHeader + ": want a UUID of version 7, or " + IssuedHeader + " beside it"}
+		return 0, requestError{outcome.BadRequest, KeyHeader + ": want a UUID of version 7, or " + IssuedHeader + " beside it"}
 	}
 	seconds, nanos := parsed.Time().UnixTime()
 	return clock.Millis(seconds*1000 + nanos/1_000_000), nil
