--- a/internal/serve/daemon/perform.go
+++ b/internal/serve/daemon/perform.go
@@ -120,7 +120,7 @@
 		Stream: start.Stream, Result: result, Chunks: sink.index,
 	}}
 	daemon.streams.removeWindow(start.Stream)
-	if sink.window.Reset() {
+	if sink.window.WasReset() {
 		cancel := message.Cancel{Stream: start.Stream, Engine: start.Engine, Class: start.Request.Class}
 		daemon.enqueue(priorityOf(sink.lane), node.MessageReceived{From: start.Entry, Message: cancel})
 	}
--- a/internal/serve/daemon/sink.go
+++ b/internal/serve/daemon/sink.go
@@ -48,7 +48,7 @@
 
 // Chunk waits until the window allows it and relays a chunk of the answer.
 func (sink *sink) Chunk(ctx context.Context, payload []byte) error {
-	if err := sink.window.Take(ctx, len(payload)); err != nil {
+	if err := sink.window.Acquire(ctx, len(payload)); err != nil {
 		return err
 	}
 	index := sink.index
@@ -78,7 +78,7 @@
 	if !found {
 		return
 	}
-	pending.Inbox.Bind(func(count int) { daemon.sendCredit(next.From, next.Lane, next.Stream, count) })
+	pending.Inbox.SetGrant(func(count int) { daemon.sendCredit(next.From, next.Lane, next.Stream, count) })
 	pending.Inbox.PutHead(next.Status, next.ContentType)
 }
 
