--- a/internal/serve/daemon/watch.go
+++ b/internal/serve/daemon/watch.go
@@ -76,7 +76,7 @@
 func (daemon *Daemon) connectPeers(view *members.View) {
 	region := daemon.options.Node.Region
 	names := view.Present(func(vm *members.VM) bool { return vm.Region == region })
-	names = append(names, rollout.Contacts(view, daemon.Self(), region)...)
+	names = append(names, rollout.CrossRegionPeers(view, daemon.Self(), region)...)
 	var peers []link.Peer
 	for _, name := range names {
 		vm, found := view.Daemon(name)
--- a/internal/serve/explain/explain.go
+++ b/internal/serve/explain/explain.go
@@ -167,15 +167,15 @@
 
 // verdictTexts states for each verdict why an engine was or was not chosen.
 var verdictTexts = map[outcome.Verdict]string{
-	outcome.Chosen:       "was chosen",
-	outcome.RankedLower:  "could have run the request, but another ranked higher",
-	outcome.EngineAway:   "was leaving service",
-	outcome.EngineSilent: "had not been heard of recently",
-	outcome.OwnerUnknown: "had no known owner",
-	outcome.Quarantined:  "was quarantined",
-	outcome.TriedBefore:  "had failed in an earlier attempt",
-	outcome.LoadsFail:    "had failed to load the adapter",
-	outcome.LoadsAdapter: "was asked to load the adapter",
+	outcome.Chosen:        "was chosen",
+	outcome.RankedLower:   "could have run the request, but another ranked higher",
+	outcome.EngineLeaving: "was leaving service",
+	outcome.EngineSilent:  "had not been heard of recently",
+	outcome.OwnerUnknown:  "had no known owner",
+	outcome.Quarantined:   "was quarantined",
+	outcome.TriedBefore:   "had failed in an earlier attempt",
+	outcome.LoadsFail:     "had failed to load the adapter",
+	outcome.LoadsAdapter:  "was asked to load the adapter",
 }
 
 // describeHome states which daemon kept the record of the idempotency key.
--- a/internal/serve/explain/explain_test.go
+++ b/internal/serve/explain/explain_test.go
@@ -59,7 +59,7 @@
 
 func TestUnknownIsNotReportedAsNotRun(t *testing.T) {
 	record := refusedRecord()
-	record.Outcome, record.Repeatable = outcome.Lost(outcome.EngineLost), false
+	record.Outcome, record.Repeatable = outcome.MayHaveRun(outcome.EngineLost), false
 	text := explain.Render(record, explain.Member)
 	require.Contains(t, text, "It is not known whether the request ran.")
 	require.NotContains(t, text, "not run anywhere")
@@ -68,7 +68,7 @@
 
 func TestAnswerNotKept(t *testing.T) {
 	record := refusedRecord()
-	record.Outcome, record.Repeatable = outcome.Lost(outcome.AnswerNotKept), false
+	record.Outcome, record.Repeatable = outcome.MayHaveRun(outcome.AnswerNotKept), false
 	text := explain.Render(record, explain.Member)
 	require.Contains(t, text, "The first attempt ran and was answered.")
 	require.NotContains(t, text, "not known whether")
--- a/internal/serve/program/options_test.go
+++ b/internal/serve/program/options_test.go
@@ -32,8 +32,8 @@
 // started, and the policies that replays compare.
 var notSettings = map[string]bool{
 	"Node.StartedAt": true, "Node.Incarnation": true,
-	"Node.Loads.Interval": true, // from the rate of a store that several regions share
-	"Node.Loads.Patient":  true, "Node.Loads.MostWaiters": true, "Node.Loads.ArrivalOrder": true,
+	"Node.Loads.Interval":    true, // from the rate of a store that several regions share
+	"Node.Loads.NeverRefuse": true, "Node.Loads.MostWaiters": true, "Node.Loads.ArrivalOrder": true,
 }
 
 // TestEveryLimitIsASetting changes every setting and looks for options that
