--- a/internal/serve/callers/answer.go
+++ b/internal/serve/callers/answer.go
@@ -100,7 +100,7 @@
 func (response *response) writeHead(final outcome.Outcome) {
 	header := response.writer.Header()
 	header.Set("Content-Type", response.contentType)
-	header.Set(RequestHeader, response.requestID)
+	header.Set(RequestIDHeader, response.requestID)
 	if final.Kind != "" {
 		header.Set(OutcomeHeader, string(final.Kind))
 		header.Set(ReasonHeader, string(final.Reason))
@@ -186,7 +186,7 @@
 func writeError(writer http.ResponseWriter, requestID string, final outcome.Outcome, text string, record *outcome.Record) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(RequestHeader, requestID)
+	header.Set(RequestIDHeader, requestID)
 	header.Set(OutcomeHeader, string(final.Kind))
 	header.Set(ReasonHeader, string(final.Reason))
 	if final.RetryAfter > 0 {
--- a/internal/serve/callers/callers.go
+++ b/internal/serve/callers/callers.go
@@ -26,15 +26,15 @@
 
 // Headers of the callers' API.
 const (
-	// KeyHeader carries the idempotency key of a request.
-	KeyHeader = "Idempotency-Key"
-	// IssuedHeader carries the time at which the key was created, in milliseconds since
+	// IdempotencyKeyHeader carries the idempotency key of a request.
+	IdempotencyKeyHeader = "Idempotency-Key"
+	// IdempotencyIssuedHeader carries the time at which the key was created, in milliseconds since
 	// the Unix epoch. It is not needed if the key is a UUID of version 7.
-	IssuedHeader = "Idempotency-Issued"
+	IdempotencyIssuedHeader = "Idempotency-Issued"
 	// NotRepeatableHeader is true if the request must be treated as not repeatable, and
 	// otherwise false or missing.
 	NotRepeatableHeader = "Teaselmoor-Not-Repeatable"
-	RequestHeader       = "X-Request-Id"
+	RequestIDHeader     = "X-Request-Id"
 	OutcomeHeader       = "Teaselmoor-Outcome"
 	ReasonHeader        = "Teaselmoor-Reason"
 )
@@ -53,17 +53,17 @@
 
 // Options holds limits on the requests of callers.
 type Options struct {
-	// MaxBody is the largest accepted body, in bytes.
-	MaxBody int64
-	// MaxKey is the largest accepted idempotency key, in bytes.
-	MaxKey int
+	// MaxBodyBytes is the largest accepted body, in bytes.
+	MaxBodyBytes int64
+	// MaxKeyBytes is the largest accepted idempotency key, in bytes.
+	MaxKeyBytes int
 	// BodyTimeout is the maximum time to read a body.
 	BodyTimeout clock.Millis
 }
 
 // DefaultOptions returns the limits that apply if the settings do not set any.
 func DefaultOptions() Options {
-	return Options{MaxBody: 4 << 20, MaxKey: 255, BodyTimeout: 30 * clock.Second}
+	return Options{MaxBodyBytes: 4 << 20, MaxKeyBytes: 255, BodyTimeout: 30 * clock.Second}
 }
 
 // Daemon is the part of a daemon that the API uses.
--- a/internal/serve/callers/callers_test.go
+++ b/internal/serve/callers/callers_test.go
@@ -96,11 +96,11 @@
 	{name: "stream is a string", body: `{"model":"a@1","stream":"yes"}`, status: 400, reason: outcome.BadRequest, detail: "stream: a JSON string: want true or false"},
 	{name: "no model", body: `{}`, status: 400, reason: outcome.BadRequest, detail: "adapter@version"},
 	{name: "model without version", body: `{"model":"letters"}`, status: 400, reason: outcome.BadRequest, detail: "adapter@version"},
-	{name: "key without issue time", headers: map[string]string{callers.KeyHeader: "abc"}, status: 400, reason: outcome.BadRequest, detail: "version 7"},
-	{name: "key too long", headers: map[string]string{callers.KeyHeader: strings.Repeat("k", 300)}, status: 400, reason: outcome.BadRequest, detail: "255"},
-	{name: "bad issue time", headers: map[string]string{callers.KeyHeader: "abc", callers.IssuedHeader: "today"}, status: 400, reason: outcome.BadRequest, detail: "Unix epoch"},
+	{name: "key without issue time", headers: map[string]string{callers.IdempotencyKeyHeader: "abc"}, status: 400, reason: outcome.BadRequest, detail: "version 7"},
+	{name: "key too long", headers: map[string]string{callers.IdempotencyKeyHeader: strings.Repeat("k", 300)}, status: 400, reason: outcome.BadRequest, detail: "255"},
+	{name: "bad issue time", headers: map[string]string{callers.IdempotencyKeyHeader: "abc", callers.IdempotencyIssuedHeader: "today"}, status: 400, reason: outcome.BadRequest, detail: "Unix epoch"},
 	{name: "bad repeatable header", headers: map[string]string{callers.NotRepeatableHeader: "maybe"}, status: 400, reason: outcome.BadRequest, detail: "true or false"},
-	{name: "request id too long", headers: map[string]string{callers.RequestHeader: strings.Repeat("r", 200)}, status: 400, reason: outcome.BadRequest, detail: "128"},
+	{name: "request id too long", headers: map[string]string{callers.RequestIDHeader: strings.Repeat("r", 200)}, status: 400, reason: outcome.BadRequest, detail: "128"},
 }
 
 func (bad badRequest) request(t testing.TB, address string) *http.Request {
@@ -132,7 +132,7 @@
 		t.Run(bad.name, func(t *testing.T) {
 			fake := newFake(t)
 			options := callers.DefaultOptions()
-			options.MaxBody = 1024
+			options.MaxBodyBytes = 1024
 			server := httptest.NewServer(callers.New(fake, options, slog.New(slog.DiscardHandler)))
 			defer server.Close()
 			response, err := http.DefaultClient.Do(bad.request(t, server.URL))
@@ -148,14 +148,14 @@
 			require.Equal(t, bad.status, response.StatusCode, "%s", text)
 			require.Equal(t, "NotRun", response.Header.Get(callers.OutcomeHeader))
 			require.Equal(t, string(bad.reason), response.Header.Get(callers.ReasonHeader))
-			require.NotEmpty(t, response.Header.Get(callers.RequestHeader))
+			require.NotEmpty(t, response.Header.Get(callers.RequestIDHeader))
 			require.Equal(t, string(bad.reason), body.Error.Code)
 			require.Contains(t, body.Error.Message, bad.detail)
 			require.NotEmpty(t, body.Error.Message)
 			require.NotContains(t, string(text), apiKey)
 			require.Len(t, fake.refused, 1)
 			require.Equal(t, bad.reason, fake.refused[0].Outcome.Reason)
-			require.Equal(t, response.Header.Get(callers.RequestHeader), body.Record.Request)
+			require.Equal(t, response.Header.Get(callers.RequestIDHeader), body.Record.Request)
 		})
 	}
 }
--- a/internal/serve/callers/models.go
+++ b/internal/serve/callers/models.go
@@ -48,6 +48,6 @@
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	writer.Header().Set(RequestHeader, arrived.RequestID)
+	writer.Header().Set(RequestIDHeader, arrived.RequestID)
 	_ = json.NewEncoder(writer).Encode(list)
 }
--- a/internal/serve/callers/request.go
+++ b/internal/serve/callers/request.go
@@ -42,7 +42,7 @@
 // newArrival returns an arrival with the caller's request id, or with a new one if the
 // request has no valid id, so that every answer can carry one.
 func newArrival(request *http.Request) node.RequestArrived {
-	given := request.Header.Get(RequestHeader)
+	given := request.Header.Get(RequestIDHeader)
 	if given == "" || !isToken(given, maxRequestID) {
 		given = uuid.NewString()
 	}
@@ -53,8 +53,8 @@
 // a request id even if an error is returned.
 func (api *API) readRequest(writer http.ResponseWriter, request *http.Request) (node.RequestArrived, error) {
 	arrived := newArrival(request)
-	if given := request.Header.Get(RequestHeader); given != "" && given != arrived.RequestID {
-		return arrived, requestError{outcome.BadRequest, RequestHeader + ": want at most 128 printable characters"}
+	if given := request.Header.Get(RequestIDHeader); given != "" && given != arrived.RequestID {
+		return arrived, requestError{outcome.BadRequest, RequestIDHeader + ": want at most 128 printable characters"}
 	}
 	key, err := api.authorize(request)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(api.options.BodyTimeout.Duration()))
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, api.options.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, api.options.MaxBodyBytes))
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -124,15 +124,15 @@
 
 // readIdempotencyKey reads the idempotency key and its issue time, if there is a key.
 func (api *API) readIdempotencyKey(request *http.Request, arrived *node.RequestArrived) error {
-	given := request.Header.Values(KeyHeader)
+	given := request.Header.Values(IdempotencyKeyHeader)
 	if len(given) == 0 {
 		return nil
 	}
-	if len(given) > 1 || !isToken(given[0], api.options.MaxKey) {
-		return requestError{outcome.BadRequest, KeyHeader + ": want one header of at most " +
-			strconv.Itoa(api.options.MaxKey) + " printable characters"}
+	if len(given) > 1 || !isToken(given[0], api.options.MaxKeyBytes) {
+		return requestError{outcome.BadRequest, IdempotencyKeyHeader + ": want one header of at most " +
+			strconv.Itoa(api.options.MaxKeyBytes) + " printable characters"}
 	}
-	issued, err := keyIssuedAt(given[0], request.Header.Get(IssuedHeader))
+	issued, err := keyIssuedAt(given[0], request.Header.Get(IdempotencyIssuedHeader))
 	if err != nil {
 		return err
 	}
@@ -175,13 +175,13 @@
 	if header != "" {
 		millis, err := strconv.ParseInt(header, 10, 64)
 		if err != nil || millis <= 0 {
-			return 0, requestError{outcome.BadRequest, IssuedHeader + ": want milliseconds since the Unix epoch"}
+			return 0, requestError{outcome.BadRequest, IdempotencyIssuedHeader + ": want milliseconds since the Unix epoch"}
 		}
 		return clock.Millis(millis), nil
 	}
 	parsed, err := uuid.Parse(key)
 	if err != nil || parsed.Version() != 7 {
-		return 0, requestError{outcome.BadRequest, KeyHeader + ": want a UUID of version 7, or " + IssuedHeader + " beside it"}
+		return 0, requestError{outcome.BadRequest, IdempotencyKeyHeader + ": want a UUID of version 7, or " + IdempotencyIssuedHeader + " beside it"}
 	}
 	seconds, nanos := parsed.Time().UnixTime()
 	return clock.Millis(seconds*1000 + nanos/1_000_000), nil
--- a/internal/serve/command/audit.go
+++ b/internal/serve/command/audit.go
@@ -89,7 +89,7 @@
 
 func readAudit(invocation *cli.Context, address string, filter audit.Filter, wait clock.Millis) (audit.Page, error) {
 	var page audit.Page
-	path := operators.AuditPath + "?" + operators.Query(filter, wait).Encode()
+	path := operators.AuditPath + "?" + operators.AuditQuery(filter, wait).Encode()
 	return page, fetch(invocation.Context, address, path, wait.Duration(), &page)
 }
 
--- a/internal/serve/command/daemon_test.go
+++ b/internal/serve/command/daemon_test.go
@@ -56,7 +56,7 @@
 	var body bytes.Buffer
 	_, err = body.ReadFrom(response.Body)
 	require.NoError(t, err)
-	return response.Header.Get(callers.RequestHeader), body.String()
+	return response.Header.Get(callers.RequestIDHeader), body.String()
 }
 
 // TestDaemonIsRead reads a daemon with each reading command.
--- a/internal/serve/daemon/daemon.go
+++ b/internal/serve/daemon/daemon.go
@@ -52,8 +52,8 @@
 	Workers int
 	// TickInterval is the time between two Tick events.
 	TickInterval clock.Millis
-	// ListInterval is the time between two reads of the VM list.
-	ListInterval clock.Millis
+	// VMListInterval is the time between two reads of the VM list.
+	VMListInterval clock.Millis
 }
 
 // Daemon is a node with everything that it needs to run.
@@ -88,8 +88,8 @@
 	return daemon
 }
 
-// Inner returns the handler that accepts the connections of other daemons.
-func (daemon *Daemon) Inner() http.Handler {
+// PeerHandler returns the handler that accepts the connections of other daemons.
+func (daemon *Daemon) PeerHandler() http.Handler {
 	return daemon.links
 }
 
--- a/internal/serve/daemon/watch.go
+++ b/internal/serve/daemon/watch.go
@@ -38,7 +38,7 @@
 
 // pollVMList reads the VM list at every interval.
 func (daemon *Daemon) pollVMList(ctx context.Context) error {
-	return runEvery(ctx, daemon.options.ListInterval, func() { daemon.readVMList(ctx) })
+	return runEvery(ctx, daemon.options.VMListInterval, func() { daemon.readVMList(ctx) })
 }
 
 // readVMList reads the VM list and queues the result. The age of the list is counted from
--- a/internal/serve/operators/audit.go
+++ b/internal/serve/operators/audit.go
@@ -28,8 +28,8 @@
 	maxLimit = 1000 // events in one answer
 )
 
-// Query returns the query parameters of AuditPath for a filter and a maximum wait.
-func Query(filter audit.Filter, wait clock.Millis) url.Values {
+// AuditQuery returns the query parameters of AuditPath for a filter and a maximum wait.
+func AuditQuery(filter audit.Filter, wait clock.Millis) url.Values {
 	return url.Values{
 		AfterParameter:  {strconv.FormatUint(filter.After, 10)},
 		SinceParameter:  {strconv.FormatInt(int64(filter.Since), 10)},
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -46,7 +46,7 @@
 		Timing: link.Timing{
 			Ping: settings.Peers.PingMillis, Silence: settings.Peers.SilenceMillis, Redial: settings.Peers.RedialMillis,
 		},
-		Callers: callers.Options{MaxBody: settings.Callers.MaxBodyBytes, MaxKey: settings.Callers.MaxKeyBytes, BodyTimeout: settings.Callers.BodyTimeoutMillis},
+		Callers: callers.Options{MaxBodyBytes: settings.Callers.MaxBodyBytes, MaxKeyBytes: settings.Callers.MaxKeyBytes, BodyTimeout: settings.Callers.BodyTimeoutMillis},
 		Audit: audit.Options{
 			Daemon:  ident.DaemonID(settings.Name),
 			Changes: settings.Operators.AuditChanges, Refusals: settings.Operators.AuditRefusals,
--- a/internal/serve/program/program.go
+++ b/internal/serve/program/program.go
@@ -71,18 +71,18 @@
 func daemonOptions(settings settings.Settings, log *slog.Logger, trail *audit.Trail, observer *metrics.Observer) daemon.Options {
 	options := OptionsOf(settings)
 	return daemon.Options{
-		Node:         started(options.Node),
-		Now:          clock.System,
-		Engines:      engine.New(options.Engines),
-		Services:     service.New(options.Services),
-		Platform:     platform.New(settings.ConfigAddress, settings.VMListAddress, settings.Platform.TimeoutMillis),
-		Timing:       options.Timing,
-		Log:          log,
-		Audit:        trail,
-		Observer:     observer,
-		Workers:      settings.Runtime.Workers,
-		TickInterval: settings.Runtime.TickIntervalMillis,
-		ListInterval: settings.Platform.ListIntervalMillis,
+		Node:           started(options.Node),
+		Now:            clock.System,
+		Engines:        engine.New(options.Engines),
+		Services:       service.New(options.Services),
+		Platform:       platform.New(settings.ConfigAddress, settings.VMListAddress, settings.Platform.TimeoutMillis),
+		Timing:         options.Timing,
+		Log:            log,
+		Audit:          trail,
+		Observer:       observer,
+		Workers:        settings.Runtime.Workers,
+		TickInterval:   settings.Runtime.TickIntervalMillis,
+		VMListInterval: settings.Platform.ListIntervalMillis,
 	}
 }
 
@@ -92,7 +92,7 @@
 			address: settings.CallerAddress, handler: callers.New(serving, OptionsOf(settings).Callers, log),
 			maxConnections: settings.Callers.MaxConnections,
 		},
-		{address: settings.InnerAddress, handler: serving.Inner()},
+		{address: settings.InnerAddress, handler: serving.PeerHandler()},
 		{address: settings.OperatorAddress, handler: watching, maxConnections: settings.Operators.MaxConnections},
 	}
 }
