--- a/internal/serve/command/audit.go
+++ b/internal/serve/command/audit.go
@@ -50,7 +50,7 @@
 	ctx, stop := signal.NotifyContext(invocation.Context, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	invocation.Context = ctx
-	err = printStored(invocation, address, &filter)
+	err = printStoredEvents(invocation, address, &filter)
 	if err == nil && invocation.Bool("follow") {
 		err = followAudit(invocation, address, filter)
 	}
@@ -60,9 +60,9 @@
 	return err
 }
 
-// printStored prints the events that the daemon holds in memory, page by page. It
+// printStoredEvents prints the events that the daemon holds in memory, page by page. It
 // sets filter.After to the end of the last page.
-func printStored(invocation *cli.Context, address string, filter *audit.Filter) error {
+func printStoredEvents(invocation *cli.Context, address string, filter *audit.Filter) error {
 	for {
 		page, err := fetchAudit(invocation, address, *filter, 0)
 		if err != nil {
--- a/internal/serve/metrics/gauges.go
+++ b/internal/serve/metrics/gauges.go
@@ -70,22 +70,22 @@
 
 // StatusGauges returns the gauges of a daemon's state and of the engines that it
 // owns.
-func StatusGauges(status node.Status, standing Standing) []Gauge {
+func StatusGauges(status node.Status, runtimeStatus Standing) []Gauge {
 	one := func(family family, value float64) Gauge { return Gauge{family: family, value: value} }
 	gauges := []Gauge{
-		one(ready, boolValue(standing.Ready)),
+		one(ready, boolValue(runtimeStatus.Ready)),
 		one(draining, boolValue(status.Draining)),
 		one(inProgress, float64(status.Requests)),
 		one(keys, float64(status.Keys)),
 		one(configVersion, float64(status.ConfigVersion)),
-		one(configAge, float64(standing.ConfigAge)),
-		one(contactAge, float64(standing.ConfigContactAge)),
+		one(configAge, float64(runtimeStatus.ConfigAge)),
+		one(contactAge, float64(runtimeStatus.ConfigContactAge)),
 		one(listVersion, float64(status.VMListVersion)),
 		one(listAge, float64(status.VMListAge)),
-		one(peers, float64(standing.Peers)),
+		one(peers, float64(runtimeStatus.Peers)),
 		one(ownedEngines, float64(len(status.Owned))),
 		one(stateAge, oldestStateAge(status)),
-		one(linesDropped, float64(standing.LinesDropped)),
+		one(linesDropped, float64(runtimeStatus.LinesDropped)),
 	}
 	return append(gauges, engineGauges(status.Owned)...)
 }
--- a/internal/serve/metrics/observe.go
+++ b/internal/serve/metrics/observe.go
@@ -55,7 +55,7 @@
 // inFlightRequest is a request in progress at its entry.
 type inFlightRequest struct {
 	arrivedAt  clock.Millis
-	answeredAt clock.Millis // begin of the answer, 0 before
+	answeredAt clock.Millis // start of the answer, 0 before
 }
 
 // loadKey identifies an adapter at an engine.
--- a/internal/serve/program/options_test.go
+++ b/internal/serve/program/options_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// collectLeaves stores the values of all fields that are not structs, functions or
-// interfaces in values, by their path.
+// collectLeaves stores the values of all fields and array elements that are not
+// structs, functions or interfaces in values, by their path.
 func collectLeaves(value reflect.Value, path string, values map[string]any) {
 	switch value.Kind() {
 	case reflect.Struct:
