--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -65,7 +65,7 @@
 		status.Owned = append(status.Owned, node.ownerRole.owned[name].owner.State(now))
 	}
 	for view := range node.views.All() {
-		status.Known = append(status.Known, KnownEngine{State: view.State, Age: now - view.HeardAt})
+		status.Known = append(status.Known, KnownEngine{State: view.State, Age: now - view.ConfirmedAt})
 	}
 	return status
 }
@@ -92,7 +92,7 @@
 // the VM list owns no engines or keys and is about to exit.
 func (node *Node) Ready() bool {
 	return node.listedLive() && node.rollout.Ready() && node.config != nil && node.vms != nil && !node.draining && (node.enginesKnown || node.knowsAllEngines()) &&
-		node.home.VouchesFresh(node.now)
+		node.home.CanVouchForNewKeys(node.now)
 }
 
 func (node *Node) listedLive() bool {
--- a/internal/serve/command/audit.go
+++ b/internal/serve/command/audit.go
@@ -92,7 +92,7 @@
 // take that long.
 func fetchAudit(invocation *cli.Context, address string, filter audit.Filter, wait clock.Millis) (audit.Page, error) {
 	var page audit.Page
-	path := operators.AuditPath + "?" + operators.Query(filter, wait).Encode()
+	path := operators.AuditPath + "?" + operators.AuditQuery(filter, wait).Encode()
 	return page, fetch(invocation.Context, address, path, wait.Duration(), &page)
 }
 
--- a/internal/serve/command/daemon_test.go
+++ b/internal/serve/command/daemon_test.go
@@ -58,7 +58,7 @@
 	var body bytes.Buffer
 	_, err = body.ReadFrom(response.Body)
 	require.NoError(t, err)
-	return response.Header.Get(callers.RequestHeader), body.String()
+	return response.Header.Get(callers.RequestIDHeader), body.String()
 }
 
 // TestReadCommands runs the commands that read from a daemon: status, audit and
--- a/internal/serve/program/observe_test.go
+++ b/internal/serve/program/observe_test.go
@@ -65,7 +65,7 @@
 	malformed := post(t, entry, callers.CompletionsPath, "", `{"model":17}`)
 	require.Equal(t, "BadRequest", malformed.reason)
 
-	_, text := fetch(t, entry, operators.AuditPath+"?"+operators.Query(audit.Filter{Kind: effect.RequestRefused}, 0).Encode())
+	_, text := fetch(t, entry, operators.AuditPath+"?"+operators.AuditQuery(audit.Filter{Kind: effect.RequestRefused}, 0).Encode())
 	var page audit.Page
 	require.NoError(t, json.Unmarshal(text, &page))
 	require.Len(t, page.Events, 2)
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -47,7 +47,7 @@
 		Timing: link.Timing{
 			Ping: settings.Peers.PingMillis, Silence: settings.Peers.SilenceMillis, Redial: settings.Peers.RedialMillis,
 		},
-		Callers: callers.Options{MaxBody: settings.Callers.MaxBodyBytes, MaxKey: settings.Callers.MaxKeyBytes, BodyTimeout: settings.Callers.BodyTimeoutMillis},
+		Callers: callers.Options{MaxBodyBytes: settings.Callers.MaxBodyBytes, MaxKeyBytes: settings.Callers.MaxKeyBytes, BodyTimeout: settings.Callers.BodyTimeoutMillis},
 		Audit: audit.Options{
 			Daemon:  ident.DaemonID(settings.Name),
 			Changes: settings.Operators.AuditChanges, Refusals: settings.Operators.AuditRefusals,
@@ -62,24 +62,24 @@
 		RetryInterval: settings.RetryIntervalMillis, MaxRetryInterval: settings.MaxRetryIntervalMillis,
 		PollInterval: settings.PollIntervalMillis, ContactTimeout: settings.ContactTimeoutMillis,
 		OfferInterval: settings.OfferIntervalMillis, FetchTimeout: settings.FetchTimeoutMillis,
-		InquirySpan: settings.InquirySpanMillis,
+		InquiryTimeout: settings.InquirySpanMillis,
 	}
 }
 
 func homeOptions(settings settings.Settings) home.Options {
 	return home.Options{
 		Retention: settings.Keys.RetentionMillis, ClockMargin: settings.Keys.ClockMarginMillis,
-		MaxViewAge: settings.Keys.ViewAgeMillis, ListLag: settings.Ownership.ListLagMillis,
-		CopySpan: settings.Keys.CopySpanMillis, CopyInterval: settings.Keys.CopyIntervalMillis,
-		MaxRecords: settings.Keys.MaxRecords, MaxStored: settings.Keys.MaxStoredBytes, MaxAnswer: settings.Keys.MaxAnswerBytes,
+		MaxListAge: settings.Keys.ViewAgeMillis, ListLag: settings.Ownership.ListLagMillis,
+		CopyTimeout: settings.Keys.CopySpanMillis, CopyInterval: settings.Keys.CopyIntervalMillis,
+		MaxRecords: settings.Keys.MaxRecords, MaxStoredBytes: settings.Keys.MaxStoredBytes, MaxAnswerBytes: settings.Keys.MaxAnswerBytes,
 	}
 }
 
 func ownershipOptions(settings settings.Ownership) ownership.Options {
 	return ownership.Options{
-		ViewAge: settings.ViewAgeMillis, ListLag: settings.ListLagMillis, ClockMargin: settings.ClockMarginMillis,
-		HandoverSpan: settings.HandoverSpanMillis, OrderSpan: settings.OrderSpanMillis,
-		ReportLag: settings.ReportLagMillis, Suspicion: settings.SuspicionMillis, Pause: settings.PauseMillis,
+		MaxListAge: settings.ViewAgeMillis, ListLag: settings.ListLagMillis, ClockMargin: settings.ClockMarginMillis,
+		MaxHandoverAge: settings.HandoverSpanMillis, MaxOrderDelay: settings.OrderSpanMillis,
+		ReportLag: settings.ReportLagMillis, SilenceTimeout: settings.SuspicionMillis, MaxStepGap: settings.PauseMillis,
 	}
 }
 
@@ -101,22 +101,22 @@
 	options.Owner.LoadBackoff = settings.Loads.BackoffMillis
 	options.Owner.LoadTries = settings.Loads.Tries
 	options.Owner.HalfLife = settings.Loads.HalfLifeMillis
-	options.Owner.AskInterval = settings.Loads.AskIntervalMillis
-	options.Owner.RoomWait = settings.Queue.RoomWaitMillis
-	options.Owner.RoutineFloor = settings.Queue.RoutineFloor
-	options.Loads.Span = settings.Loads.SpanMillis
-	options.Loads.Margin = settings.Loads.MarginMillis
-	options.Loads.Silence = settings.Loads.BrokerSilenceMillis
-	options.Loads.Floor = settings.Loads.RoutineFloor
+	options.Owner.LoadRequestInterval = settings.Loads.AskIntervalMillis
+	options.Owner.YieldDelay = settings.Queue.RoomWaitMillis
+	options.Owner.MaxUrgentInRow = settings.Queue.RoutineFloor
+	options.Loads.LoadDuration = settings.Loads.SpanMillis
+	options.Loads.DeadlineMargin = settings.Loads.MarginMillis
+	options.Loads.BrokerTimeout = settings.Loads.BrokerSilenceMillis
+	options.Loads.MaxUrgentInRow = settings.Loads.RoutineFloor
 	options.Loads.Lease = settings.Loads.LeaseMillis
-	options.Loads.Parallel = settings.Loads.Parallel
+	options.Loads.MaxParallel = settings.Loads.Parallel
 	options.Home = homeOptions(settings)
-	options.Weights.Load = settings.Placement.LoadCost
-	options.Weights.Spare = settings.Placement.SpareCost
-	options.Weights.Set = settings.Placement.SetSize
-	options.Weights.Batch = settings.Placement.BatchGain
-	options.Weights.Affinity = settings.Placement.AffinityCost
-	options.Weights.Silence = settings.Placement.SilenceMillis
+	options.Weights.LoadCost = settings.Placement.LoadCost
+	options.Weights.SpareCost = settings.Placement.SpareCost
+	options.Weights.AffinitySetSize = settings.Placement.SetSize
+	options.Weights.BatchGain = settings.Placement.BatchGain
+	options.Weights.AffinityCost = settings.Placement.AffinityCost
+	options.Weights.MaxStateAge = settings.Placement.SilenceMillis
 	return options
 }
 
--- a/internal/serve/program/options_test.go
+++ b/internal/serve/program/options_test.go
@@ -32,8 +32,8 @@
 // and the load policies that only replays vary.
 var notSettings = map[string]bool{
 	"Node.StartedAt": true, "Node.Incarnation": true,
-	"Node.Loads.Interval": true, // derived from the rate of a weight store that several regions share
-	"Node.Loads.Patient":  true, "Node.Loads.MostWaiters": true, "Node.Loads.ArrivalOrder": true,
+	"Node.Loads.Interval":    true, // derived from the rate of a weight store that several regions share
+	"Node.Loads.NeverRefuse": true, "Node.Loads.MostWaiters": true, "Node.Loads.ArrivalOrder": true,
 }
 
 // TestEveryOptionHasASetting changes every setting and checks that every option
--- a/internal/serve/program/path_test.go
+++ b/internal/serve/program/path_test.go
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
 	if key != "" {
-		request.Header.Set(callers.KeyHeader, key)
+		request.Header.Set(callers.IdempotencyKeyHeader, key)
 	}
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
--- a/internal/serve/program/program.go
+++ b/internal/serve/program/program.go
@@ -73,18 +73,18 @@
 func daemonOptions(settings settings.Settings, log *slog.Logger, trail *audit.Trail, observer *metrics.Observer) daemon.Options {
 	options := OptionsFromSettings(settings)
 	return daemon.Options{
-		Node:         withStart(options.Node),
-		Now:          clock.System,
-		Engines:      engine.New(options.Engines),
-		Services:     service.New(options.Services),
-		Platform:     platform.New(settings.ConfigAddress, settings.VMListAddress, settings.Platform.TimeoutMillis),
-		Timing:       options.Timing,
-		Log:          log,
-		Audit:        trail,
-		Observer:     observer,
-		Workers:      settings.Runtime.Workers,
-		TickInterval: settings.Runtime.TickIntervalMillis,
-		ListInterval: settings.Platform.ListIntervalMillis,
+		Node:           withStart(options.Node),
+		Now:            clock.System,
+		Engines:        engine.New(options.Engines),
+		Services:       service.New(options.Services),
+		Platform:       platform.New(settings.ConfigAddress, settings.VMListAddress, settings.Platform.TimeoutMillis),
+		Timing:         options.Timing,
+		Log:            log,
+		Audit:          trail,
+		Observer:       observer,
+		Workers:        settings.Runtime.Workers,
+		TickInterval:   settings.Runtime.TickIntervalMillis,
+		VMListInterval: settings.Platform.ListIntervalMillis,
 	}
 }
 
@@ -95,7 +95,7 @@
 			address: settings.CallerAddress, handler: callers.New(daemon, OptionsFromSettings(settings).Callers, log),
 			maxConnections: settings.Callers.MaxConnections,
 		},
-		{address: settings.InnerAddress, handler: daemon.Inner()},
+		{address: settings.InnerAddress, handler: daemon.PeerHandler()},
 		{address: settings.OperatorAddress, handler: operatorAPI, maxConnections: settings.Operators.MaxConnections},
 	}
 }
