--- a/internal/serve/daemon/daemon.go
+++ b/internal/serve/daemon/daemon.go
@@ -142,7 +142,7 @@
 func (daemon *Daemon) Status() Status {
 	peers := daemon.links.Peers()
 	slices.Sort(peers)
-	now, times := daemon.options.Now(), daemon.options.Observer.Config()
+	now, times := daemon.options.Now(), daemon.options.Observer.ConfigTimes()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return Status{
--- a/internal/serve/metrics/gauges.go
+++ b/internal/serve/metrics/gauges.go
@@ -57,9 +57,9 @@
 	}
 )
 
-// Standing is the part of a daemon's state that its runtime knows and the node's
+// RuntimeStatus is the part of a daemon's state that its runtime knows and the node's
 // status does not contain.
-type Standing struct {
+type RuntimeStatus struct {
 	Ready            bool
 	Peers            int
 	ConfigAge        clock.Millis
@@ -70,7 +70,7 @@
 
 // StatusGauges returns the gauges of a daemon's state and of the engines that it
 // owns.
-func StatusGauges(status node.Status, runtimeStatus Standing) []Gauge {
+func StatusGauges(status node.Status, runtimeStatus RuntimeStatus) []Gauge {
 	one := func(family family, value float64) Gauge { return Gauge{family: family, value: value} }
 	gauges := []Gauge{
 		one(ready, boolValue(runtimeStatus.Ready)),
--- a/internal/serve/metrics/metrics_test.go
+++ b/internal/serve/metrics/metrics_test.go
@@ -73,7 +73,7 @@
 	counters := metrics.New()
 	metrics.NewObserver(counters)
 	status := node.Status{Owned: []message.EngineState{{Engine: "runner-1", Queued: 3}, {Engine: "runner-2"}}, VMListAge: 2 * clock.Second}
-	written := text(t, counters, append(metrics.StatusGauges(status, metrics.Standing{Ready: true, Peers: 6}), metrics.ProcessGauges()...)...)
+	written := text(t, counters, append(metrics.StatusGauges(status, metrics.RuntimeStatus{Ready: true, Peers: 6}), metrics.ProcessGauges()...)...)
 	seen := map[string]bool{}
 	for _, line := range strings.Split(written, "\n") {
 		if strings.HasPrefix(line, "# TYPE ") {
@@ -88,14 +88,14 @@
 
 func TestConfigTimes(t *testing.T) {
 	observer := metrics.NewObserver(metrics.New())
-	require.Zero(t, observer.Config())
+	require.Zero(t, observer.ConfigTimes())
 	observer.Step(10, node.ConfigWatched{Result: rollout.WatchResult{Cause: "refused"}}, nil)
-	require.Zero(t, observer.Config().ContactAt)
+	require.Zero(t, observer.ConfigTimes().ContactAt)
 	observer.Step(20, node.ConfigWatched{}, []effect.Effect{effect.Audit{Kind: effect.ConfigAccepted}})
-	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 20}, observer.Config())
+	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 20}, observer.ConfigTimes())
 	observer.Step(30, node.MessageReceived{Message: message.ConfigOffer{Contact: true}}, nil)
 	observer.Step(40, node.MessageReceived{Message: message.ConfigOffer{}}, nil)
-	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 30}, observer.Config())
+	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 30}, observer.ConfigTimes())
 }
 
 // BenchmarkObserver measures the cost of one answered request at its entry.
--- a/internal/serve/metrics/observe.go
+++ b/internal/serve/metrics/observe.go
@@ -45,8 +45,8 @@
 	ContactAt clock.Millis
 }
 
-// Config returns the times of the configuration. A time of 0 means never.
-func (observer *Observer) Config() ConfigTimes {
+// ConfigTimes returns the times of the configuration. A time of 0 means never.
+func (observer *Observer) ConfigTimes() ConfigTimes {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
 	return observer.config
@@ -87,13 +87,13 @@
 	return label{"lane", names[lane]}
 }
 
-// Relayed counts bytes of an answer sent on a lane.
-func (observer *Observer) Relayed(lane message.Lane, bytes int) {
+// CountRelayed counts bytes of an answer sent on a lane.
+func (observer *Observer) CountRelayed(lane message.Lane, bytes int) {
 	observer.relayed[lane].Inc(int64(bytes))
 }
 
-// LateFrame counts a frame that was dropped because its stream had ended or moved.
-func (observer *Observer) LateFrame() {
+// CountLateFrame counts a frame that was dropped because its stream had ended or moved.
+func (observer *Observer) CountLateFrame() {
 	observer.late.Inc(1)
 }
 
@@ -227,8 +227,8 @@
 	observer.metrics.histogram(loadStall, label{"class", start.Request.Class.String()}).record(int64(max(0, loadedAt-since)))
 }
 
-// Refused counts a request that was refused before it reached the node.
-func (observer *Observer) Refused(refusal outcome.Outcome) {
+// CountRefused counts a request that was refused before it reached the node.
+func (observer *Observer) CountRefused(refusal outcome.Outcome) {
 	observer.metrics.counter(requests, label{"class", ""}, label{"outcome", string(refusal.Kind)},
 		label{"reason", string(refusal.Reason)}).Inc(1)
 }
