--- a/internal/control/audit/audit_test.go
+++ b/internal/control/audit/audit_test.go
@@ -23,7 +23,7 @@
 	return outcome.Record{Request: request, At: 5, Outcome: outcome.Refused(reason, 0)}
 }
 
-func TestRefusalsDoNotPushChangesOut(t *testing.T) {
+func TestRefusalsDoNotEvictChanges(t *testing.T) {
 	trail := newTrail(4, 4)
 	trail.Change(effect.Audit{At: 1, Kind: effect.OwnershipClaimed, Object: "runner-1"})
 	for i := range 100 {
@@ -37,11 +37,11 @@
 	require.Equal(t, uint64(101), page.Next)
 }
 
-func TestRecordIsFoundWhileTheRingHoldsIt(t *testing.T) {
+func TestRecordIsFoundUntilEvicted(t *testing.T) {
 	trail := newTrail(4, 2)
 	trail.Refusal(refusal("a", outcome.NoRule))
 	trail.Refusal(refusal("a", outcome.NoEngine))
-	trail.Refusal(refusal("b", outcome.NoRule)) // pushes the first of a out
+	trail.Refusal(refusal("b", outcome.NoRule)) // evicts the first event of a
 	found, ok := trail.Record("a")
 	require.True(t, ok)
 	require.Equal(t, outcome.NoEngine, found.Outcome.Reason)
@@ -78,7 +78,7 @@
 	require.Equal(t, uint64(2), trail.Read(audit.Filter{After: 1, Limit: 1}).Next)
 }
 
-func TestWaitReturnsWithTheNextMatch(t *testing.T) {
+func TestWaitReturnsNextMatch(t *testing.T) {
 	trail := newTrail(8, 8)
 	pages := make(chan audit.Page)
 	go func() { pages <- trail.Wait(t.Context(), audit.Filter{Kind: effect.LoadFailed}) }()
@@ -91,7 +91,8 @@
 	require.Empty(t, trail.Wait(ended, audit.Filter{Kind: effect.PauseDetected}).Events)
 }
 
-// ended is a context at its end: Run writes what waits and returns.
+// ended returns a cancelled context, with which Run writes the queued lines and
+// returns.
 func ended(t *testing.T) context.Context {
 	ctx, end := context.WithCancel(t.Context())
 	end()
@@ -113,8 +114,8 @@
 	require.Equal(t, outcome.QueueFull, line.Record.Outcome.Reason)
 }
 
-// TestFullQueueDropsLinesOnly adds more than the queue holds while nothing is
-// written, as with a collector that stopped reading.
+// TestFullQueueDropsLinesOnly adds more events than the queue holds while no line
+// is written, as if the collector had stopped reading. The events stay in memory.
 func TestFullQueueDropsLinesOnly(t *testing.T) {
 	var out bytes.Buffer
 	trail := audit.New(audit.Options{Changes: 8, Refusals: 8, Pending: 2}, slog.New(slog.NewJSONHandler(&out, nil)))
