--- a/internal/backend/platform/platform_test.go
+++ b/internal/backend/platform/platform_test.go
@@ -14,13 +14,14 @@
 )
 
 // TestVMListIsReadOnlyWhenItChanged reads the list twice, and again after a change.
+// Only the first and the third read must transfer the list.
 func TestVMListIsReadOnlyWhenItChanged(t *testing.T) {
-	stand := standin.New(0)
-	server := httptest.NewServer(stand)
+	platformServer := standin.New(0)
+	server := httptest.NewServer(platformServer)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	client := platform.New(address, address, clock.Second)
-	stand.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Live}})
+	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Live}})
 
 	first, err := client.VMs(t.Context(), "")
 	require.NoError(t, err)
@@ -32,7 +33,7 @@
 	require.False(t, second.Changed)
 	require.Equal(t, first.Tag, second.Tag)
 
-	stand.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Leaving}})
+	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Leaving}})
 	third, err := client.VMs(t.Context(), second.Tag)
 	require.NoError(t, err)
 	require.True(t, third.Changed)
