--- a/internal/control/config/pack.go
+++ b/internal/control/config/pack.go
@@ -140,7 +140,8 @@
 	return document, pieces, nil
 }
 
-// parsePart verifies one part and parses it, unless pieces holds the result.
+// parsePart verifies one part, and parses it unless a part with the same hash was
+// parsed before.
 func (pieces Pieces) parsePart(part ManifestPart, parts map[string][]byte) (Config, error) {
 	body, found := parts[part.Name]
 	if !found {
