--- a/internal/backend/service/service.go
+++ b/internal/backend/service/service.go
@@ -79,7 +79,7 @@
 	case err == nil:
 		return answer, outcome.Done()
 	case sent.Load():
-		return nil, outcome.Lost(outcome.ServiceLost)
+		return nil, outcome.MayHaveRun(outcome.ServiceLost)
 	}
 	return nil, outcome.Refused(outcome.EngineRefused, clock.Second)
 }
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -287,7 +287,7 @@
 	if !heard || update.From == node.options.Self {
 		return
 	}
-	node.homeEffects(node.home.Met(node.now, update.From, update.Incarnation))
+	node.homeEffects(node.home.ObserveIncarnation(node.now, update.From, update.Incarnation))
 	if update.Relay {
 		node.relayUpdate(update)
 	}
--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -92,7 +92,7 @@
 // the VM list owns no engines or keys and is about to exit.
 func (node *Node) Ready() bool {
 	return node.listedLive() && node.rollout.Ready() && node.config != nil && node.vms != nil && !node.draining && (node.enginesKnown || node.knowsAllEngines()) &&
-		node.home.VouchesFresh(node.now)
+		node.home.CanVouchForNewKeys(node.now)
 }
 
 func (node *Node) listedLive() bool {
