--- a/internal/backend/engine/engine.go
+++ b/internal/backend/engine/engine.go
@@ -42,6 +42,6 @@
 	Load(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult
 	// Unload unloads an adapter and waits until the unload has ended.
 	Unload(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult
-	// Report reads the engine's state.
-	Report(ctx context.Context, address string) (owner.Report, error)
+	// ReadState reads the engine's state.
+	ReadState(ctx context.Context, address string) (owner.Report, error)
 }
--- a/internal/backend/engine/http.go
+++ b/internal/backend/engine/http.go
@@ -49,11 +49,11 @@
 
 // StateReport is the body of a state report.
 type StateReport struct {
-	BootID  string        `json:"boot_id"`
-	AgeMs   int64         `json:"age_ms"`
-	Loaded  []string      `json:"loaded"`
-	Running []StateRun    `json:"running"`
-	Steps   StepStatistic `json:"steps"`
+	BootID  string     `json:"boot_id"`
+	AgeMs   int64      `json:"age_ms"`
+	Loaded  []string   `json:"loaded"`
+	Running []StateRun `json:"running"`
+	Steps   StepTotals `json:"steps"`
 }
 
 // StateRun is one unfinished run of a state report.
@@ -62,10 +62,10 @@
 	Model string `json:"model"`
 }
 
-// StepStatistic holds totals over all steps of the engine: their number and the sum
+// StepTotals holds totals over all steps of the engine: their number and the sum
 // of the runs that shared each of them. Capacity is the maximum number of runs in a
 // step.
-type StepStatistic struct {
+type StepTotals struct {
 	Count    uint64 `json:"count"`
 	RunsSum  uint64 `json:"runs_sum"`
 	Capacity int    `json:"capacity"`
@@ -265,8 +265,8 @@
 	_ = response.Body.Close()
 }
 
-// Report reads the engine's state; see Client.
-func (httpClient *HTTPClient) Report(ctx context.Context, address string) (owner.Report, error) {
+// ReadState reads the engine's state; see Client.
+func (httpClient *HTTPClient) ReadState(ctx context.Context, address string) (owner.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, httpClient.options.ReportTimeout.Duration())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+StatePath, nil)
--- a/internal/backend/platform/platform.go
+++ b/internal/backend/platform/platform.go
@@ -110,43 +110,43 @@
 	return client.httpClient.Do(request)
 }
 
-// ListReading is the result of a read of the VM list.
-type ListReading struct {
+// VMListResult is the result of a read of the VM list.
+type VMListResult struct {
 	// List is not set if it has not changed since the read that returned the tag.
 	List    members.List
 	Changed bool
-	// Tag is the entity tag (ETag) of the list, for the next read.
-	Tag string
+	// ETag is the entity tag (ETag) of the list, for the next read.
+	ETag string
 }
 
-// VMs reads the VM list if its entity tag differs from the given tag. With many
+// ReadVMList reads the VM list if its entity tag differs from the given tag. With many
 // VMs the list is far larger than everything else that a daemon reads in a second.
 // An empty tag always reads the list.
-func (client *Client) VMs(ctx context.Context, tag string) (ListReading, error) {
+func (client *Client) ReadVMList(ctx context.Context, tag string) (VMListResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.timeout.Duration())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+client.vmAddress+VMsPath, nil)
 	if err != nil {
-		return ListReading{}, errors.Wrap(err, "read VM list")
+		return VMListResult{}, errors.Wrap(err, "read VM list")
 	}
 	if tag != "" {
 		request.Header.Set("If-None-Match", tag)
 	}
 	response, err := client.httpClient.Do(request)
 	if err != nil {
-		return ListReading{}, errors.Wrap(err, "read VM list")
+		return VMListResult{}, errors.Wrap(err, "read VM list")
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotModified:
-		return ListReading{Tag: tag}, nil
+		return VMListResult{ETag: tag}, nil
 	default:
-		return ListReading{}, errors.Errorf("read VM list: status %d", response.StatusCode)
+		return VMListResult{}, errors.Errorf("read VM list: status %d", response.StatusCode)
 	}
-	reading := ListReading{Changed: true, Tag: response.Header.Get("ETag")}
+	reading := VMListResult{Changed: true, ETag: response.Header.Get("ETag")}
 	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValue)).Decode(&reading.List); err != nil {
-		return ListReading{}, errors.Wrap(err, "decode VM list")
+		return VMListResult{}, errors.Wrap(err, "decode VM list")
 	}
 	return reading, nil
 }
--- a/internal/backend/platform/platform_test.go
+++ b/internal/backend/platform/platform_test.go
@@ -23,18 +23,18 @@
 	client := platform.New(address, address, clock.Second)
 	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Live}})
 
-	first, err := client.VMs(t.Context(), "")
+	first, err := client.ReadVMList(t.Context(), "")
 	require.NoError(t, err)
 	require.True(t, first.Changed)
 	require.Len(t, first.List.VMs, 1)
 
-	second, err := client.VMs(t.Context(), first.Tag)
+	second, err := client.ReadVMList(t.Context(), first.ETag)
 	require.NoError(t, err)
 	require.False(t, second.Changed)
-	require.Equal(t, first.Tag, second.Tag)
+	require.Equal(t, first.ETag, second.ETag)
 
 	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Leaving}})
-	third, err := client.VMs(t.Context(), second.Tag)
+	third, err := client.ReadVMList(t.Context(), second.ETag)
 	require.NoError(t, err)
 	require.True(t, third.Changed)
 	require.Equal(t, members.Leaving, third.List.VMs[0].State)
--- a/internal/control/audit/audit.go
+++ b/internal/control/audit/audit.go
@@ -79,16 +79,16 @@
 	}
 }
 
-// Change records a change that the decision logic reported.
-func (trail *Trail) Change(change effect.Audit) {
+// AddChange records a change that the decision logic reported.
+func (trail *Trail) AddChange(change effect.Audit) {
 	trail.add(Event{
 		At: change.At, Kind: change.Kind, Object: change.Object,
 		Cause: change.Cause, Before: change.Before, After: change.After,
 	})
 }
 
-// Refusal records a request that was refused or failed, with its decision record.
-func (trail *Trail) Refusal(record outcome.Record) {
+// AddRefusal records a request that was refused or failed, with its decision record.
+func (trail *Trail) AddRefusal(record outcome.Record) {
 	trail.add(Event{
 		At: record.At, Kind: effect.RequestRefused, Object: record.Request,
 		Cause: string(record.Outcome.Reason), After: string(record.Outcome.Kind), Record: &record,
@@ -123,9 +123,9 @@
 	trail.latestRefusals[event.Object] = event
 }
 
-// Record returns the decision record of a refused request that is still in
+// FindRecord returns the decision record of a refused request that is still in
 // memory: the latest one if the request id was used more than once.
-func (trail *Trail) Record(request string) (outcome.Record, bool) {
+func (trail *Trail) FindRecord(request string) (outcome.Record, bool) {
 	trail.mutex.Lock()
 	defer trail.mutex.Unlock()
 	event, found := trail.latestRefusals[request]
--- a/internal/control/audit/bench_test.go
+++ b/internal/control/audit/bench_test.go
@@ -17,13 +17,13 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range kept {
-		trail.Refusal(recordOfLargePool(i))
+		trail.AddRefusal(recordOfLargePool(i))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	record := recordOfLargePool(0)
 	for b.Loop() {
-		trail.Refusal(record)
+		trail.AddRefusal(record)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/kept, "B/kept")
 }
--- a/internal/control/config/pack.go
+++ b/internal/control/config/pack.go
@@ -114,17 +114,17 @@
 	return document, err
 }
 
-// Pieces holds the parsed parts of a document, by the hash of their text.
-type Pieces map[string]Config
+// ParsedParts holds the parsed parts of a document, by the hash of their text.
+type ParsedParts map[string]Config
 
 // AssembleFrom is like Assemble, but reuses the parsed parts of an earlier
 // version: parsing takes most of the time of a change of version, and most parts
 // do not change. It also returns the parsed parts, for the next call.
-func AssembleFrom(earlier Pieces, manifest Manifest, parts map[string][]byte) (Config, Pieces, error) {
+func AssembleFrom(earlier ParsedParts, manifest Manifest, parts map[string][]byte) (Config, ParsedParts, error) {
 	if err := manifest.check(); err != nil {
 		return Config{}, nil, errors.Wrap(err, "assemble configuration")
 	}
-	document, pieces := Config{}, Pieces{}
+	document, pieces := Config{}, ParsedParts{}
 	for _, part := range manifest.Parts {
 		fragment, err := earlier.parsePart(part, parts)
 		if err != nil {
@@ -142,7 +142,7 @@
 
 // parsePart verifies one part, and parses it unless a part with the same hash was
 // parsed before.
-func (pieces Pieces) parsePart(part ManifestPart, parts map[string][]byte) (Config, error) {
+func (parsedParts ParsedParts) parsePart(part ManifestPart, parts map[string][]byte) (Config, error) {
 	body, found := parts[part.Name]
 	if !found {
 		return Config{}, errors.Errorf("part %s is missing", part.Name)
@@ -150,7 +150,7 @@
 	if err := part.Verify(body); err != nil {
 		return Config{}, err
 	}
-	if fragment, parsed := pieces[part.SHA256]; parsed {
+	if fragment, parsed := parsedParts[part.SHA256]; parsed {
 		return fragment, nil
 	}
 	fragment, err := parseFragment(body)
--- a/internal/control/config/snapshot.go
+++ b/internal/control/config/snapshot.go
@@ -14,8 +14,8 @@
 // Snapshot is a validated configuration, compiled for lookups. It is immutable.
 type Snapshot struct {
 	Config Config
-	// Pieces holds the parsed parts that the document was assembled from, if any.
-	Pieces           Pieces
+	// ParsedParts holds the parsed parts that the document was assembled from, if any.
+	ParsedParts      ParsedParts
 	rules            []compiledRule
 	callersByKeyHash map[string]*Caller
 	callersByName    map[string]*Caller
--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -69,9 +69,9 @@
 	return view
 }
 
-// Renewed returns a copy of the view with a later read time, for a list that was
+// WithReadAt returns a copy of the view with a later read time, for a list that was
 // read again and had not changed.
-func (view *View) Renewed(readAt clock.Millis) *View {
+func (view *View) WithReadAt(readAt clock.Millis) *View {
 	renewed := *view
 	renewed.ReadAt = readAt
 	return &renewed
@@ -114,15 +114,15 @@
 	return vm, true
 }
 
-// Daemons returns the live daemons that the filter accepts, in order of name.
-func (view *View) Daemons(accept func(*VM) bool) []ident.DaemonID {
-	return view.Present(func(vm *VM) bool { return vm.State == Live && accept(vm) })
+// LiveDaemons returns the live daemons that the filter accepts, in order of name.
+func (view *View) LiveDaemons(accept func(*VM) bool) []ident.DaemonID {
+	return view.ListedDaemons(func(vm *VM) bool { return vm.State == Live && accept(vm) })
 }
 
-// Present returns the listed daemons that the filter accepts, including leaving
+// ListedDaemons returns the listed daemons that the filter accepts, including leaving
 // ones, in order of name. A leaving daemon still needs its connections to finish
 // the requests that it has accepted.
-func (view *View) Present(accept func(*VM) bool) []ident.DaemonID {
+func (view *View) ListedDaemons(accept func(*VM) bool) []ident.DaemonID {
 	var daemons []ident.DaemonID
 	for i := range view.List.VMs {
 		vm := &view.List.VMs[i]
--- a/internal/control/members/peers.go
+++ b/internal/control/members/peers.go
@@ -9,14 +9,14 @@
 type Peer struct {
 	Incarnation   ident.Incarnation
 	ConfigVersion uint64
-	// HeardAt is when the last message was received. SentAt is the time of the
+	// LastContactAt is when the last message was received. SentAt is the time of the
 	// last update that was applied, by the sender's clock.
-	HeardAt clock.Millis
-	SentAt  clock.Millis
+	LastContactAt clock.Millis
+	SentAt        clock.Millis
 	// Leaving is set if the daemon is shutting down.
 	Leaving bool
-	// Lost is set if the connection broke and nothing has been received since.
-	Lost bool
+	// Disconnected is set if the connection broke and nothing has been received since.
+	Disconnected bool
 }
 
 // Peers holds what a daemon knows of the other daemons from their messages. It
@@ -35,22 +35,22 @@
 	return &Peers{peers: map[ident.DaemonID]*Peer{}, listeningSince: listeningSince}
 }
 
-// Relisten starts the measurement of silence anew at the given time. It is called
+// ResetSilence starts the measurement of silence anew at the given time. It is called
 // after a pause of the process or a change of its clock.
-func (peers *Peers) Relisten(now clock.Millis) {
+func (peers *Peers) ResetSilence(now clock.Millis) {
 	peers.listeningSince = now
 }
 
-// Touch records that a message was received from a daemon.
-func (peers *Peers) Touch(now clock.Millis, daemon ident.DaemonID) {
+// RecordContact records that a message was received from a daemon.
+func (peers *Peers) RecordContact(now clock.Millis, daemon ident.DaemonID) {
 	peer := peers.peer(daemon)
-	peer.HeardAt = now
-	peer.Lost = false
+	peer.LastContactAt = now
+	peer.Disconnected = false
 }
 
-// Lost records that the connection to a daemon broke.
-func (peers *Peers) Lost(daemon ident.DaemonID) {
-	peers.peer(daemon).Lost = true
+// MarkDisconnected records that the connection to a daemon broke.
+func (peers *Peers) MarkDisconnected(daemon ident.DaemonID) {
+	peers.peer(daemon).Disconnected = true
 }
 
 // peer returns the entry of a daemon, and adds it if necessary.
@@ -63,23 +63,23 @@
 	return found
 }
 
-// Heard applies an update of a daemon on itself. It reports false and changes
+// ApplyUpdate applies an update of a daemon on itself. It reports false and changes
 // nothing if the update is older than the last one.
-func (peers *Peers) Heard(now clock.Millis, daemon ident.DaemonID, update Peer) bool {
+func (peers *Peers) ApplyUpdate(now clock.Millis, daemon ident.DaemonID, update Peer) bool {
 	known := peers.peer(daemon)
 	if update.Incarnation < known.Incarnation || update.Incarnation == known.Incarnation && update.SentAt < known.SentAt {
 		return false
 	}
-	update.HeardAt = now
-	update.Lost = known.Lost
+	update.LastContactAt = now
+	update.Disconnected = known.Disconnected
 	*known = update
 	return true
 }
 
-// AnyHeard reports whether any message has been received from any daemon.
-func (peers *Peers) AnyHeard() bool {
+// AnyContact reports whether any message has been received from any daemon.
+func (peers *Peers) AnyContact() bool {
 	for _, peer := range peers.peers {
-		if peer.HeardAt > 0 {
+		if peer.LastContactAt > 0 {
 			return true
 		}
 	}
@@ -91,7 +91,7 @@
 func (peers *Peers) Silent(now clock.Millis, daemon ident.DaemonID, timeout clock.Millis) bool {
 	contactAt := peers.listeningSince
 	if known, found := peers.peers[daemon]; found {
-		contactAt = max(contactAt, known.HeardAt)
+		contactAt = max(contactAt, known.LastContactAt)
 	}
 	return now-contactAt > timeout
 }
@@ -104,10 +104,10 @@
 	return found && known.Leaving && now-known.SentAt < maxAge
 }
 
-// Unreachable reports whether the connection to a daemon is known to be broken.
-func (peers *Peers) Unreachable(daemon ident.DaemonID) bool {
+// Disconnected reports whether the connection to a daemon is known to be broken.
+func (peers *Peers) Disconnected(daemon ident.DaemonID) bool {
 	known, found := peers.peers[daemon]
-	return found && known.Lost
+	return found && known.Disconnected
 }
 
 // Peer returns what is known of a daemon.
