--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -15,11 +15,11 @@
 	previousStep := node.ownerRole.lastStepAt
 	node.ownerRole.lastStepAt = node.now
 	gap := node.now - previousStep
-	if previousStep == 0 || gap <= node.options.Ownership.Pause && gap >= -node.options.Ownership.Pause {
+	if previousStep == 0 || gap <= node.options.Ownership.MaxStepGap && gap >= -node.options.Ownership.MaxStepGap {
 		return
 	}
 	node.ownerRole.pauseEndedAt = node.now
-	node.peers.Relisten(node.now)
+	node.peers.ResetSilence(node.now)
 	node.emit(effect.Audit{
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
 		Cause: "two steps were too far apart", Before: versionText(uint64(previousStep)), After: versionText(uint64(node.now)),
@@ -34,7 +34,7 @@
 // last pause, to act on it.
 func (node *Node) vmListFresh() bool {
 	age := node.now - node.vms.ReadAt
-	return age >= 0 && age < node.options.Ownership.ViewAge && node.vms.ReadAt >= node.ownerRole.pauseEndedAt
+	return age >= 0 && age < node.options.Ownership.MaxListAge && node.vms.ReadAt >= node.ownerRole.pauseEndedAt
 }
 
 // mayOrder reports whether this daemon may give orders to an owned engine now. An
@@ -57,7 +57,7 @@
 // setOrderExpiry sets the time after which an order must not be sent. It checks the
 // invariant that only an owner with permission gives orders.
 func (node *Node) setOrderExpiry(owned *ownedEngine, next effect.Effect) effect.Effect {
-	until := node.now + node.options.Ownership.OrderSpan
+	until := node.now + node.options.Ownership.MaxOrderDelay
 	switch next := next.(type) {
 	case effect.StartRun:
 		if next.Resume {
@@ -94,17 +94,17 @@
 		return
 	}
 	node.vms = view
-	node.homeEffects(node.home.ListRead(node.now, view))
+	node.homeEffects(node.home.UpdateVMList(node.now, view))
 	if previous != nil && view.List.Version == previous.List.Version {
 		node.reviseOwnership()
 		return
 	}
 	node.auditMembers(previous, view)
 	node.peers.Keep(func(daemon ident.DaemonID) bool { _, listed := view.Daemon(daemon); return listed })
-	if previous != nil && view.ReadAt-previous.ReadAt > node.options.Ownership.ViewAge {
+	if previous != nil && view.ReadAt-previous.ReadAt > node.options.Ownership.MaxListAge {
 		node.handleVMListGap()
 	}
-	node.configEffects(node.rollout.Peers(node.now, view, node.options.DataCentre, node.options.Region))
+	node.configEffects(node.rollout.UpdateVMList(node.now, view, node.options.DataCentre, node.options.Region))
 	node.groupDaemons()
 	node.rankCandidates()
 }
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -53,7 +53,7 @@
 		return options
 	}
 	if store, known := node.config.Store(name); known {
-		options.Span = clock.Millis(float64(clock.Second) / store.LoadsPerSecond)
+		options.LoadDuration = clock.Millis(float64(clock.Second) / store.LoadsPerSecond)
 		if rate := node.regionRate(store); rate < store.LoadsPerSecond {
 			options.Interval = clock.Millis(float64(clock.Second) / rate)
 		}
@@ -62,11 +62,11 @@
 }
 
 func (node *Node) loadRequested(from ident.DaemonID, request message.LoadRequest) {
-	node.sendReplies(node.broker(request.Store).Ask(node.now, from, request))
+	node.sendReplies(node.broker(request.Store).Request(node.now, from, request))
 }
 
 func (node *Node) loadDone(done message.LoadDone) {
-	node.sendReplies(node.broker(done.Store).Done(node.now, done))
+	node.sendReplies(node.broker(done.Store).ReturnLease(node.now, done))
 }
 
 func (node *Node) loadGrant(grant message.LoadGrant) {
@@ -78,7 +78,7 @@
 		return
 	}
 	node.updatePermission(grant.Engine, owned)
-	node.ownerEffects(owned, owned.owner.Granted(node.now, grant.Adapter))
+	node.ownerEffects(owned, owned.owner.LoadGranted(node.now, grant.Adapter))
 }
 
 // tickFallback starts loads that the store's broker has not answered, at this
@@ -110,7 +110,7 @@
 		if owned.owner.Engine.Store != store {
 			continue
 		}
-		unanswered, since, silent := owned.owner.Unanswered(node.now, node.options.Loads.Silence)
+		unanswered, since, silent := owned.owner.LongestUnanswered(node.now, node.options.Loads.BrokerTimeout)
 		if silent && (!found || since < oldest) {
 			engine, adapter, oldest, found = name, unanswered, since, true
 		}
@@ -121,7 +121,7 @@
 // loadDecided passes the broker's decision to the engine's owner state machine.
 func (node *Node) loadDecided(decision message.LoadDecision) {
 	if owned, known := node.ownerRole.owned[decision.Engine]; known {
-		node.ownerEffects(owned, owned.owner.Judged(node.now, decision))
+		node.ownerEffects(owned, owned.owner.LoadDecided(node.now, decision))
 	}
 }
 
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -66,14 +66,14 @@
 	if node.tenure(name).State() != ownership.Yielding {
 		return
 	}
-	if owned.owner.Ordering() {
+	if owned.owner.UnloadInProgress() {
 		if node.now >= owned.yieldDeadline {
 			node.release(name, "no longer first candidate; an order under way did not end")
 		}
 		return
 	}
 	engine, known := node.config.Engine(name)
-	inTime := node.now <= node.tenure(name).OrdersUntil()+node.options.Ownership.OrderSpan
+	inTime := node.now <= node.tenure(name).OrdersUntil()+node.options.Ownership.MaxOrderDelay
 	if known && (engine.ChecksFencing || inTime) {
 		if successor := node.firstCandidate(engine); successor != "" && successor != node.options.Self {
 			node.handOver(successor, name, owned)
@@ -85,12 +85,12 @@
 func (node *Node) handOver(successor ident.DaemonID, name ident.EngineID, owned *ownedEngine) {
 	node.ownerRole.successors[name] = successor
 	node.send(successor, message.Handover{
-		Engine: name, Fence: owned.owner.Fence, SentAt: node.now, Runs: owned.owner.HandedRuns(),
+		Engine: name, Fence: owned.owner.Fence, SentAt: node.now, Runs: owned.owner.UnfinishedRuns(),
 	})
-	if node.peers.Unreachable(successor) {
+	if node.peers.Disconnected(successor) {
 		return // waiting requests are refused as not run, and their entries place them again
 	}
-	for _, submit := range owned.owner.TakeWaiting(node.now) {
+	for _, submit := range owned.owner.RemoveWaiting(node.now) {
 		node.forwardSubmit(successor, submit.Entry, submit)
 	}
 }
@@ -160,7 +160,7 @@
 	if higherClaim.Fence <= node.ownerRole.claims[higherClaim.Engine].Fence {
 		return
 	}
-	node.ownerRole.claims[higherClaim.Engine] = ownership.Heard{
+	node.ownerRole.claims[higherClaim.Engine] = ownership.EngineClaim{
 		Owner: higherClaim.Owner, Incarnation: higherClaim.Incarnation, Fence: higherClaim.Fence,
 	}
 	node.releaseOutbid(higherClaim.Engine, "a higher claim was heard of")
@@ -184,7 +184,7 @@
 	handover, known := node.ownerRole.receivedHandovers[name]
 	age := node.now - handover.SentAt
 	margin := node.options.Ownership.ClockMargin
-	fresh := known && age <= node.options.Ownership.HandoverSpan && age >= -margin
+	fresh := known && age <= node.options.Ownership.MaxHandoverAge && age >= -margin
 	if known && !fresh {
 		delete(node.ownerRole.receivedHandovers, name)
 	}
@@ -210,7 +210,7 @@
 	earlySubmits := node.ownerRole.earlySubmits
 	node.ownerRole.earlySubmits = nil
 	for _, early := range earlySubmits {
-		if node.now-early.receivedAt > node.options.Ownership.HandoverSpan {
+		if node.now-early.receivedAt > node.options.Ownership.MaxHandoverAge {
 			entry := early.submit.Entry
 			early.submit.Entry = ""
 			node.forwardOrRefuseSubmit(entry, early.submit)
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -107,7 +107,7 @@
 // silenceTimeout returns how long a daemon may be silent before it is skipped as a
 // candidate.
 func (node *Node) silenceTimeout(daemon ident.DaemonID) clock.Millis {
-	timeout := node.options.Ownership.Suspicion
+	timeout := node.options.Ownership.SilenceTimeout
 	if vm, known := node.vms.Daemon(daemon); known && vm.DataCentre != node.options.DataCentre {
 		timeout += 2 * max(heartbeatInterval, node.remoteInterval())
 	}
@@ -211,12 +211,12 @@
 // engineDelta returns the state of an owned engine; it is empty before the engine's
 // first report.
 func (node *Node) engineDelta(owner *owner.Owner) message.EngineDelta {
-	if !owner.Known() {
+	if !owner.HasReport() {
 		return message.EngineDelta{}
 	}
 	state := owner.State(node.now)
 	delta := message.EngineDelta{
-		Engine: state.Engine, Fence: state.Fence, Version: state.Version, Residency: owner.Residency(state.Resident, state.Wanted),
+		Engine: state.Engine, Fence: state.Fence, Version: state.Version, Residency: owner.ResidencyVersion(state.Resident, state.Wanted),
 		Queued: state.Queued, Running: state.Running, LoadsWaiting: state.LoadsWaiting, ReportAge: state.ReportAge,
 		Spare:  state.Spare,
 		Detail: &message.EngineDetail{Resident: state.Resident, Wanted: state.Wanted, Boot: state.Boot},
@@ -250,7 +250,7 @@
 func (node *Node) relays() []ident.DaemonID {
 	var relays []ident.DaemonID
 	for _, centre := range slices.Sorted(maps.Keys(node.remoteNames)) {
-		reachable := slices.DeleteFunc(slices.Clone(node.remoteNames[centre]), node.peers.Unreachable)
+		reachable := slices.DeleteFunc(slices.Clone(node.remoteNames[centre]), node.peers.Disconnected)
 		if relay, found := ownership.First("relay/"+string(node.options.Self), reachable); found {
 			relays = append(relays, relay)
 		}
@@ -262,7 +262,7 @@
 // list.
 func (node *Node) groupDaemons() {
 	node.regionNames = node.regionDaemons()
-	node.localNames = node.vms.Present(func(vm *members.VM) bool {
+	node.localNames = node.vms.ListedDaemons(func(vm *members.VM) bool {
 		return vm.Region == node.options.Region && vm.DataCentre == node.options.DataCentre
 	})
 	node.remoteNames = map[string][]ident.DaemonID{}
@@ -280,14 +280,14 @@
 
 // updateReceived handles another daemon's update.
 func (node *Node) updateReceived(update message.Update) {
-	heard := node.peers.Heard(node.now, update.From, members.Peer{
+	heard := node.peers.ApplyUpdate(node.now, update.From, members.Peer{
 		Incarnation: update.Incarnation, ConfigVersion: update.ConfigVersion,
 		SentAt: update.SentAt, Leaving: update.Leaving,
 	})
 	if !heard || update.From == node.options.Self {
 		return
 	}
-	node.homeEffects(node.home.Met(node.now, update.From, update.Incarnation))
+	node.homeEffects(node.home.ObserveIncarnation(node.now, update.From, update.Incarnation))
 	if update.Relay {
 		node.relayUpdate(update)
 	}
@@ -322,7 +322,7 @@
 	if known && claim.Owner != update.From {
 		node.updates.enginesOf(claim.Owner).remove(delta.Engine)
 	}
-	node.ownerRole.claims[delta.Engine] = ownership.Heard{Owner: update.From, Incarnation: update.Incarnation, Fence: delta.Fence}
+	node.ownerRole.claims[delta.Engine] = ownership.EngineClaim{Owner: update.From, Incarnation: update.Incarnation, Fence: delta.Fence}
 	node.releaseOutbid(delta.Engine, "a higher claim was heard of")
 	state := message.EngineState{
 		Engine: delta.Engine, Owner: update.From, Fence: delta.Fence, Version: delta.Version,
@@ -364,10 +364,10 @@
 // showed no other changes.
 func (node *Node) confirmViews(engines *peerEngines) {
 	for name := range engines.engines {
-		if view := node.views.View(name); view != nil && view.HeardAt < node.now {
-			view.HeardAt = node.now
+		if view := node.views.View(name); view != nil && view.ConfirmedAt < node.now {
+			view.ConfirmedAt = node.now
 			view.Sent = 0
-			view.Lost = false
+			view.OwnerLost = false
 		}
 	}
 }
@@ -402,8 +402,8 @@
 func (node *Node) refreshOwnViews() {
 	for _, name := range node.ownedInOrder() {
 		owned, view := node.ownerRole.owned[name], node.views.View(name)
-		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.HeardAt >= node.options.MinUpdateInterval
-		if owned.owner.Known() && (due || node.updates.urgent) {
+		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.ConfirmedAt >= node.options.MinUpdateInterval
+		if owned.owner.HasReport() && (due || node.updates.urgent) {
 			node.engineState(owned.owner.State(node.now))
 		}
 	}
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -60,7 +60,7 @@
 		refusal.Owner = claim.Owner
 	}
 	if submit.Resume {
-		refusal.Outcome, refusal.Dispatched = outcome.Lost(outcome.OwnerLost), true
+		refusal.Outcome, refusal.Dispatched = outcome.MayHaveRun(outcome.OwnerLost), true
 	}
 	node.send(from, refusal)
 }
@@ -81,7 +81,7 @@
 func (node *Node) runEnded(event RunEnded) {
 	if owned, known := node.ownerRole.owned[event.Engine]; known {
 		if event.Result.Stream == node.fenceStream(owned) {
-			owned.owner.NumberSeen(node.now + node.options.Ownership.ReportLag)
+			owned.owner.FenceConfirmed(node.now + node.options.Ownership.ReportLag)
 			return
 		}
 		node.updatePermission(event.Engine, owned)
@@ -99,7 +99,7 @@
 // presentFence shows this owner's fencing number to an engine that checks them, by
 // cancelling a run that does not exist.
 func (node *Node) presentFence(name ident.EngineID, owned *ownedEngine) {
-	if owned.owner.NumberUnseen() {
+	if owned.owner.FenceUnconfirmed() {
 		node.emit(effect.CancelRun{Stream: node.fenceStream(owned), Engine: name, Fence: owned.owner.Fence})
 	}
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	node.updatePermission(event.Engine, owned)
-	node.ownerEffects(owned, owned.owner.Loaded(node.now, event.Adapter, event.Failed))
+	node.ownerEffects(owned, owned.owner.LoadEnded(node.now, event.Adapter, event.Failed))
 	node.updates.urgent = true
 	if event.Fenced {
 		node.engineFenced(event.Engine)
@@ -142,7 +142,7 @@
 		return
 	}
 	node.updatePermission(event.Engine, owned)
-	node.ownerEffects(owned, owned.owner.Unloaded(node.now, event.Adapter, event.Failed))
+	node.ownerEffects(owned, owned.owner.UnloadEnded(node.now, event.Adapter, event.Failed))
 	if event.Fenced {
 		node.engineFenced(event.Engine)
 	}
@@ -157,7 +157,7 @@
 	if askedAt == 0 {
 		askedAt = node.now
 	}
-	if !owned.owner.Known() {
+	if !owned.owner.HasReport() {
 		node.updates.urgent = true
 	}
 	owned.reportAskedAt = max(owned.reportAskedAt, askedAt)
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -27,7 +27,7 @@
 	formerlyOwned map[ident.EngineID][]*ownedEngine
 	// claims holds the highest known claim to each engine, including this daemon's
 	// own.
-	claims map[ident.EngineID]ownership.Heard
+	claims map[ident.EngineID]ownership.EngineClaim
 	// receivedHandovers holds handovers that have not led to a claim yet.
 	receivedHandovers map[ident.EngineID]message.Handover
 	// successors holds the daemons that engines were handed over to.
@@ -63,7 +63,7 @@
 		tenures:               map[ident.EngineID]*ownership.Tenure{},
 		owned:                 map[ident.EngineID]*ownedEngine{},
 		formerlyOwned:         map[ident.EngineID][]*ownedEngine{},
-		claims:                map[ident.EngineID]ownership.Heard{},
+		claims:                map[ident.EngineID]ownership.EngineClaim{},
 		receivedHandovers:     map[ident.EngineID]message.Handover{},
 		successors:            map[ident.EngineID]ident.DaemonID{},
 		handoverRequestedAt:   map[ident.EngineID]clock.Millis{},
@@ -164,7 +164,7 @@
 func (node *Node) tenure(name ident.EngineID) *ownership.Tenure {
 	found, known := node.ownerRole.tenures[name]
 	if !known {
-		found = ownership.New(node.options.Ownership, node.options.StartedAt+node.options.Ownership.Suspicion)
+		found = ownership.New(node.options.Ownership, node.options.StartedAt+node.options.Ownership.SilenceTimeout)
 		node.ownerRole.tenures[name] = found
 	}
 	return found
@@ -175,13 +175,13 @@
 	first := node.firstCandidate(engine)
 	handover, handedOver := node.freshHandover(engine.Name)
 	action := tenure.Revise(node.now, ownership.Facts{
-		First:         first == node.options.Self,
-		ChecksFencing: engine.ChecksFencing,
-		Fresh:         engine.ChecksFencing || node.vmListFresh(),
-		Occupied:      node.ownedByLiveDaemon(engine),
-		ListReadAt:    node.vms.ReadAt,
-		Asked:         node.now-node.ownerRole.handoverRequestedAt[engine.Name] < node.options.Ownership.ViewAge,
-		HandedOver:    handedOver,
+		First:             first == node.options.Self,
+		ChecksFencing:     engine.ChecksFencing,
+		ListFresh:         engine.ChecksFencing || node.vmListFresh(),
+		OwnedByLiveDaemon: node.ownedByLiveDaemon(engine),
+		ListReadAt:        node.vms.ReadAt,
+		HandoverRequested: node.now-node.ownerRole.handoverRequestedAt[engine.Name] < node.options.Ownership.MaxListAge,
+		HandedOver:        handedOver,
 	})
 	switch {
 	case action == ownership.Claim:
@@ -197,9 +197,9 @@
 // knows. It skips candidates that reported that they are leaving and, for engines
 // that check fencing numbers, silent ones.
 func (node *Node) firstCandidate(engine *config.Engine) ident.DaemonID {
-	leavingTimeout := node.options.Ownership.ViewAge
+	leavingTimeout := node.options.Ownership.MaxListAge
 	if engine.ChecksFencing {
-		leavingTimeout = 2 * node.options.Ownership.Suspicion // after this time the silence timeout also excludes the daemon
+		leavingTimeout = 2 * node.options.Ownership.SilenceTimeout // after this time the silence timeout also excludes the daemon
 	}
 	fallback := ident.DaemonID("")
 	for _, candidate := range node.ownerRole.candidates[engine.Name] {
@@ -233,7 +233,7 @@
 	fence := ownership.NextFence(node.now, node.options.Self, highest)
 	owned := &ownedEngine{owner: owner.New(node.options.Self, *engine, fence, node.options.Owner)}
 	node.ownerRole.owned[engine.Name] = owned
-	node.ownerRole.claims[engine.Name] = ownership.Heard{
+	node.ownerRole.claims[engine.Name] = ownership.EngineClaim{
 		Owner: node.options.Self, Incarnation: node.options.Incarnation, Fence: fence,
 	}
 	cause := "first candidate by the VM list, after the hold-down"
@@ -241,7 +241,7 @@
 	switch {
 	case handedOver:
 		cause = "handed over by the former owner"
-		settleTime = node.options.Ownership.OrderSpan + node.options.Ownership.ReportLag
+		settleTime = node.options.Ownership.MaxOrderDelay + node.options.Ownership.ReportLag
 	case engine.ChecksFencing:
 		cause = "first candidate that is heard from; the engine checks fencing numbers"
 	}
@@ -249,7 +249,7 @@
 	delete(node.ownerRole.successors, engine.Name)
 	owned.owner.TakeOver(node.now+settleTime, handover.Runs)
 	if engine.ChecksFencing {
-		owned.owner.AwaitNumber()
+		owned.owner.AwaitFence()
 	}
 	node.emit(effect.Audit{
 		At: node.now, Kind: effect.OwnershipClaimed, Object: string(engine.Name),
@@ -274,7 +274,7 @@
 	if !known {
 		return
 	}
-	runs := owned.owner.HandedRuns()
+	runs := owned.owner.UnfinishedRuns()
 	node.tenure(name).Withdraw(node.now, true)
 	if claim := node.ownerRole.claims[name]; claim.Owner != node.options.Self {
 		node.send(claim.Owner, message.Handover{Engine: name, Fence: owned.owner.Fence, SentAt: node.now, Runs: runs})
@@ -316,7 +316,7 @@
 	if node.vms == nil {
 		return nil
 	}
-	return node.vms.Daemons(func(vm *members.VM) bool { return vm.Region == node.options.Region })
+	return node.vms.LiveDaemons(func(vm *members.VM) bool { return vm.Region == node.options.Region })
 }
 
 // ownerEffects emits an owner's effects. Messages without a receiver go to the
--- a/internal/decide/owner/backlog.go
+++ b/internal/decide/owner/backlog.go
@@ -12,61 +12,66 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// backlog holds the waiting requests by what they wait for, so that an event
-// touches only those it may concern.
+// backlog holds the waiting requests, grouped by what they wait for, so that an
+// event processes only the requests that it may affect.
 type backlog struct {
+	// bound limits the number of waiting requests.
 	bound *admission.Bound
-	// ready requests wait only for room in the engine's batch.
+	// ready holds the requests whose adapter is loaded. They wait for room in the
+	// engine's batch.
 	ready admission.Queue[*run]
-	// wants holds the requests that wait for their adapter to be loaded.
-	wants map[ident.Adapter]*want
+	// wanted holds the requests that wait for their adapter to be loaded.
+	wanted map[ident.Adapter]*wantedAdapter
 }
 
 func newBacklog(limits [config.ClassCount]int) backlog {
-	return backlog{bound: admission.NewBound(limits), wants: map[ident.Adapter]*want{}}
+	return backlog{bound: admission.NewBound(limits), wanted: map[ident.Adapter]*wantedAdapter{}}
 }
 
-// want is an adapter that requests wait for and no slot serves.
-type want struct {
+// wantedAdapter is an adapter that requests wait for and that is ready in no slot.
+type wantedAdapter struct {
 	queue admission.Queue[*run]
-	// asked is what the broker was last told of this want; zero when nothing.
-	asked demand
-	// askedAt is when that was.
-	askedAt clock.Millis
-	// silentSince is when the first ask was sent that the broker has not replied
-	// to; zero when it has.
-	silentSince clock.Millis
-	// since is when a load was first sought.
-	since clock.Millis
-	// granted says that its load has begun.
-	granted bool
-}
-
-// demand is what a load of an adapter would serve.
-type demand struct {
+	// requested is the demand in the last load request to the broker; zero if there
+	// is no open request.
+	requested loadDemand
+	// requestedAt is when that request was sent.
+	requestedAt clock.Millis
+	// unansweredSince is when the first load request that the broker has not
+	// answered was sent; zero if it has answered.
+	unansweredSince clock.Millis
+	// wantedSince is when a load was first attempted.
+	wantedSince clock.Millis
+	// loadStarted is set while the adapter is being loaded, or a slot is being
+	// emptied for it.
+	loadStarted bool
+}
+
+// loadDemand describes the requests that a load of an adapter would serve.
+type loadDemand struct {
 	class    config.Class
 	deadline clock.Millis
 	waiters  int
 }
 
-// demand describes the waiting requests: their most urgent class, the earliest
-// deadline in it, and their number.
-func (want *want) demand() demand {
+// demand returns the most urgent class of the waiting requests, the earliest
+// deadline in that class, and the number of all waiting requests.
+func (wantedAdapter *wantedAdapter) demand() loadDemand {
 	for class := range config.ClassCount {
-		if _, deadline, found := want.queue.First(class); found {
-			return demand{class: class, deadline: deadline, waiters: want.queue.Total()}
+		if _, deadline, found := wantedAdapter.queue.First(class); found {
+			return loadDemand{class: class, deadline: deadline, waiters: wantedAdapter.queue.Total()}
 		}
 	}
-	return demand{}
+	return loadDemand{}
 }
 
-// wantsInOrder returns the wanted adapters in a fixed order, so that a replay
-// repeats itself.
-func (backlog *backlog) wantsInOrder() []ident.Adapter {
-	return slices.SortedFunc(maps.Keys(backlog.wants), ident.Adapter.Compare)
+// wantedInOrder returns the wanted adapters in a fixed order, so that replays are
+// deterministic.
+func (backlog *backlog) wantedInOrder() []ident.Adapter {
+	return slices.SortedFunc(maps.Keys(backlog.wanted), ident.Adapter.Compare)
 }
 
-// enqueue lets a request wait for room, or for its adapter.
+// enqueue adds a request to the ready queue if its adapter is ready, or else to
+// the queue of its adapter.
 func (owner *Owner) enqueue(waiting *run) {
 	adapter := waiting.submit.Request.Adapter
 	if at, ready := owner.readySlot(adapter); ready {
@@ -74,89 +79,94 @@
 		owner.backlog.ready.Push(waiting.submit.Request.Class, waiting.deadline, waiting)
 		return
 	}
-	wanted := owner.backlog.wants[adapter]
+	wanted := owner.backlog.wanted[adapter]
 	if wanted == nil {
-		wanted = &want{}
+		wanted = &wantedAdapter{}
 		if at, held := owner.resident[adapter]; held {
-			wanted.granted = owner.slots[at].state == slotLoading
+			wanted.loadStarted = owner.slots[at].state == slotLoading
 		}
-		owner.backlog.wants[adapter] = wanted
+		owner.backlog.wanted[adapter] = wanted
 	}
 	wanted.queue.Push(waiting.submit.Request.Class, waiting.deadline, waiting)
 }
 
-// dequeue takes a waiting request out of its queue.
+// dequeue removes a waiting request from its queue.
 func (owner *Owner) dequeue(waiting *run) {
 	class, adapter := waiting.submit.Request.Class, waiting.submit.Request.Adapter
 	if owner.backlog.ready.Remove(class, waiting.deadline, waiting) {
-		owner.leaveReady(waiting)
+		owner.countOutReady(waiting)
 		return
 	}
-	if wanted := owner.backlog.wants[adapter]; wanted != nil {
+	if wanted := owner.backlog.wanted[adapter]; wanted != nil {
 		wanted.queue.Remove(class, waiting.deadline, waiting)
 	}
 	owner.backlog.bound.Leave(class)
 }
 
-// leaveReady counts a request out that was taken from the ready queue.
-func (owner *Owner) leaveReady(waiting *run) {
+// countOutReady updates the counts after a request was removed from the ready
+// queue.
+func (owner *Owner) countOutReady(waiting *run) {
 	owner.backlog.bound.Leave(waiting.submit.Request.Class)
 	if at, held := owner.resident[waiting.submit.Request.Adapter]; held {
 		owner.slots[at].queued--
 	}
 }
 
-// expire refuses the waiting requests whose deadline has passed.
-func (owner *Owner) expire(now clock.Millis) {
-	passed := outcome.Refused(outcome.DeadlinePassed, 0)
+// refuseExpired refuses waiting requests whose deadline has passed.
+func (owner *Owner) refuseExpired(now clock.Millis) {
+	refusal := outcome.Refused(outcome.DeadlinePassed, 0)
 	owner.backlog.ready.Expire(now, func(waiting *run) {
-		owner.leaveReady(waiting)
-		owner.refuse(waiting, passed)
+		owner.countOutReady(waiting)
+		owner.refuse(waiting, refusal)
 	})
-	for _, adapter := range owner.backlog.wantsInOrder() {
-		owner.backlog.wants[adapter].queue.Expire(now, func(waiting *run) {
+	for _, adapter := range owner.backlog.wantedInOrder() {
+		owner.backlog.wanted[adapter].queue.Expire(now, func(waiting *run) {
 			owner.backlog.bound.Leave(waiting.submit.Request.Class)
-			owner.refuse(waiting, passed)
+			owner.refuse(waiting, refusal)
 		})
 	}
 }
 
-// settle moves requests whose adapter has become ready to the ready queue.
-func (owner *Owner) settle() {
-	for _, adapter := range owner.backlog.wantsInOrder() {
-		owner.settleWant(adapter)
+// moveAllReady moves all requests whose adapter has become ready to the ready
+// queue.
+func (owner *Owner) moveAllReady() {
+	for _, adapter := range owner.backlog.wantedInOrder() {
+		owner.moveReady(adapter)
 	}
 }
 
-func (owner *Owner) settleWant(adapter ident.Adapter) {
-	wanted := owner.backlog.wants[adapter]
+// moveReady moves the requests for an adapter to the ready queue if the adapter
+// has become ready.
+func (owner *Owner) moveReady(adapter ident.Adapter) {
+	wanted := owner.backlog.wanted[adapter]
 	if _, ready := owner.readySlot(adapter); !ready || wanted == nil {
 		return
 	}
-	owner.withdraw(adapter, wanted)
-	delete(owner.backlog.wants, adapter)
+	owner.withdrawLoadRequest(adapter, wanted)
+	delete(owner.backlog.wanted, adapter)
 	wanted.queue.Drain(owner.enqueue)
 }
 
-// park sorts the ready requests again after a slot was lost or yields: those
-// whose adapter cannot run now wait for its load.
-func (owner *Owner) park() {
+// requeueReady queues the ready requests again after a slot was lost or started to
+// yield. Requests whose adapter is no longer ready wait for its load.
+func (owner *Owner) requeueReady() {
 	for i := range owner.slots {
 		owner.slots[i].queued = 0
 	}
 	owner.backlog.ready.Drain(owner.enqueue)
 }
 
-// forgetLoads takes every load that was asked for or begun as void.
-func (owner *Owner) forgetLoads() {
-	for _, wanted := range owner.backlog.wants {
-		wanted.granted = false
-		wanted.asked = demand{}
+// resetLoads discards all loads that were requested or started, so that they are
+// requested again.
+func (owner *Owner) resetLoads() {
+	for _, wanted := range owner.backlog.wanted {
+		wanted.loadStarted = false
+		wanted.requested = loadDemand{}
 	}
 }
 
-// dispatchReady dispatches ready requests while the engine's batch has room for
-// them: most urgent class first, earliest deadline within a class.
+// dispatchReady dispatches ready requests while the engine's batch has room. The
+// most urgent class goes first, and within a class the earliest deadline.
 func (owner *Owner) dispatchReady(now clock.Millis) {
 	for {
 		class, found := owner.nextClass()
@@ -164,7 +174,7 @@
 			return
 		}
 		waiting, _ := owner.backlog.ready.Pop(class)
-		owner.leaveReady(waiting)
+		owner.countOutReady(waiting)
 		at, ready := owner.readySlot(waiting.submit.Request.Adapter)
 		invariant.Check(ready, "a request in the ready queue has its adapter in a slot",
 			"run %s waits for %s", waiting.submit.Stream, waiting.submit.Request.Adapter)
@@ -172,32 +182,32 @@
 			owner.refuse(waiting, outcome.Refused(outcome.DeadlinePassed, 0))
 			continue
 		}
-		owner.countRun(class)
+		owner.countUrgent(class)
 		owner.dispatch(now, waiting, at)
 	}
 }
 
-// nextClass returns the class that the next dispatch goes to. After a number of
-// urgent dispatches in a row a routine request takes the place of an urgent one,
-// the reserve included, so that a steady urgent load cannot starve it.
+// nextClass returns the class of the next dispatch. After the permitted number of
+// urgent dispatches in a row a routine request goes next and may also use the urgent
+// reserve, so that steady urgent load cannot starve routine requests.
 func (owner *Owner) nextClass() (class config.Class, found bool) {
 	urgent, routine := owner.backlog.ready.Len(config.Urgent), owner.backlog.ready.Len(config.Routine)
 	switch {
-	case routine > 0 && owner.urgentRun >= owner.options.RoutineFloor && owner.room(config.Urgent):
+	case routine > 0 && owner.urgentInRow >= owner.options.MaxUrgentInRow && owner.batchHasRoom(config.Urgent):
 		return config.Routine, true
-	case urgent > 0 && owner.room(config.Urgent):
+	case urgent > 0 && owner.batchHasRoom(config.Urgent):
 		return config.Urgent, true
-	case routine > 0 && owner.room(config.Routine):
+	case routine > 0 && owner.batchHasRoom(config.Routine):
 		return config.Routine, true
 	}
 	return 0, false
 }
 
-// countRun counts the urgent dispatches in a row while routine requests wait.
-func (owner *Owner) countRun(class config.Class) {
+// countUrgent counts urgent dispatches in a row while routine requests are ready.
+func (owner *Owner) countUrgent(class config.Class) {
 	if class == config.Routine || owner.backlog.ready.Len(config.Routine) == 0 {
-		owner.urgentRun = 0
+		owner.urgentInRow = 0
 		return
 	}
-	owner.urgentRun++
+	owner.urgentInRow++
 }
--- a/internal/decide/owner/bench_test.go
+++ b/internal/decide/owner/bench_test.go
@@ -11,8 +11,8 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// BenchmarkSubmitBehindQueue takes in and withdraws one request while others
-// wait for their adapters to load.
+// BenchmarkSubmitBehindQueue submits and cancels one request while others wait for
+// their adapters to be loaded.
 func BenchmarkSubmitBehindQueue(b *testing.B) {
 	for _, waiting := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/internal/decide/owner/loading.go
+++ b/internal/decide/owner/loading.go
@@ -8,66 +8,66 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// failure remembers failed loads of an adapter in a row.
-type failure struct {
-	count     int
-	notBefore clock.Millis
+// loadFailures records consecutive failed loads of an adapter.
+type loadFailures struct {
+	count   int
+	retryAt clock.Millis
 }
 
-// forgetFailures is the number of back-off spans after which failed loads are
-// forgotten.
-const forgetFailures = 8
+// failureExpiryBackoffs is the number of LoadBackoff spans, counted from the time of
+// the next permitted load, after which failed loads are no longer counted.
+const failureExpiryBackoffs = 8
 
-// seekLoads asks for the loads that are wanted, and withdraws what nobody waits
-// for any more.
-func (owner *Owner) seekLoads(now clock.Millis) {
-	for _, adapter := range owner.backlog.wantsInOrder() {
-		owner.seekLoad(now, adapter)
+// requestLoads requests the loads of wanted adapters and withdraws requests that no
+// waiting request needs any more.
+func (owner *Owner) requestLoads(now clock.Millis) {
+	for _, adapter := range owner.backlog.wantedInOrder() {
+		owner.requestLoad(now, adapter)
 	}
 	for adapter, failed := range owner.failures {
-		if failed.notBefore+forgetFailures*owner.options.LoadBackoff < now {
+		if failed.retryAt+failureExpiryBackoffs*owner.options.LoadBackoff < now {
 			delete(owner.failures, adapter)
 		}
 	}
 }
 
-// seekLoad tells the weight store's broker what a load of the adapter would
-// serve, when that has changed.
-func (owner *Owner) seekLoad(now clock.Millis, adapter ident.Adapter) {
-	wanted := owner.backlog.wants[adapter]
-	if wanted == nil || wanted.granted {
+// requestLoad sends the weight store's broker a load request for the adapter if the
+// demand has changed or the last request is due to be repeated.
+func (owner *Owner) requestLoad(now clock.Millis, adapter ident.Adapter) {
+	wanted := owner.backlog.wanted[adapter]
+	if wanted == nil || wanted.loadStarted {
 		return
 	}
-	if wanted.since == 0 {
-		wanted.since = now
+	if wanted.wantedSince == 0 {
+		wanted.wantedSince = now
 	}
 	if wanted.queue.Total() == 0 {
-		owner.withdraw(adapter, wanted)
-		delete(owner.backlog.wants, adapter)
+		owner.withdrawLoadRequest(adapter, wanted)
+		delete(owner.backlog.wanted, adapter)
 		return
 	}
 	failed := owner.failures[adapter]
-	if now < failed.notBefore {
+	if now < failed.retryAt {
 		if failed.count >= owner.options.LoadTries {
-			owner.refuseWant(wanted, outcome.Refused(outcome.LoadFailed, failed.notBefore-now))
-			delete(owner.backlog.wants, adapter)
+			owner.refuseWaitingFor(wanted, outcome.Refused(outcome.LoadFailed, failed.retryAt-now))
+			delete(owner.backlog.wanted, adapter)
 		}
 		return
 	}
 	if owner.holds(adapter) {
-		return // its slot is about to yield
+		return // it is loaded, but its slot yields
 	}
-	if owner.findRoom(now, wanted.demand().class) < 0 {
-		owner.makeRoom(now, wanted)
+	if owner.findSlot(now, wanted.demand().class) < 0 {
+		owner.yieldSlot(now, wanted)
 		return
 	}
 	next := wanted.demand()
-	if next == wanted.asked && now-wanted.askedAt < owner.options.AskInterval {
+	if next == wanted.requested && now-wanted.requestedAt < owner.options.LoadRequestInterval {
 		return
 	}
-	wanted.asked, wanted.askedAt = next, now
-	if wanted.silentSince == 0 {
-		wanted.silentSince = now
+	wanted.requested, wanted.requestedAt = next, now
+	if wanted.unansweredSince == 0 {
+		wanted.unansweredSince = now
 	}
 	owner.emit(effect.Send{Message: message.LoadRequest{
 		Store: owner.Engine.Store, Engine: owner.Engine.Name, Adapter: adapter,
@@ -75,61 +75,62 @@
 	}})
 }
 
-// withdraw takes back what the broker was asked for.
-func (owner *Owner) withdraw(adapter ident.Adapter, wanted *want) {
-	if wanted.asked == (demand{}) {
+// withdrawLoadRequest withdraws the load request that was sent to the broker.
+func (owner *Owner) withdrawLoadRequest(adapter ident.Adapter, wanted *wantedAdapter) {
+	if wanted.requested == (loadDemand{}) {
 		return
 	}
-	wanted.asked = demand{}
+	wanted.requested = loadDemand{}
 	owner.emit(effect.Send{Message: message.LoadRequest{
 		Store: owner.Engine.Store, Engine: owner.Engine.Name, Adapter: adapter, Withdraw: true,
 	}})
 }
 
-// refuseWant refuses every request that waits for an adapter.
-func (owner *Owner) refuseWant(wanted *want, refusal outcome.Outcome) {
+// refuseWaitingFor refuses all requests that wait for an adapter.
+func (owner *Owner) refuseWaitingFor(wanted *wantedAdapter, refusal outcome.Outcome) {
 	wanted.queue.Drain(func(waiting *run) {
 		owner.backlog.bound.Leave(waiting.submit.Request.Class)
 		owner.refuse(waiting, refusal)
 	})
 }
 
-// Granted takes in the broker's leave to load an adapter now.
-func (owner *Owner) Granted(now clock.Millis, adapter ident.Adapter) []effect.Effect {
+// LoadGranted handles the broker's permission to load an adapter now. If the load is
+// not needed or not possible any more, the lease is returned unused.
+func (owner *Owner) LoadGranted(now clock.Millis, adapter ident.Adapter) []effect.Effect {
 	owner.version++
-	wanted := owner.backlog.wants[adapter]
+	wanted := owner.backlog.wanted[adapter]
 	at := -1
 	if wanted != nil {
-		at = owner.findRoom(now, wanted.demand().class)
+		at = owner.findSlot(now, wanted.demand().class)
 	}
-	if wanted == nil || wanted.granted || wanted.queue.Total() == 0 || at < 0 ||
+	if wanted == nil || wanted.loadStarted || wanted.queue.Total() == 0 || at < 0 ||
 		owner.takeover.suspended || owner.holds(adapter) {
 		if wanted != nil {
-			wanted.asked = demand{}
+			wanted.requested = loadDemand{}
 		}
-		owner.returnUnused(adapter)
-		return owner.take()
+		owner.returnUnusedLease(adapter)
+		return owner.takeEffects()
 	}
-	wanted.granted = true
-	wanted.asked = demand{}
-	wanted.silentSince = 0
+	wanted.loadStarted = true
+	wanted.requested = loadDemand{}
+	wanted.unansweredSince = 0
 	if owner.slots[at].state == slotEmpty {
 		owner.load(at, adapter)
 	} else {
 		owner.evict(now, at, adapter)
 	}
-	return owner.take()
+	return owner.takeEffects()
 }
 
-// Loaded takes in the end of a load order.
-func (owner *Owner) Loaded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
+// LoadEnded handles the end of a load order.
+func (owner *Owner) LoadEnded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
 	at, held := owner.resident[adapter]
 	if !held || owner.slots[at].state != slotLoading {
 		return nil
 	}
 	owner.returnLease(adapter, failed)
 	if failed {
-		owner.loadFailed(now, at, adapter)
+		owner.handleLoadFailure(now, at, adapter)
 	} else {
 		slotTable.Must(&owner.slots[at].state, endLoad)
 		owner.slots[at].use(now)
@@ -140,18 +141,18 @@
 		})
 	}
 	owner.advance(now)
-	return owner.take()
+	return owner.takeEffects()
 }
 
-func (owner *Owner) loadFailed(now clock.Millis, at int, adapter ident.Adapter) {
+func (owner *Owner) handleLoadFailure(now clock.Millis, at int, adapter ident.Adapter) {
 	slotTable.Must(&owner.slots[at].state, failLoad)
 	delete(owner.resident, adapter)
-	owner.unplace(at)
-	if wanted := owner.backlog.wants[adapter]; wanted != nil {
-		wanted.granted = false
+	owner.clearPins(at)
+	if wanted := owner.backlog.wanted[adapter]; wanted != nil {
+		wanted.loadStarted = false
 	}
 	failed := owner.failures[adapter]
-	failed.notBefore = now + owner.options.LoadBackoff<<failed.count
+	failed.retryAt = now + owner.options.LoadBackoff<<failed.count
 	failed.count = min(failed.count+1, owner.options.LoadTries)
 	owner.failures[adapter] = failed
 	owner.emit(effect.Audit{
@@ -160,41 +161,42 @@
 	})
 }
 
-// Judged takes in the broker's answer to an ask. After a refusal, the requests
-// that cannot be served in time are refused; the load is asked for again for
-// those with a later deadline.
-func (owner *Owner) Judged(now clock.Millis, verdict message.LoadDecision) []effect.Effect {
-	wanted := owner.backlog.wants[verdict.Adapter]
+// LoadDecided handles the broker's answer to a load request. After a refusal, requests
+// that cannot be served in time are refused, and the load is requested again for
+// those with later deadlines.
+func (owner *Owner) LoadDecided(now clock.Millis, decision message.LoadDecision) []effect.Effect {
+	wanted := owner.backlog.wanted[decision.Adapter]
 	if wanted != nil {
-		wanted.silentSince = 0
+		wanted.unansweredSince = 0
 	}
-	if wanted == nil || !verdict.Refused || wanted.granted || wanted.asked == (demand{}) {
-		return owner.take()
+	if wanted == nil || !decision.Refused || wanted.loadStarted || wanted.requested == (loadDemand{}) {
+		return owner.takeEffects()
 	}
-	late := max(now+verdict.Wait, wanted.asked.deadline)
-	wanted.asked = demand{}
-	wanted.queue.Expire(late, func(waiting *run) {
+	reachableFrom := max(now+decision.Wait, wanted.requested.deadline)
+	wanted.requested = loadDemand{}
+	wanted.queue.Expire(reachableFrom, func(waiting *run) {
 		owner.backlog.bound.Leave(waiting.submit.Request.Class)
-		owner.refuse(waiting, outcome.Refused(outcome.DeadlineUnreachable, verdict.Wait))
+		owner.refuse(waiting, outcome.Refused(outcome.DeadlineUnreachable, decision.Wait))
 	})
-	owner.seekLoad(now, verdict.Adapter)
-	return owner.take()
+	owner.requestLoad(now, decision.Adapter)
+	return owner.takeEffects()
 }
 
-// Unanswered returns the load that the broker was asked for longest ago without
-// any reply, if that is at least the span.
-func (owner *Owner) Unanswered(now, span clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
-	for _, candidate := range owner.backlog.wantsInOrder() {
-		wanted := owner.backlog.wants[candidate]
-		silent := wanted.silentSince > 0 && !wanted.granted && now-wanted.silentSince >= span
-		if silent && (!found || wanted.silentSince < since) {
-			adapter, since, found = candidate, wanted.silentSince, true
+// LongestUnanswered returns the adapter whose load request has waited longest for an
+// answer of the broker, if it has waited for at least the span.
+func (owner *Owner) LongestUnanswered(now, span clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
+	for _, candidate := range owner.backlog.wantedInOrder() {
+		wanted := owner.backlog.wanted[candidate]
+		overdue := wanted.unansweredSince > 0 && !wanted.loadStarted && now-wanted.unansweredSince >= span
+		if overdue && (!found || wanted.unansweredSince < since) {
+			adapter, since, found = candidate, wanted.unansweredSince, true
 		}
 	}
 	return adapter, since, found
 }
 
-func (owner *Owner) returnUnused(adapter ident.Adapter) {
+// returnUnusedLease returns a lease for which no load was started.
+func (owner *Owner) returnUnusedLease(adapter ident.Adapter) {
 	owner.emit(effect.Send{Message: message.LoadDone{
 		Store: owner.Engine.Store, Engine: owner.Engine.Name, Adapter: adapter, Unused: true,
 	}})
--- a/internal/decide/owner/owner.go
+++ b/internal/decide/owner/owner.go
@@ -1,9 +1,9 @@
-// Package owner decides for one model engine: which waiting request it runs
-// next, which adapter it loads and which it evicts. An engine's owner is the
-// single writer of the engine's slots, pins and queue.
+// Package owner decides for one model engine which waiting request runs next, which
+// adapter is loaded and which one is evicted. Only the engine's owner changes the
+// engine's slots, pins and queue.
 //
-// The machine does no I/O. Every method takes the current time and returns the
-// effects to carry out. Two rules are asserted: an adapter with an unfinished
+// The state machine does no I/O. Its methods take the current time and return the
+// effects to carry out. Two invariants are checked: an adapter with an unfinished
 // run is never unloaded, and a run is dispatched only to a ready adapter.
 package owner
 
@@ -17,35 +17,40 @@
 
 // Options are the limits of an owner.
 type Options struct {
-	// QueueLimits bounds the waiting requests of each class.
+	// QueueLimits is the maximum number of waiting requests of each class.
 	QueueLimits [config.ClassCount]int
-	// UrgentReserve is the number of runs kept free for urgent requests.
+	// UrgentReserve is the number of places in the engine's batch that are reserved
+	// for urgent requests.
 	UrgentReserve int
-	// LoadBackoff is the span during which an adapter is not loaded again after
-	// a failed load, doubled with each failure in a row.
+	// LoadBackoff is the time before an adapter is loaded again after a failed load.
+	// It doubles with each consecutive failure.
 	LoadBackoff clock.Millis
-	// LoadTries is the number of failed loads after which waiting requests are refused.
+	// LoadTries is the number of consecutive failed loads after which the requests
+	// that wait for the adapter are refused.
 	LoadTries int
-	// ResumeTries is the number of times a lost run is resumed at the engine.
+	// ResumeTries is the number of times that a run is resumed after its connection
+	// to the engine was lost.
 	ResumeTries int
-	// CancelInterval is the span after which an unconfirmed cancel is repeated.
+	// CancelInterval is the time after which an unconfirmed cancel is repeated.
 	CancelInterval clock.Millis
-	// AskInterval is the span after which the broker is asked again for a load
-	// that it has not granted: it may have been lost with its queue.
-	AskInterval clock.Millis
-	// RoutineFloor is the number of urgent runs dispatched in a row after which a
-	// routine one that is ready goes next.
-	RoutineFloor int
-	// RoomWait is the span that a routine request waits for a slot to become idle
-	// before a slot takes no further runs for its sake; 0 lets no slot yield.
-	RoomWait clock.Millis
-	// Eviction ranks the adapters that could give up their slot.
-	Eviction Eviction
-	// HalfLife is the span after which a request counts half for eviction.
+	// LoadRequestInterval is the time after which a load request that was not granted is
+	// repeated, because the broker may have restarted and lost its queue.
+	LoadRequestInterval clock.Millis
+	// MaxUrgentInRow is the number of urgent dispatches in a row after which a ready
+	// routine request goes next.
+	MaxUrgentInRow int
+	// YieldDelay is the time that a routine request waits for an idle slot before a
+	// slot yields, that is, gets no further runs so that it becomes idle. With 0 no
+	// slot yields, also not for urgent requests.
+	YieldDelay clock.Millis
+	// Eviction ranks the adapters that could be evicted.
+	Eviction EvictionPolicy
+	// HalfLife is the time after which a request counts half in an adapter's use
+	// count.
 	HalfLife clock.Millis
 }
 
-// DefaultOptions returns the limits used when settings name none.
+// DefaultOptions returns the limits used if the settings do not set them.
 func DefaultOptions() Options {
 	return Options{
 		QueueLimits:   [config.ClassCount]int{config.Urgent: 256, config.Routine: 1024},
@@ -54,16 +59,16 @@
 		LoadTries:     3,
 		ResumeTries:   2,
 
-		CancelInterval: clock.Second,
-		AskInterval:    3 * clock.Second,
-		RoutineFloor:   16,
-		RoomWait:       2 * clock.Second,
-		Eviction:       DecayedFrequency{},
-		HalfLife:       5 * clock.Minute,
+		CancelInterval:      clock.Second,
+		LoadRequestInterval: 3 * clock.Second,
+		MaxUrgentInRow:      16,
+		YieldDelay:          2 * clock.Second,
+		Eviction:            DecayedFrequency{},
+		HalfLife:            5 * clock.Minute,
 	}
 }
 
-// Owner is the state that an owner keeps of its engine.
+// Owner is the state of an engine's owner.
 type Owner struct {
 	Engine  config.Engine
 	Self    ident.DaemonID
@@ -77,21 +82,21 @@
 	resident    map[ident.Adapter]int // index into slots
 	backlog     backlog
 	runs        map[ident.StreamID]*run
-	failures    map[ident.Adapter]failure
+	failures    map[ident.Adapter]loadFailures
 	frequency   frequency
-	running     int
-	// urgentRun is the number of urgent runs dispatched in a row while routine
-	// requests were ready.
-	urgentRun int
-	version   uint64
-	// reportedAt is when the engine took the report last heard of.
+	running     int // runs in the engine's batch, including those of former owners
+	// urgentInRow is the number of urgent dispatches in a row while routine requests
+	// were ready.
+	urgentInRow int
+	version     uint64
+	// reportedAt is when the engine created the last report.
 	reportedAt clock.Millis
 	takeover   takeover
 	effects    []effect.Effect
 }
 
-// New returns the owner of an engine whose state is not known yet: nothing is
-// dispatched before the first report.
+// New returns the owner of an engine whose state is not known yet. Waiting requests
+// are not dispatched before the first report.
 func New(self ident.DaemonID, engine config.Engine, fence ident.Fence, options Options) *Owner {
 	return &Owner{
 		Engine:   engine,
@@ -102,7 +107,7 @@
 		resident: map[ident.Adapter]int{},
 		backlog:  newBacklog(options.QueueLimits),
 		runs:     map[ident.StreamID]*run{},
-		failures: map[ident.Adapter]failure{},
+		failures: map[ident.Adapter]loadFailures{},
 
 		frequency: newFrequency(options.HalfLife),
 	}
@@ -112,32 +117,32 @@
 	owner.effects = append(owner.effects, next)
 }
 
-// take returns the effects gathered since the last call.
-func (owner *Owner) take() []effect.Effect {
+// takeEffects returns and clears the collected effects.
+func (owner *Owner) takeEffects() []effect.Effect {
 	effects := owner.effects
 	owner.effects = nil
 	return effects
 }
 
-// Tick expires waiting requests, repeats unconfirmed cancels and starts what
-// has become possible.
+// Tick repeats unconfirmed cancels, refuses expired requests, and dispatches and
+// loads what has become possible.
 func (owner *Owner) Tick(now clock.Millis) []effect.Effect {
 	owner.repeatCancels(now)
 	owner.advance(now)
-	return owner.take()
+	return owner.takeEffects()
 }
 
-// Busy reports whether any run here has not ended.
+// Busy reports whether there are waiting or unfinished runs.
 func (owner *Owner) Busy() bool {
 	return len(owner.runs) > 0
 }
 
-// Known reports whether the engine has reported to this owner yet.
-func (owner *Owner) Known() bool {
+// HasReport reports whether the engine has reported to this owner yet.
+func (owner *Owner) HasReport() bool {
 	return owner.boot != ""
 }
 
-// State is the owner's word on its engine, for placement elsewhere.
+// State returns the engine's state, which other daemons use for placement.
 func (owner *Owner) State(now clock.Millis) message.EngineState {
 	state := message.EngineState{
 		Engine:       owner.Engine.Name,
@@ -145,11 +150,11 @@
 		Fence:        owner.Fence,
 		Version:      owner.version,
 		Resident:     make([]ident.Adapter, 0, len(owner.resident)),
-		Wanted:       owner.backlog.wantsInOrder(),
+		Wanted:       owner.backlog.wantedInOrder(),
 		Spare:        owner.spare(now),
 		Queued:       owner.backlog.bound.Total(),
 		Running:      owner.running,
-		LoadsWaiting: len(owner.backlog.wants),
+		LoadsWaiting: len(owner.backlog.wanted),
 		ReportAge:    now - owner.reportedAt,
 		Quarantined:  owner.quarantined,
 		Leaving:      owner.draining,
@@ -163,28 +168,29 @@
 	return state
 }
 
-// usable reports whether the engine may be given work now.
+// usable reports whether runs and loads may be started at the engine now.
 func (owner *Owner) usable() bool {
 	return owner.reportedAt != 0 && !owner.quarantined && !owner.takeover.suspended
 }
 
-// advance does, in this order, what time and room allow: expire, dispatch, ask
-// for loads. It looks at every wanted adapter; events that concern one request
-// use a shorter way.
+// advance refuses expired requests, dispatches ready ones and requests loads. It
+// processes all wanted adapters; events that affect a single adapter use
+// advanceAdapter, which is cheaper.
 func (owner *Owner) advance(now clock.Millis) {
 	owner.version++
-	owner.expire(now)
+	owner.refuseExpired(now)
 	if !owner.usable() {
 		return
 	}
-	owner.keepSlots()
-	owner.settle()
+	owner.endYield()
+	owner.moveAllReady()
 	owner.dispatchReady(now)
-	owner.seekLoads(now)
+	owner.requestLoads(now)
 }
 
-// room reports whether a request of the class may join the engine's batch now.
-func (owner *Owner) room(class config.Class) bool {
+// batchHasRoom reports whether a request of the class may join the engine's batch
+// now.
+func (owner *Owner) batchHasRoom(class config.Class) bool {
 	limit := owner.Engine.MaxRuns
 	if class != config.Urgent {
 		limit = max(1, limit-owner.options.UrgentReserve)
@@ -192,12 +198,13 @@
 	return owner.running < limit
 }
 
-// advanceOne does what an event that concerns one adapter allows.
-func (owner *Owner) advanceOne(now clock.Millis, adapter ident.Adapter) {
+// advanceAdapter dispatches ready requests and requests the load of one adapter
+// after an event that affects only that adapter.
+func (owner *Owner) advanceAdapter(now clock.Millis, adapter ident.Adapter) {
 	owner.version++
 	if !owner.usable() {
 		return
 	}
 	owner.dispatchReady(now)
-	owner.seekLoad(now, adapter)
+	owner.requestLoad(now, adapter)
 }
--- a/internal/decide/owner/report.go
+++ b/internal/decide/owner/report.go
@@ -9,25 +9,26 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Report is an engine's own account of itself.
+// Report is an engine's report on its own state.
 type Report struct {
+	// Boot identifies the engine's process; it changes with each restart.
 	Boot ident.BootID
 	// Resident lists the adapters in the engine's slots.
 	Resident []ident.Adapter
-	// Runs lists the unfinished runs and the adapters that they use.
+	// Runs lists the unfinished runs with their adapters.
 	Runs []ReportedRun
-	// Age is how old the report was when it was read.
+	// Age is the age of the report when it was read.
 	Age clock.Millis
-	// Steps is for observation only; no decision rests on it.
+	// Steps is used only for monitoring, not for decisions.
 	Steps Steps
 }
 
-// Steps sums up how the engine's steps were shared since its start. The share of
-// the capacity that was used, Runs / (Count * Capacity), is the batch efficiency.
+// Steps counts the engine's batch steps since its start. The batch efficiency is
+// the share of capacity that was used: Runs / (Count * Capacity).
 type Steps struct {
 	Count    uint64
 	Runs     uint64 // sum over all steps
-	Capacity int    // runs of one step
+	Capacity int    // maximum runs in one step
 }
 
 // ReportedRun is one unfinished run in a report.
@@ -36,34 +37,35 @@
 	Adapter ident.Adapter
 }
 
-// Reported takes in a report. The first one fills the slots; a new boot id
-// voids them.
+// Reported handles a report whose creation time follows from its age. The first
+// report fills the slots; one with a new boot id replaces their content.
 func (owner *Owner) Reported(now clock.Millis, report Report) []effect.Effect {
 	return owner.ReportedAt(now, now-report.Age, report)
 }
 
-// ReportedAt takes in a report that the engine took at or after the given time.
-// One that is older than the last changes nothing.
+// ReportedAt handles a report that the engine created at takenAt or later. A report
+// older than the last one is ignored.
 func (owner *Owner) ReportedAt(now, takenAt clock.Millis, report Report) []effect.Effect {
 	if takenAt < owner.reportedAt {
 		return nil
 	}
 	switch {
 	case owner.boot == "":
-		owner.adopt(now, report)
+		owner.fillSlots(now, report)
 	case owner.boot != report.Boot:
-		owner.restarted(now, takenAt, report)
+		owner.handleRestart(now, takenAt, report)
 	}
 	owner.reportedAt = takenAt
 	owner.reconcile(now, takenAt, report)
-	owner.pinUnplaced()
+	owner.pinRunsWithoutSlot()
 	owner.trackForeign(takenAt, report)
-	owner.settleUnknown(takenAt)
+	owner.resolveUnknownRuns(takenAt)
 	owner.advance(now)
-	return owner.take()
+	return owner.takeEffects()
 }
 
-func (owner *Owner) adopt(now clock.Millis, report Report) {
+// fillSlots sets the boot id and the slots from a report.
+func (owner *Owner) fillSlots(now clock.Millis, report Report) {
 	owner.boot = report.Boot
 	for i, adapter := range report.Resident {
 		if i >= len(owner.slots) {
@@ -74,45 +76,46 @@
 	}
 }
 
-// pinUnplaced pins the adapters of runs that began when their slot was not known.
-func (owner *Owner) pinUnplaced() {
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting && found.slot == noSlot {
-			found.slot = owner.pinSlot(found.submit.Request.Adapter)
+// pinRunsWithoutSlot pins the adapters of runs whose slot was not known when they
+// started.
+func (owner *Owner) pinRunsWithoutSlot() {
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting && run.slot == noSlot {
+			run.slot = owner.pinSlot(run.submit.Request.Adapter)
 		}
 	}
 }
 
-// restarted voids everything that the engine's former life held. A run that was
-// dispatched too late for the report to show it may be in the new life already;
-// it stays, and so does its pin.
-func (owner *Owner) restarted(now, takenAt clock.Millis, report Report) {
+// handleRestart discards the state from before a restart of the engine and ends its
+// runs. A run that was dispatched too recently for the report to list it may have
+// started after the restart, so it stays and its adapter is pinned again.
+func (owner *Owner) handleRestart(now, takenAt clock.Millis, report Report) {
 	owner.emit(effect.Audit{
 		At: now, Kind: effect.EngineRestarted, Object: string(owner.Engine.Name),
 		Cause: "the report carries a new boot id", Before: string(owner.boot), After: string(report.Boot),
 	})
 	owner.running = 0
-	for _, found := range owner.sortedRuns() {
+	for _, run := range owner.sortedRuns() {
 		switch {
-		case found.state == runWaiting:
-		case found.dispatchedAt+transitSpan > takenAt || report.shows(found.submit.Stream):
-			found.slot = noSlot
+		case run.state == runWaiting:
+		case run.dispatchedAt+maxReportDelay > takenAt || report.shows(run.submit.Stream):
+			run.slot = noSlot
 			owner.running++
 		default:
-			owner.tell(found, outcome.Lost(outcome.EngineRestarted), 0)
-			delete(owner.runs, found.submit.Stream)
+			owner.sendEnded(run, outcome.MayHaveRun(outcome.EngineRestarted), 0)
+			delete(owner.runs, run.submit.Stream)
 		}
 	}
-	owner.voidForeign(takenAt)
+	owner.dropLostForeign(takenAt)
 	owner.slots = make([]slot, owner.Engine.Slots)
 	clear(owner.resident)
-	owner.forgetLoads()
-	owner.park()
+	owner.resetLoads()
+	owner.requeueReady()
 	owner.quarantined = false
-	owner.adopt(now, report)
+	owner.fillSlots(now, report)
 }
 
-// shows reports whether a run is among the unfinished ones.
+// shows reports whether the report lists a run as unfinished.
 func (report Report) shows(stream ident.StreamID) bool {
 	id := stream.String()
 	return slices.ContainsFunc(report.Runs, func(running ReportedRun) bool { return running.Run == id })
--- a/internal/decide/owner/run.go
+++ b/internal/decide/owner/run.go
@@ -18,7 +18,7 @@
 const (
 	runWaiting    runState = "Waiting"
 	runDispatched runState = "Dispatched"
-	// runCancelling: the entry no longer wants it; the engine has not confirmed.
+	// runCancelling: the run was cancelled, and the engine has not confirmed its end.
 	runCancelling runState = "Cancelling"
 	runEnded      runState = "Ended"
 )
@@ -37,55 +37,57 @@
 	{Event: endRun, From: []runState{runWaiting, runDispatched, runCancelling}, To: runEnded},
 })
 
-// run is one attempt, from its arrival at the owner to the engine's word that
-// it is over.
+// run is one attempt, from its arrival at the owner until the engine has confirmed
+// its end.
 type run struct {
 	state  runState
 	entry  ident.DaemonID
 	submit message.Submit
-	slot   int // index of the pinned slot, once dispatched
-	// deadline is the point in time by which the answer has to begin.
+	slot   int // index of the pinned slot once dispatched, or noSlot
+	// deadline is the time by which the answer must begin.
 	deadline clock.Millis
-	resumes  int
-	// resumed says that an earlier owner may have dispatched it.
+	// resumeCount is the number of times that this owner has resumed the run.
+	resumeCount int
+	// resumed is set if a former owner may have dispatched the run.
 	resumed bool
-	// unknownAt is when the engine said that it does not know the resumed run.
+	// unknownAt is when the engine answered that it does not know the resumed run;
+	// zero if it has not.
 	unknownAt    clock.Millis
 	dispatchedAt clock.Millis
-	// told says that the entry has had its Ended message.
-	told bool
-	// cancelAgain is when an unconfirmed cancel is sent again.
-	cancelAgain clock.Millis
+	// endedSent is set once the Ended message was sent to the entry.
+	endedSent bool
+	// repeatCancelAt is when an unconfirmed cancel is repeated.
+	repeatCancelAt clock.Millis
 }
 
-// Result is how an engine call ended, as the runtime saw it.
+// Result is how a call to the engine ended, as seen by the runtime.
 type Result string
 
 // Results of engine calls.
 const (
-	// ResultComplete: the whole answer was relayed.
+	// ResultComplete: the complete answer was relayed.
 	ResultComplete Result = "Complete"
 	// ResultNotSent: no byte of the request reached the engine.
 	ResultNotSent Result = "NotSent"
 	// ResultRefused: the engine answered that it did not run the request.
 	ResultRefused Result = "Refused"
-	// ResultLost: the connection was lost; the run may go on.
+	// ResultLost: the connection was lost; the run may continue.
 	ResultLost Result = "Lost"
-	// ResultTruncated: the engine ended the answer before its proper end.
+	// ResultTruncated: the answer ended before it was complete.
 	ResultTruncated Result = "Truncated"
 	// ResultWrongAdapter: the answer named another run, adapter or version.
 	ResultWrongAdapter Result = "WrongAdapter"
-	// ResultCancelled: the engine confirmed that the run is over.
+	// ResultCancelled: the engine confirmed that the run has ended.
 	ResultCancelled Result = "Cancelled"
-	// ResultUnknownRun: the engine does not know the run that was to be resumed.
+	// ResultUnknownRun: the engine does not know the run to be resumed.
 	ResultUnknownRun Result = "UnknownRun"
-	// ResultFenced: the engine refused the order for its old fencing number.
+	// ResultFenced: the engine refused the order because of its old fencing number.
 	ResultFenced Result = "Fenced"
-	// resultNeverRan: a resumed run is proved never to have begun.
+	// resultNeverRan: it is proved that a resumed run never started.
 	resultNeverRan Result = "NeverRan"
 )
 
-// RunResult reports the end of an engine call or of a cancel.
+// RunResult is the end of a call to the engine or of a cancel.
 type RunResult struct {
 	Stream ident.StreamID
 	Result Result
@@ -93,8 +95,8 @@
 	Chunks uint64
 }
 
-// Submit takes a request in, or refuses it at once. A second Submit of a stream
-// that is already here changes nothing.
+// Submit queues a request or refuses it at once. A repeated Submit of a known
+// stream is ignored.
 func (owner *Owner) Submit(now clock.Millis, entry ident.DaemonID, submit message.Submit) []effect.Effect {
 	if _, known := owner.runs[submit.Stream]; known {
 		return nil
@@ -103,7 +105,7 @@
 	owner.runs[submit.Stream] = arrived
 	if submit.Resume {
 		owner.resume(now, arrived)
-		return owner.take()
+		return owner.takeEffects()
 	}
 	owner.frequency.add(now, submit.Request.Adapter)
 	switch {
@@ -116,43 +118,45 @@
 	default:
 		owner.enqueue(arrived)
 	}
-	owner.advanceOne(now, submit.Request.Adapter)
-	return owner.take()
+	owner.advanceAdapter(now, submit.Request.Adapter)
+	return owner.takeEffects()
 }
 
-// Cancel gives up an attempt. A waiting one ends at once; a dispatched one
-// keeps its pin until the engine confirms.
+// Cancel cancels an attempt. A waiting one ends at once; a dispatched one keeps its
+// adapter pinned until the engine confirms its end.
 func (owner *Owner) Cancel(now clock.Millis, stream ident.StreamID) []effect.Effect {
-	found, known := owner.runs[stream]
+	run, known := owner.runs[stream]
 	if !known {
 		owner.cancelForeign(stream)
-		return owner.take()
+		return owner.takeEffects()
 	}
-	if found.state == runWaiting {
-		owner.dequeue(found)
-		owner.refuse(found, outcome.Refused(outcome.CallerGone, 0))
+	if run.state == runWaiting {
+		owner.dequeue(run)
+		owner.refuse(run, outcome.Refused(outcome.CallerGone, 0))
 	} else {
-		owner.cancel(now, found)
+		owner.cancel(now, run)
 	}
-	owner.advanceOne(now, found.submit.Request.Adapter)
-	return owner.take()
+	owner.advanceAdapter(now, run.submit.Request.Adapter)
+	return owner.takeEffects()
 }
 
-// sortedRuns returns the runs in a fixed order, so that a replay repeats itself.
+// sortedRuns returns the runs in a fixed order, so that replays are deterministic.
 func (owner *Owner) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(owner.runs), func(a, b *run) int {
 		return a.submit.Stream.Compare(b.submit.Stream)
 	})
 }
 
-// cancel asks the engine to end a run. It is repeated until the engine confirms.
-func (owner *Owner) cancel(now clock.Millis, found *run) {
-	runTable.Must(&found.state, cancelRun)
-	found.cancelAgain = now + owner.options.CancelInterval
-	owner.emit(effect.CancelRun{Stream: found.submit.Stream, Engine: owner.Engine.Name, Fence: owner.Fence})
+// cancel asks the engine to end a run. The order is repeated until the engine
+// confirms it.
+func (owner *Owner) cancel(now clock.Millis, run *run) {
+	runTable.Must(&run.state, cancelRun)
+	run.repeatCancelAt = now + owner.options.CancelInterval
+	owner.emit(effect.CancelRun{Stream: run.submit.Stream, Engine: owner.Engine.Name, Fence: owner.Fence})
 }
 
-// dispatch marks the run as received by the engine before the order is given.
+// dispatch marks the run as dispatched before it orders the engine to start it,
+// because from then on the engine may have received it.
 func (owner *Owner) dispatch(now clock.Millis, waiting *run, at int) {
 	slot := &owner.slots[at]
 	invariant.Check(slot.state == slotReady && slot.adapter == waiting.submit.Request.Adapter,
@@ -170,10 +174,12 @@
 		Class:  waiting.submit.Request.Class,
 		Fence:  owner.Fence,
 	}})
-	owner.start(waiting, waiting.submit.Resume, waiting.submit.Received)
+	owner.emitStartRun(waiting, waiting.submit.Resume, waiting.submit.Received)
 }
 
-func (owner *Owner) start(started *run, resume bool, received uint64) {
+// emitStartRun orders the engine to start a run, or to resume it after the chunks
+// already received.
+func (owner *Owner) emitStartRun(started *run, resume bool, received uint64) {
 	owner.emit(effect.StartRun{
 		Stream:   started.submit.Stream,
 		Engine:   owner.Engine.Name,
@@ -185,91 +191,91 @@
 	})
 }
 
-// RunEnded takes in how an engine call or a cancel ended.
+// RunEnded handles the end of a call to the engine or of a cancel.
 func (owner *Owner) RunEnded(now clock.Millis, result RunResult) []effect.Effect {
-	found, known := owner.runs[result.Stream]
-	if !known || found.state == runWaiting {
-		return nil // a late word on an order that was given before a restart
+	run, known := owner.runs[result.Stream]
+	if !known || run.state == runWaiting {
+		return nil // late result of an order from before a restart of the engine
 	}
 	switch result.Result {
 	case ResultLost, ResultTruncated:
-		owner.lost(now, found, result)
+		owner.handleConnectionLost(now, run, result)
 	case ResultWrongAdapter:
 		owner.quarantine(now, "an answer named another run, adapter or version")
-		owner.tell(found, outcome.Lost(outcome.WrongAdapter), result.Chunks)
+		owner.sendEnded(run, outcome.MayHaveRun(outcome.WrongAdapter), result.Chunks)
 		if owner.takeover.retired {
-			owner.finish(found, result)
+			owner.finish(run, result)
 		} else {
-			owner.cancel(now, found)
+			owner.cancel(now, run)
 		}
 	case ResultUnknownRun:
-		owner.unknownRun(now, found, result)
+		owner.handleUnknownRun(now, run, result)
 	case ResultNotSent, ResultRefused, ResultFenced:
-		owner.notBegun(now, found, result)
+		owner.handleNotStarted(now, run, result)
 	default:
-		owner.finish(found, result)
+		owner.finish(run, result)
 	}
-	owner.advanceOne(now, found.submit.Request.Adapter)
-	return owner.take()
+	owner.advanceAdapter(now, run.submit.Request.Adapter)
+	return owner.takeEffects()
 }
 
-// notBegun takes in that an order to run had no effect. Only of the first order
-// does that mean that the request did not run.
-func (owner *Owner) notBegun(now clock.Millis, found *run, result RunResult) {
-	again := found.resumed || found.resumes > 0
+// handleNotStarted handles an order to run that had no effect. Only for the first
+// order of a run does this prove that the request did not run.
+func (owner *Owner) handleNotStarted(now clock.Millis, run *run, result RunResult) {
+	repeated := run.resumed || run.resumeCount > 0
 	switch {
-	case !again:
-		owner.finish(found, result)
+	case !repeated:
+		owner.finish(run, result)
 	case result.Result == ResultFenced:
-		owner.finish(found, RunResult{Stream: result.Stream, Result: ResultLost, Chunks: result.Chunks})
+		owner.finish(run, RunResult{Stream: result.Stream, Result: ResultLost, Chunks: result.Chunks})
 	default:
-		owner.lost(now, found, result)
+		owner.handleConnectionLost(now, run, result)
 	}
 }
 
-// lost resumes a run whose connection broke, or gives it up: the pin stays
-// until the engine confirms the end.
-func (owner *Owner) lost(now clock.Millis, found *run, result RunResult) {
+// handleConnectionLost resumes a run whose connection was lost. After ResumeTries
+// attempts it cancels the run, which stays pinned until the engine confirms its end.
+func (owner *Owner) handleConnectionLost(now clock.Millis, run *run, result RunResult) {
 	if owner.takeover.retired {
-		owner.finish(found, result)
+		owner.finish(run, result)
 		return
 	}
-	if found.state == runDispatched && found.resumes < owner.options.ResumeTries {
-		found.resumes++
-		owner.start(found, true, result.Chunks)
+	if run.state == runDispatched && run.resumeCount < owner.options.ResumeTries {
+		run.resumeCount++
+		owner.emitStartRun(run, true, result.Chunks)
 		return
 	}
 	reason := outcome.EngineLost
 	if result.Result == ResultTruncated {
 		reason = outcome.Truncated
 	}
-	owner.tell(found, outcome.Lost(reason), result.Chunks)
-	if found.state == runDispatched {
-		owner.cancel(now, found)
+	owner.sendEnded(run, outcome.MayHaveRun(reason), result.Chunks)
+	if run.state == runDispatched {
+		owner.cancel(now, run)
 	}
 }
 
-// repeatCancels sends the cancels again that the engine has not confirmed.
+// repeatCancels repeats cancels that the engine has not confirmed in time.
 func (owner *Owner) repeatCancels(now clock.Millis) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runCancelling && found.cancelAgain <= now {
-			owner.cancel(now, found)
+	for _, run := range owner.sortedRuns() {
+		if run.state == runCancelling && run.repeatCancelAt <= now {
+			owner.cancel(now, run)
 		}
 	}
 }
 
-// finish ends a run on the engine's word and releases its pin.
-func (owner *Owner) finish(found *run, result RunResult) {
-	owner.tell(found, outcomeOf(result.Result), result.Chunks)
-	if found.state != runWaiting {
-		owner.unpin(found)
+// finish ends a run with a result of the engine and releases its pin.
+func (owner *Owner) finish(run *run, result RunResult) {
+	owner.sendEnded(run, outcomeOf(result.Result), result.Chunks)
+	if run.state != runWaiting {
+		owner.unpin(run)
 	}
-	runTable.Must(&found.state, endRun)
-	delete(owner.runs, found.submit.Stream)
+	runTable.Must(&run.state, endRun)
+	delete(owner.runs, run.submit.Stream)
 }
 
-func (owner *Owner) unpin(found *run) {
-	owner.release(found.slot)
+func (owner *Owner) unpin(run *run) {
+	owner.releasePin(run.slot)
 }
 
 func outcomeOf(result Result) outcome.Outcome {
@@ -281,32 +287,32 @@
 	case ResultFenced:
 		return outcome.Refused(outcome.NotOwner, 0)
 	case ResultTruncated:
-		return outcome.Lost(outcome.Truncated)
+		return outcome.MayHaveRun(outcome.Truncated)
 	case ResultCancelled:
-		return outcome.Lost(outcome.Cancelled)
+		return outcome.MayHaveRun(outcome.Cancelled)
 	default:
-		return outcome.Lost(outcome.EngineLost)
+		return outcome.MayHaveRun(outcome.EngineLost)
 	}
 }
 
-// refuse ends a run that no engine received.
+// refuse ends a run that was not sent to the engine.
 func (owner *Owner) refuse(waiting *run, refusal outcome.Outcome) {
-	invariant.Check(waiting.state == runWaiting, "not run is said only of a run that was not dispatched",
+	invariant.Check(waiting.state == runWaiting, "only a run that was not dispatched is refused as not run",
 		"run %s is %s", waiting.submit.Stream, waiting.state)
-	owner.tell(waiting, refusal, 0)
+	owner.sendEnded(waiting, refusal, 0)
 	runTable.Must(&waiting.state, endRun)
 	delete(owner.runs, waiting.submit.Stream)
 }
 
-// tell sends the entry the end of an attempt, once.
-func (owner *Owner) tell(found *run, ended outcome.Outcome, chunks uint64) {
-	if found.told {
+// sendEnded sends the entry the Ended message of an attempt, once.
+func (owner *Owner) sendEnded(run *run, ended outcome.Outcome, chunks uint64) {
+	if run.endedSent {
 		return
 	}
-	found.told = true
-	owner.emit(effect.Send{To: found.entry, Message: message.Ended{
-		Stream:     found.submit.Stream,
-		Class:      found.submit.Request.Class,
+	run.endedSent = true
+	owner.emit(effect.Send{To: run.entry, Message: message.Ended{
+		Stream:     run.submit.Stream,
+		Class:      run.submit.Request.Class,
 		Outcome:    ended,
 		Dispatched: ended.Kind != outcome.NotRun,
 		Chunks:     chunks,
--- a/internal/decide/owner/slot.go
+++ b/internal/decide/owner/slot.go
@@ -43,22 +43,25 @@
 type slot struct {
 	state   slotState
 	adapter ident.Adapter
-	// pins counts runs that the engine has not confirmed as over.
+	// pins is the number of dispatched runs of the adapter whose end the engine has
+	// not confirmed.
 	pins int
-	// queued counts ready requests that wait for room in the batch.
+	// queued is the number of ready requests that wait for room in the batch.
 	queued   int
 	lastUsed clock.Millis
-	// next is the adapter to load once the present one is unloaded.
+	// next is the adapter to load after the current one is unloaded.
 	next ident.Adapter
-	// unloadFailed waits for a report to show whether the adapter is still there.
+	// unloadFailed is set after a failed unload, until a report shows whether the
+	// adapter is still loaded.
 	unloadFailed bool
-	// yielding takes no further runs, to become free for another adapter.
+	// yielding is set while the slot gets no further runs, so that it becomes free for
+	// another adapter.
 	yielding bool
-	// served says that a run has used the adapter since it was loaded.
+	// served is set if a run has used the adapter since it was loaded.
 	served bool
 }
 
-// serves reports whether the slot holds, or will shortly hold, its adapter.
+// serves reports whether the adapter is loaded or being loaded.
 func (slot *slot) serves() bool {
 	return slot.state == slotLoading || slot.state == slotReady
 }
@@ -67,39 +70,40 @@
 	slot.lastUsed = now
 }
 
-// worth is what keeping a slot's adapter is worth.
-func (owner *Owner) worth(now clock.Millis, slot *slot) float64 {
-	return owner.options.Eviction.Worth(now, Use{
+// evictionValue returns the value of keeping a slot's adapter.
+func (owner *Owner) evictionValue(now clock.Millis, slot *slot) float64 {
+	return owner.options.Eviction.Value(now, AdapterUse{
 		Adapter: slot.adapter, LastUsed: slot.lastUsed, Count: owner.frequency.count(now, slot.adapter),
 	})
 }
 
-// noSpare is announced by an engine all of whose slots are in use.
-const noSpare = 1000
+// spareWhenNoneEvictable is the Spare value of an engine whose slots are all in use.
+const spareWhenNoneEvictable = 1000
 
-// spare is what the adapter that would be evicted next is worth.
+// spare returns the value of the adapter that would be evicted next, and 0 if a slot
+// is empty.
 func (owner *Owner) spare(now clock.Millis) float64 {
-	at := owner.findRoom(now, config.Urgent)
+	at := owner.findSlot(now, config.Urgent)
 	switch {
 	case at < 0:
-		return noSpare
+		return spareWhenNoneEvictable
 	case owner.slots[at].state == slotEmpty:
 		return 0
 	}
-	return owner.worth(now, &owner.slots[at])
+	return owner.evictionValue(now, &owner.slots[at])
 }
 
-// readySlot finds the slot that an adapter can run from now.
+// readySlot returns the slot in which requests for the adapter can run now.
 func (owner *Owner) readySlot(adapter ident.Adapter) (at int, ready bool) {
 	at, held := owner.resident[adapter]
 	return at, held && owner.slots[at].state == slotReady && !owner.slots[at].yielding
 }
 
-// findRoom returns a slot to load into for a request of a class: an empty one,
-// else the one of least worth that is ready and not in use; -1 when there is
-// none. While an urgent request waits for a slot, one that yields is not for
-// routine ones: they would take it, and the next slot would have to yield.
-func (owner *Owner) findRoom(now clock.Millis, class config.Class) int {
+// findSlot returns a slot to load into for a request of a class: an empty slot, or
+// else a yielding slot or the ready slot with the lowest eviction value, if it is
+// not in use; -1 if there is none. While an urgent request waits for a slot, routine
+// requests do not get the yielding one; otherwise the next slot would have to yield.
+func (owner *Owner) findSlot(now clock.Millis, class config.Class) int {
 	found, least := -1, 0.0
 	for i := range owner.slots {
 		slot := &owner.slots[i]
@@ -115,9 +119,9 @@
 			}
 			return i
 		}
-		worth := owner.worth(now, slot)
-		if found < 0 || worth < least {
-			found, least = i, worth
+		value := owner.evictionValue(now, slot)
+		if found < 0 || value < least {
+			found, least = i, value
 		}
 	}
 	return found
@@ -133,6 +137,7 @@
 	owner.emit(effect.Load{Engine: owner.Engine.Name, Adapter: adapter, Fence: owner.Fence})
 }
 
+// evict starts to unload a slot's adapter so that next can be loaded into it.
 func (owner *Owner) evict(now clock.Millis, at int, next ident.Adapter) {
 	slot := &owner.slots[at]
 	invariant.Check(slot.pins == 0, "an adapter in use is never evicted",
@@ -148,8 +153,8 @@
 	})
 }
 
-// Unloaded takes in the end of an unload order.
-func (owner *Owner) Unloaded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
+// UnloadEnded handles the end of an unload order.
+func (owner *Owner) UnloadEnded(now clock.Millis, adapter ident.Adapter, failed bool) []effect.Effect {
 	for i := range owner.slots {
 		slot := &owner.slots[i]
 		if slot.state != slotUnloading || slot.adapter != adapter {
@@ -169,29 +174,30 @@
 		break
 	}
 	owner.advance(now)
-	return owner.take()
+	return owner.takeEffects()
 }
 
-// holds reports whether a slot holds the adapter. It may have been loaded by a
-// former owner after this one asked for a load of it.
+// holds reports whether the adapter is loaded or being loaded. A former owner may
+// have loaded it after this owner requested its load.
 func (owner *Owner) holds(adapter ident.Adapter) bool {
 	_, held := owner.resident[adapter]
 	return held
 }
 
-// abandonLoad gives up a load whose turn has come but which cannot begin.
+// abandonLoad returns the lease of a granted load that cannot start.
 func (owner *Owner) abandonLoad(adapter ident.Adapter) {
-	if wanted := owner.backlog.wants[adapter]; wanted != nil {
-		wanted.granted = false
-		wanted.asked = demand{}
+	if wanted := owner.backlog.wanted[adapter]; wanted != nil {
+		wanted.loadStarted = false
+		wanted.requested = loadDemand{}
 	}
-	owner.returnUnused(adapter)
+	owner.returnUnusedLease(adapter)
 }
 
-// loadNext loads what a slot was emptied for, unless nobody waits for it now.
+// loadNext loads the adapter that a slot was emptied for, unless no request waits for
+// it any more.
 func (owner *Owner) loadNext(at int) {
 	adapter := owner.slots[at].next
-	wanted := owner.backlog.wants[adapter]
+	wanted := owner.backlog.wanted[adapter]
 	if owner.holds(adapter) {
 		owner.abandonLoad(adapter)
 		return
@@ -200,6 +206,6 @@
 		owner.load(at, adapter)
 		return
 	}
-	delete(owner.backlog.wants, adapter)
-	owner.returnUnused(adapter)
+	delete(owner.backlog.wanted, adapter)
+	owner.returnUnusedLease(adapter)
 }
--- a/internal/decide/owner/takeover.go
+++ b/internal/decide/owner/takeover.go
@@ -12,45 +12,49 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// transitSpan is the span after its dispatch within which a run shows up in the
-// engine's reports.
-const transitSpan = clock.Second
+// maxReportDelay is the maximum time from the dispatch of a run until the engine's
+// reports list it.
+const maxReportDelay = clock.Second
 
-// noSlot marks a run whose adapter is in no known slot.
+// noSlot is the slot index of a run whose adapter is in no known slot.
 const noSlot = -1
 
-// takeover is what an owner keeps because another may have come before it.
+// takeover is the state needed to take over from a former owner and to hand over to
+// the next one.
 type takeover struct {
-	// quietUntil is when a report must have been taken before anything is evicted.
+	// quietUntil is the end of the quiet period: nothing is evicted before a report
+	// that was created at this time or later.
 	quietUntil clock.Millis
-	// unseen says that the engine may still take orders under an older number.
-	unseen bool
+	// fenceUnconfirmed is set while the engine may still accept orders with an older
+	// fencing number.
+	fenceUnconfirmed bool
 	// foreign holds unfinished runs that another owner dispatched, by run id.
 	foreign map[string]*foreignRun
-	// suspended says that no run may be dispatched and no other order given.
+	// suspended is set while no run, load or unload may be started.
 	suspended bool
-	// retired says that the engine has another owner; only runs end here.
+	// retired is set once the ownership has ended. Only the results of unfinished
+	// runs are still handled.
 	retired bool
-	// unloadedAt is the end of the last unload order.
+	// unloadedAt is when the last unload order ended.
 	unloadedAt clock.Millis
-	// residency rises with every change of what is loaded.
-	residency uint64
-	// shown is what the last residency number stands for.
-	shown, shownWanted []ident.Adapter
+	// residencyVersion increases with every change of the loaded or wanted adapters.
+	residencyVersion uint64
+	// lastResident and lastWanted are the adapters at the current residencyVersion.
+	lastResident, lastWanted []ident.Adapter
 }
 
-// foreignRun is a run of a former owner; it pins its adapter until a report no
-// longer shows it.
+// foreignRun is a run of a former owner. Its adapter stays pinned until a report no
+// longer lists the run.
 type foreignRun struct {
 	adapter ident.Adapter
 	slot    int
-	// seen says that a report has shown it.
-	seen bool
+	// reported is set once a report has listed the run.
+	reported bool
 }
 
-// TakeOver begins a quiet period: nothing is evicted until a report taken at
-// the given time or later shows what a former owner left. Runs that it handed
-// over are pinned at once.
+// TakeOver starts a quiet period, in which nothing is evicted. It ends with a report
+// created at the given time or later, which shows what the former owner left. The
+// adapters of the runs that the former owner handed over are pinned at once.
 func (owner *Owner) TakeOver(quietUntil clock.Millis, runs []message.UnfinishedRun) {
 	owner.takeover.quietUntil = max(owner.takeover.quietUntil, quietUntil)
 	for _, handed := range runs {
@@ -60,116 +64,120 @@
 	}
 }
 
-// AwaitNumber holds evictions back until the engine has seen this owner's number:
-// before, it takes orders of a former owner that does not know of this one.
-func (owner *Owner) AwaitNumber() {
-	owner.takeover.unseen = true
+// AwaitFence prevents evictions until the engine has received this owner's fencing
+// number. Until then, the engine accepts orders of a former owner that does not know
+// about this one.
+func (owner *Owner) AwaitFence() {
+	owner.takeover.fenceUnconfirmed = true
 }
 
-// NumberSeen says that the engine refuses older numbers from now on. Reports from
-// the given time on show all that former owners began.
-func (owner *Owner) NumberSeen(quietUntil clock.Millis) {
-	if owner.takeover.unseen {
-		owner.takeover.unseen = false
+// FenceConfirmed records that the engine now refuses older fencing numbers. Reports
+// created at the given time or later show everything that former owners started.
+func (owner *Owner) FenceConfirmed(quietUntil clock.Millis) {
+	if owner.takeover.fenceUnconfirmed {
+		owner.takeover.fenceUnconfirmed = false
 		owner.takeover.quietUntil = max(owner.takeover.quietUntil, quietUntil)
 	}
 }
 
-// NumberUnseen reports whether the engine is not known to have seen the number.
-func (owner *Owner) NumberUnseen() bool {
-	return owner.takeover.unseen
+// FenceUnconfirmed reports whether the engine may not have received the fencing number
+// yet.
+func (owner *Owner) FenceUnconfirmed() bool {
+	return owner.takeover.fenceUnconfirmed
 }
 
-// Suspend allows or forbids dispatches and orders. Reports, cancels and the
-// ends of runs are taken in either way.
+// Suspend forbids or allows dispatches, loads and unloads. Reports, cancels and the
+// ends of runs are handled in either case.
 func (owner *Owner) Suspend(suspended bool) {
 	owner.takeover.suspended = suspended
 }
 
-// Ordering reports whether an unload order has not ended. An engine that ignores
-// fencing numbers would still carry it out after a handover.
-func (owner *Owner) Ordering() bool {
+// UnloadInProgress reports whether an unload order is in progress. An engine that ignores
+// fencing numbers would carry it out even after a handover.
+func (owner *Owner) UnloadInProgress() bool {
 	return slices.ContainsFunc(owner.slots, func(slot slot) bool {
 		return slot.state == slotUnloading && !slot.unloadFailed
 	})
 }
 
-// HandedRuns lists the unfinished runs, for the next owner.
-func (owner *Owner) HandedRuns() []message.UnfinishedRun {
-	var handed []message.UnfinishedRun
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting {
-			handed = append(handed, message.UnfinishedRun{
-				Stream: found.submit.Stream, Entry: found.entry, Adapter: found.submit.Request.Adapter,
+// UnfinishedRuns returns the unfinished runs, for the next owner.
+func (owner *Owner) UnfinishedRuns() []message.UnfinishedRun {
+	var unfinished []message.UnfinishedRun
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting {
+			unfinished = append(unfinished, message.UnfinishedRun{
+				Stream: run.submit.Stream, Entry: run.entry, Adapter: run.submit.Request.Adapter,
 			})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(owner.takeover.foreign)) {
 		if stream, err := ident.ParseStreamID(id); err == nil {
-			handed = append(handed, message.UnfinishedRun{
+			unfinished = append(unfinished, message.UnfinishedRun{
 				Stream: stream, Entry: stream.Daemon, Adapter: owner.takeover.foreign[id].adapter,
 			})
 		}
 	}
-	return handed
+	return unfinished
 }
 
-// Retire ends the ownership. What waits is refused, truly as not run; runs at
-// the engine go on to their end, and a cancel under way is the next owner's.
+// Retire ends the ownership. Waiting requests are refused as not run. Runs at the
+// engine continue until they end, and the next owner takes over unconfirmed cancels.
 func (owner *Owner) Retire() []effect.Effect {
 	owner.takeover.retired = true
 	owner.takeover.suspended = true
 	owner.refuseWaiting(outcome.NotOwner)
-	for _, found := range owner.sortedRuns() {
-		if found.state == runCancelling {
-			owner.finish(found, RunResult{Stream: found.submit.Stream, Result: ResultLost})
+	for _, run := range owner.sortedRuns() {
+		if run.state == runCancelling {
+			owner.finish(run, RunResult{Stream: run.submit.Stream, Result: ResultLost})
 		}
 	}
-	return owner.take()
+	return owner.takeEffects()
 }
 
-// TakeWaiting removes the requests that have not been dispatched and returns
-// them in order of their streams, for the next owner.
-func (owner *Owner) TakeWaiting(now clock.Millis) []message.Submit {
+// RemoveWaiting removes the requests that were not dispatched and returns them in
+// order of their streams, for the next owner.
+func (owner *Owner) RemoveWaiting(now clock.Millis) []message.Submit {
 	var submits []message.Submit
-	for _, found := range owner.sortedRuns() {
-		if found.state != runWaiting {
+	for _, run := range owner.sortedRuns() {
+		if run.state != runWaiting {
 			continue
 		}
-		owner.dequeue(found)
-		submit := found.submit
-		submit.Budget, submit.Entry = found.deadline-now, found.entry
+		owner.dequeue(run)
+		submit := run.submit
+		submit.Budget, submit.Entry = run.deadline-now, run.entry
 		submits = append(submits, submit)
-		runTable.Must(&found.state, endRun)
+		runTable.Must(&run.state, endRun)
 		delete(owner.runs, submit.Stream)
 	}
 	return submits
 }
 
-// SetDraining stops new work while the engine is leaving, or allows it again.
+// SetDraining refuses waiting and new requests while the engine is leaving, or
+// accepts requests again.
 func (owner *Owner) SetDraining(draining bool) []effect.Effect {
 	if draining && !owner.draining {
 		owner.refuseWaiting(outcome.NoEngine)
 	}
 	owner.draining = draining
-	return owner.take()
+	return owner.takeEffects()
 }
 
-// refuseWaiting refuses every request that has not been dispatched.
+// refuseWaiting refuses all requests that were not dispatched.
 func (owner *Owner) refuseWaiting(reason outcome.Reason) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runWaiting {
-			owner.dequeue(found)
-			owner.refuse(found, outcome.Refused(reason, 0))
+	for _, run := range owner.sortedRuns() {
+		if run.state == runWaiting {
+			owner.dequeue(run)
+			owner.refuse(run, outcome.Refused(reason, 0))
 		}
 	}
 }
 
-// mayEvict reports whether the quiet period after a takeover is over.
+// mayEvict reports whether the quiet period after a takeover has ended.
 func (owner *Owner) mayEvict() bool {
-	return !owner.takeover.unseen && owner.reportedAt >= owner.takeover.quietUntil
+	return !owner.takeover.fenceUnconfirmed && owner.reportedAt >= owner.takeover.quietUntil
 }
 
+// pinForeign records a run of a former owner and pins its adapter.
 func (owner *Owner) pinForeign(id string, adapter ident.Adapter) *foreignRun {
 	if known, found := owner.takeover.foreign[id]; found {
 		return known
@@ -183,7 +191,7 @@
 	return pinned
 }
 
-// pinSlot pins the slot that serves the adapter, if there is one.
+// pinSlot pins the slot that holds the adapter and returns its index, or noSlot.
 func (owner *Owner) pinSlot(adapter ident.Adapter) int {
 	at, held := owner.resident[adapter]
 	if !held {
@@ -193,16 +201,16 @@
 	return at
 }
 
-// unplace takes the pins off a slot that turned out to be empty. Runs of a former
-// owner, or resumed ones, may have been pinned to an adapter while it was being
-// loaded; they are pinned anew when a report shows where their adapter is.
-func (owner *Owner) unplace(at int) {
+// clearPins removes the pins of a slot whose load failed. Runs of a former owner and
+// resumed runs may have pinned the adapter while it was being loaded. They are
+// pinned again when a report shows where their adapter is.
+func (owner *Owner) clearPins(at int) {
 	if owner.slots[at].pins == 0 {
 		return
 	}
-	for _, found := range owner.runs {
-		if found.state != runWaiting && found.slot == at {
-			found.slot = noSlot
+	for _, run := range owner.runs {
+		if run.state != runWaiting && run.slot == at {
+			run.slot = noSlot
 		}
 	}
 	for _, foreign := range owner.takeover.foreign {
@@ -213,8 +221,8 @@
 	owner.slots[at].pins = 0
 }
 
-// release gives a pin and the run's place in the batch back.
-func (owner *Owner) release(at int) {
+// releasePin releases a run's pin and its place in the batch.
+func (owner *Owner) releasePin(at int) {
 	invariant.Check(owner.running > 0, "every run leaves the batch once", "slot %d", at)
 	owner.running--
 	if at == noSlot {
@@ -225,8 +233,8 @@
 	slot.pins--
 }
 
-// trackForeign pins every reported run that is not this owner's, and releases
-// those that a later report no longer shows.
+// trackForeign pins the adapters of reported runs that are not this owner's, and
+// releases the pins of runs that a later report no longer lists.
 func (owner *Owner) trackForeign(takenAt clock.Millis, report Report) {
 	reported := make(map[string]bool, len(report.Runs))
 	for _, running := range report.Runs {
@@ -236,25 +244,26 @@
 			continue
 		}
 		foreign := owner.pinForeign(running.Run, running.Adapter)
-		foreign.seen = true
+		foreign.reported = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(owner.takeover.foreign)) {
 		foreign := owner.takeover.foreign[id]
 		if foreign.slot == noSlot {
 			foreign.slot = owner.pinSlot(foreign.adapter)
 		}
-		if !reported[id] && (foreign.seen || takenAt >= owner.takeover.quietUntil) {
-			owner.release(foreign.slot)
+		if !reported[id] && (foreign.reported || takenAt >= owner.takeover.quietUntil) {
+			owner.releasePin(foreign.slot)
 			delete(owner.takeover.foreign, id)
 		}
 	}
 }
 
-// voidForeign forgets the runs of former owners that were lost in a restart of
-// the engine. One that was handed over and never seen may still turn up.
-func (owner *Owner) voidForeign(takenAt clock.Millis) {
+// dropLostForeign removes the runs of former owners that a restart of the engine has
+// ended. A run that was handed over but not reported yet may still appear in the
+// next reports, so it stays until the quiet period ends.
+func (owner *Owner) dropLostForeign(takenAt clock.Millis) {
 	for id, foreign := range owner.takeover.foreign {
-		if foreign.seen || takenAt >= owner.takeover.quietUntil {
+		if foreign.reported || takenAt >= owner.takeover.quietUntil {
 			delete(owner.takeover.foreign, id)
 			continue
 		}
@@ -263,8 +272,8 @@
 	}
 }
 
-// resume takes over an attempt that an earlier owner may have dispatched. It
-// does not queue: the engine is asked for the run at once, and begins none.
+// resume takes over an attempt that a former owner may have dispatched. It is not
+// queued: the engine is asked at once for the existing run and starts no new one.
 func (owner *Owner) resume(now clock.Millis, resumed *run) {
 	id := resumed.submit.Stream.String()
 	slot := noSlot
@@ -279,38 +288,40 @@
 	resumed.slot = slot
 	resumed.resumed = true
 	resumed.dispatchedAt = now
-	owner.start(resumed, true, resumed.submit.Received)
+	owner.emitStartRun(resumed, true, resumed.submit.Received)
 }
 
-// unknownRun judges a resumed run that the engine does not know. An engine that
-// checks fencing numbers will take it from no earlier owner any more, so within
-// one boot it never ran; the next report shows whether the boot is still that.
-func (owner *Owner) unknownRun(now clock.Millis, found *run, result RunResult) {
-	submit := found.submit
+// handleUnknownRun handles a resumed run that the engine does not know. An engine
+// that checks fencing numbers accepts the run from no former owner any more, so if
+// it has not restarted, the run never started. The next report shows whether the
+// boot id is unchanged.
+func (owner *Owner) handleUnknownRun(now clock.Millis, run *run, result RunResult) {
+	submit := run.submit
 	provable := owner.Engine.ChecksFencing && submit.PriorBoot != "" && submit.PriorFence < owner.Fence && submit.Received == 0
-	if !provable || found.state != runDispatched {
-		owner.finish(found, result)
+	if !provable || run.state != runDispatched {
+		owner.finish(run, result)
 		return
 	}
-	found.unknownAt = now
+	run.unknownAt = now
 }
 
-// settleUnknown ends the runs that wait for a report to be judged by.
-func (owner *Owner) settleUnknown(takenAt clock.Millis) {
-	for _, found := range owner.sortedRuns() {
-		if found.unknownAt == 0 || takenAt <= found.unknownAt {
+// resolveUnknownRuns ends the runs that the engine did not know, once a newer report
+// shows whether the engine has restarted.
+func (owner *Owner) resolveUnknownRuns(takenAt clock.Millis) {
+	for _, run := range owner.sortedRuns() {
+		if run.unknownAt == 0 || takenAt <= run.unknownAt {
 			continue
 		}
-		result := RunResult{Stream: found.submit.Stream, Result: ResultUnknownRun}
-		if found.submit.PriorBoot == owner.boot {
+		result := RunResult{Stream: run.submit.Stream, Result: ResultUnknownRun}
+		if run.submit.PriorBoot == owner.boot {
 			result.Result = resultNeverRan
 		}
-		owner.finish(found, result)
+		owner.finish(run, result)
 	}
 }
 
-// reconcile brings the slots in line with a report: what a former owner loaded
-// late, and what the engine no longer holds.
+// reconcile updates the slots from a report: it adds adapters that a former owner
+// loaded late and removes adapters that the engine no longer holds.
 func (owner *Owner) reconcile(now, takenAt clock.Millis, report Report) {
 	present := make(map[ident.Adapter]bool, len(report.Resident))
 	for _, adapter := range report.Resident {
@@ -336,12 +347,13 @@
 		delete(owner.resident, slot.adapter)
 		*slot = emptySlot()
 	case slot.state == slotUnloading && slot.unloadFailed && takenAt > owner.takeover.unloadedAt:
-		owner.settleUnload(at, present[slot.adapter])
+		owner.resolveFailedUnload(at, present[slot.adapter])
 	}
 }
 
-// settleUnload ends a failed unload by what the report shows.
-func (owner *Owner) settleUnload(at int, present bool) {
+// resolveFailedUnload ends a failed unload: a report shows whether the adapter is
+// still loaded.
+func (owner *Owner) resolveFailedUnload(at int, present bool) {
 	slot := &owner.slots[at]
 	slot.unloadFailed = false
 	if !present {
@@ -358,6 +370,7 @@
 	})
 }
 
+// fillSlot adds an adapter that the engine holds to an empty slot.
 func (owner *Owner) fillSlot(now clock.Millis, adapter ident.Adapter) {
 	for i := range owner.slots {
 		if owner.slots[i].state == slotEmpty {
@@ -372,21 +385,21 @@
 	return slot{state: slotEmpty}
 }
 
-// cancelForeign asks the engine to end a former owner's run; the pin stays until
-// a report no longer shows it.
+// cancelForeign asks the engine to end a former owner's run. The pin stays until a
+// report no longer lists the run.
 func (owner *Owner) cancelForeign(stream ident.StreamID) {
 	if _, known := owner.takeover.foreign[stream.String()]; known && !owner.takeover.retired {
 		owner.emit(effect.CancelRun{Stream: stream, Engine: owner.Engine.Name, Fence: owner.Fence})
 	}
 }
 
-// Residency returns a number that rises with every change of what is loaded or
-// wanted.
-func (owner *Owner) Residency(resident, wanted []ident.Adapter) uint64 {
+// ResidencyVersion returns a version that increases with every change of the loaded or
+// wanted adapters.
+func (owner *Owner) ResidencyVersion(resident, wanted []ident.Adapter) uint64 {
 	takeover := &owner.takeover
-	if takeover.residency == 0 || !slices.Equal(resident, takeover.shown) || !slices.Equal(wanted, takeover.shownWanted) {
-		takeover.residency++
-		takeover.shown, takeover.shownWanted = resident, wanted
+	if takeover.residencyVersion == 0 || !slices.Equal(resident, takeover.lastResident) || !slices.Equal(wanted, takeover.lastWanted) {
+		takeover.residencyVersion++
+		takeover.lastResident, takeover.lastWanted = resident, wanted
 	}
-	return owner.takeover.residency
+	return owner.takeover.residencyVersion
 }
--- a/internal/decide/owner/yield.go
+++ b/internal/decide/owner/yield.go
@@ -6,16 +6,17 @@
 	"teaselmoor/internal/control/config"
 )
 
-// makeRoom lets a slot yield when every slot is in use and an adapter waits for
-// one: it takes no further runs, so that it is free when its present ones have
-// ended. For an urgent request that happens at once, and repeatable routine runs
-// are cancelled; for a routine one after RoomWait. One slot yields at a time.
-func (owner *Owner) makeRoom(now clock.Millis, wanted *want) {
+// yieldSlot marks a slot as yielding if every slot is in use and an adapter waits for
+// one. A yielding slot gets no further runs, so it becomes free when its current
+// runs have ended. An urgent request makes a slot yield at once, and repeatable
+// routine runs in it are cancelled; a routine request does so after a
+// delay. At most one slot yields at a time.
+func (owner *Owner) yieldSlot(now clock.Millis, wanted *wantedAdapter) {
 	urgent := wanted.demand().class == config.Urgent
-	if owner.options.RoomWait == 0 {
+	if owner.options.YieldDelay == 0 {
 		return
 	}
-	if !urgent && now-wanted.since < owner.options.RoomWait || !owner.mayEvict() {
+	if !urgent && now-wanted.wantedSince < owner.options.YieldDelay || !owner.mayEvict() {
 		return
 	}
 	at := owner.yieldingSlot()
@@ -25,13 +26,14 @@
 			return
 		}
 		owner.slots[at].yielding = true
-		owner.park()
+		owner.requeueReady()
 	}
 	if urgent {
 		owner.cancelRoutine(now, at)
 	}
 }
 
+// yieldingSlot returns the index of the yielding slot, or -1.
 func (owner *Owner) yieldingSlot() int {
 	for i := range owner.slots {
 		if owner.slots[i].yielding {
@@ -41,77 +43,83 @@
 	return -1
 }
 
-// slotToYield returns the slot that frees most cheaply: with the fewest runs
-// that have to be waited for, then of least worth. For a routine request it is
-// one that has served a run since its load: two adapters whose requests wait for
-// room in the batch would otherwise load in turns, and neither would run.
+// slotToYield returns the slot with the fewest runs that must be waited for and, among
+// those, the lowest eviction value; -1 if there is none. For a routine request the
+// slot must have served a run since its adapter was loaded. Otherwise two adapters
+// whose requests wait for room in the batch would replace each other before either
+// could run.
 func (owner *Owner) slotToYield(now clock.Millis, urgent bool) int {
-	waits := make([]int, len(owner.slots))
+	blocking := make([]int, len(owner.slots))
 	for i := range owner.slots {
-		waits[i] = owner.slots[i].pins
+		blocking[i] = owner.slots[i].pins
 	}
-	for _, found := range owner.runs {
-		if found.state != runWaiting && found.slot >= 0 && cancellable(found) {
-			waits[found.slot]--
+	for _, run := range owner.runs {
+		if run.state != runWaiting && run.slot >= 0 && cancellable(run) {
+			blocking[run.slot]--
 		}
 	}
-	best, worth := -1, 0.0
+	best, lowest := -1, 0.0
 	for i := range owner.slots {
 		slot := &owner.slots[i]
 		if slot.state != slotReady || owner.urgentQueued(slot.adapter) || !urgent && !slot.served {
 			continue
 		}
-		own := owner.worth(now, slot)
-		if best < 0 || waits[i] < waits[best] || waits[i] == waits[best] && own < worth {
-			best, worth = i, own
+		value := owner.evictionValue(now, slot)
+		if best < 0 || blocking[i] < blocking[best] || blocking[i] == blocking[best] && value < lowest {
+			best, lowest = i, value
 		}
 	}
 	return best
 }
 
-// cancellable reports whether cancelling a run costs no more than its repetition.
-func cancellable(found *run) bool {
-	request := &found.submit.Request
+// cancellable reports whether a run can be cancelled at no cost other than running
+// it again.
+func cancellable(run *run) bool {
+	request := &run.submit.Request
 	return request.Class == config.Routine && request.Repeatable && !request.Streaming
 }
 
+// urgentQueued reports whether an urgent request for the adapter is in the ready
+// queue.
 func (owner *Owner) urgentQueued(adapter ident.Adapter) bool {
 	return owner.backlog.ready.Any(config.Urgent, func(waiting *run) bool {
 		return waiting.submit.Request.Adapter == adapter
 	})
 }
 
-// urgentWanted reports whether an urgent request waits for a load to begin.
+// urgentWanted reports whether an urgent request waits for a load that has not
+// started.
 func (owner *Owner) urgentWanted() bool {
-	for adapter, wanted := range owner.backlog.wants {
-		if !wanted.granted && wanted.queue.Len(config.Urgent) > 0 && !owner.holds(adapter) {
+	for adapter, wanted := range owner.backlog.wanted {
+		if !wanted.loadStarted && wanted.queue.Len(config.Urgent) > 0 && !owner.holds(adapter) {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelRoutine cancels the repeatable routine runs of a slot. Their pins stay
-// until the engine confirms.
+// cancelRoutine cancels the cancellable routine runs of a slot. Their pins stay until
+// the engine confirms that the runs have ended.
 func (owner *Owner) cancelRoutine(now clock.Millis, at int) {
-	for _, found := range owner.sortedRuns() {
-		if found.state == runDispatched && found.slot == at && cancellable(found) {
-			owner.cancel(now, found)
+	for _, run := range owner.sortedRuns() {
+		if run.state == runDispatched && run.slot == at && cancellable(run) {
+			owner.cancel(now, run)
 		}
 	}
 }
 
-// keepSlots ends the yielding when nothing waits for a slot any more.
-func (owner *Owner) keepSlots() {
+// endYield makes the yielding slot accept runs again if no other adapter waits for a
+// slot any more.
+func (owner *Owner) endYield() {
 	at := owner.yieldingSlot()
 	if at < 0 {
 		return
 	}
-	for adapter, wanted := range owner.backlog.wants {
-		if adapter != owner.slots[at].adapter && !wanted.granted {
+	for adapter, wanted := range owner.backlog.wanted {
+		if adapter != owner.slots[at].adapter && !wanted.loadStarted {
 			return
 		}
 	}
 	owner.slots[at].yielding = false
-	owner.settleWant(owner.slots[at].adapter)
+	owner.moveReady(owner.slots[at].adapter)
 }
--- a/internal/decide/ownership/options.go
+++ b/internal/decide/ownership/options.go
@@ -2,49 +2,50 @@
 
 import "teaselmoor/internal/base/clock"
 
-// Options are the spans that ownership rests on. Those of the platform (list
-// lag, clock margin, order span) are assumptions: exclusive ownership of an
-// engine that ignores fencing numbers holds only while they do.
+// Options are the time limits of ownership. Those of the platform (list lag, clock
+// margin, order delay) are assumptions: the ownership of an engine that ignores
+// fencing numbers is exclusive only as long as they hold.
 type Options struct {
-	// ViewAge is the age of the VM list up to which an owner gives orders.
-	ViewAge clock.Millis
-	// ListLag is the longest span by which the list lags behind the truth.
+	// MaxListAge is the maximum age of the VM list at which an owner gives orders.
+	MaxListAge clock.Millis
+	// ListLag is the maximum delay until the VM list shows a change.
 	ListLag clock.Millis
-	// ClockMargin is the largest difference between the wall clocks of two VMs.
+	// ClockMargin is the maximum difference between the wall clocks of two VMs.
 	ClockMargin clock.Millis
-	// HandoverSpan is the age up to which a handover replaces the hold-down.
-	HandoverSpan clock.Millis
-	// OrderSpan is the longest span between the decision to give an order and
-	// its arrival at the engine.
-	OrderSpan clock.Millis
-	// ReportLag is the longest span by which a report is older than it says.
+	// MaxHandoverAge is the maximum age of a handover that replaces the hold-down.
+	MaxHandoverAge clock.Millis
+	// MaxOrderDelay is the maximum time from the decision to give an order until it
+	// arrives at the engine.
+	MaxOrderDelay clock.Millis
+	// ReportLag is the maximum time by which a report is older than its stated age.
 	ReportLag clock.Millis
-	// Suspicion is the silence after which a daemon of the same data centre is
-	// passed over for engines that check fencing numbers.
-	Suspicion clock.Millis
-	// Pause is the gap between two steps that counts as a pause of the process.
-	Pause clock.Millis
+	// SilenceTimeout is the time without messages after which a daemon of the same data
+	// centre is skipped as a candidate for engines that check fencing numbers.
+	SilenceTimeout clock.Millis
+	// MaxStepGap is the longest gap between two steps that does not count as a pause of
+	// the process.
+	MaxStepGap clock.Millis
 }
 
-// DefaultOptions returns the spans used when settings name none.
+// DefaultOptions returns the time limits used if the settings do not set them.
 func DefaultOptions() Options {
 	return Options{
-		ViewAge:      2 * clock.Second,
-		ListLag:      clock.Second,
-		ClockMargin:  250 * clock.Millisecond,
-		HandoverSpan: 250 * clock.Millisecond,
-		OrderSpan:    250 * clock.Millisecond,
-		ReportLag:    500 * clock.Millisecond,
-		Suspicion:    2 * clock.Second,
-		Pause:        500 * clock.Millisecond,
+		MaxListAge:     2 * clock.Second,
+		ListLag:        clock.Second,
+		ClockMargin:    250 * clock.Millisecond,
+		MaxHandoverAge: 250 * clock.Millisecond,
+		MaxOrderDelay:  250 * clock.Millisecond,
+		ReportLag:      500 * clock.Millisecond,
+		SilenceTimeout: 2 * clock.Second,
+		MaxStepGap:     500 * clock.Millisecond,
 	}
 }
 
-// HoldDown is the span for which the next daemon waits, from its first reading
-// of a list that makes it the first candidate. After it, no former owner can
-// have an order under way: the last list that still named that owner was read
-// within ListLag, acted upon for ViewAge, and its last order or handover took
-// OrderSpan or HandoverSpan.
+// HoldDown returns how long a daemon waits after it first reads a VM list that makes
+// it the first candidate. After that time no order of a former owner can be in
+// progress: the former owner read the last list that still named it within the list
+// lag and acted on it up to the maximum list age, and its last order or handover
+// arrived within its own maximum delay.
 func (options Options) HoldDown() clock.Millis {
-	return options.ViewAge + options.ListLag + options.ClockMargin + options.HandoverSpan + options.OrderSpan
+	return options.MaxListAge + options.ListLag + options.ClockMargin + options.MaxHandoverAge + options.MaxOrderDelay
 }
--- a/internal/decide/ownership/rendezvous.go
+++ b/internal/decide/ownership/rendezvous.go
@@ -1,6 +1,7 @@
-// Package ownership decides which daemon may give orders to an engine. There is
-// no consensus: every daemon computes the same order of candidates from the
-// published VM list, and engines or waiting times settle what is left.
+// Package ownership decides which daemon may give orders to an engine. It uses no
+// consensus protocol: every daemon computes the same ranking of candidates from the
+// published VM list. While daemons have different lists, fencing numbers that the
+// engine checks, or else waiting times, prevent two owners.
 package ownership
 
 import (
@@ -12,8 +13,8 @@
 	"teaselmoor/internal/control/members"
 )
 
-// Rank orders daemons by rendezvous hash for a key, best first. Removing a
-// daemon moves only the keys that it was first for.
+// Rank returns the daemons ordered by rendezvous hash for a key, best first. Removing
+// a daemon moves only the keys that it was first for.
 func Rank(key string, daemons []ident.DaemonID) []ident.DaemonID {
 	scores := make(map[ident.DaemonID]uint64, len(daemons))
 	for _, daemon := range daemons {
@@ -29,7 +30,7 @@
 	return ranked
 }
 
-// First returns the best daemon for a key.
+// First returns the daemon that Rank puts first for a key.
 func First(key string, daemons []ident.DaemonID) (ident.DaemonID, bool) {
 	var best ident.DaemonID
 	var bestScore uint64
@@ -51,12 +52,12 @@
 	return digest.Sum64()
 }
 
-// Candidates returns the daemons that may own a backend server's engine: the
-// live ones of its data centre, or of its region when the data centre has none.
+// Candidates returns the daemons that may own a backend server's engine: the live
+// ones of its data centre, or those of its region if the data centre has none.
 func Candidates(view *members.View, dataCentre, region string) []ident.DaemonID {
-	daemons := view.Daemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
+	daemons := view.LiveDaemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
 	if len(daemons) > 0 {
 		return daemons
 	}
-	return view.Daemons(func(vm *members.VM) bool { return vm.Region == region })
+	return view.LiveDaemons(func(vm *members.VM) bool { return vm.Region == region })
 }
--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -6,20 +6,20 @@
 	"teaselmoor/internal/base/lifecycle"
 )
 
-// State is where a daemon stands with one engine.
+// State is a daemon's ownership state for one engine.
 type State string
 
-// States of a tenure.
+// Ownership states.
 const (
-	// Idle: the engine is another daemon's, or nobody's.
+	// Idle: this daemon neither owns the engine nor waits to own it.
 	Idle State = ""
-	// Waiting: this daemon is the first candidate and waits until no former
-	// owner can act.
+	// Waiting: this daemon is the first candidate and waits until no former owner can
+	// give orders.
 	Waiting State = "Waiting"
 	// Owning: this daemon may give orders.
 	Owning State = "Owning"
-	// Yielding: this daemon gives no more orders, and hands over once those
-	// under way have ended.
+	// Yielding: this daemon gives no more orders and hands over once its orders in
+	// progress have ended.
 	Yielding State = "Yielding"
 )
 
@@ -39,130 +39,136 @@
 	{Event: withdraw, From: []State{Idle, Waiting, Owning, Yielding}, To: Idle},
 })
 
-// Action is what follows from a revision.
+// Action is what a daemon must do after Revise.
 type Action int
 
-// Actions.
+// Actions of a daemon.
 const (
-	Stay Action = iota
+	NoAction Action = iota
 	// Claim: the daemon has become the owner.
 	Claim
-	// Yield: the daemon is to hand over.
+	// Yield: the daemon must hand over the engine.
 	Yield
 )
 
-// Facts are what a daemon knows about one engine at a revision.
+// Facts are what a daemon knows about one engine when Revise is called.
 type Facts struct {
-	// First says that the daemon is the first candidate.
+	// First is set if the daemon is the first candidate.
 	First bool
-	// ChecksFencing says that the engine refuses old fencing numbers.
+	// ChecksFencing is set if the engine refuses old fencing numbers.
 	ChecksFencing bool
-	// Fresh says that the view of the VM list is young enough to act on.
-	Fresh bool
-	// Occupied says that another daemon owns the engine and is heard from. It
-	// counts only for engines that check fencing numbers.
-	Occupied bool
-	// ListReadAt is when the list that First rests on was read.
+	// ListFresh is set if the VM list was read recently enough to act on it.
+	ListFresh bool
+	// OwnedByLiveDaemon is set if another daemon owns the engine and is not silent. It is used
+	// only for engines that check fencing numbers.
+	OwnedByLiveDaemon bool
+	// ListReadAt is when the VM list that First is based on was read.
 	ListReadAt clock.Millis
-	// Asked says that the first candidate has asked for the engine.
-	Asked bool
-	// HandedOver says that the former owner has passed the engine on within the
-	// handover span.
+	// HandoverRequested is set if the first candidate has requested a handover.
+	HandoverRequested bool
+	// HandedOver is set if the former owner has handed over the engine recently enough
+	// to replace the hold-down.
 	HandedOver bool
 }
 
 // Tenure decides whether a daemon owns one engine.
 type Tenure struct {
-	state State
-	since clock.Millis // begin of the wait
-	// firstAt is when the last list was read that named this daemon first.
-	firstAt clock.Millis
-	// notBefore delays a claim after this daemon has been outbid.
+	state        State
+	waitingSince clock.Millis // start of the wait
+	// lastFirstAt is when the last VM list that made this daemon the first candidate
+	// was read.
+	lastFirstAt clock.Millis
+	// notBefore is the earliest time of a claim. It is set at creation and after
+	// another daemon's claim with a higher fencing number.
 	notBefore clock.Millis
 	options   Options
 }
 
-// New returns the tenure of an engine that the daemon does not own. A claim is
-// not made before the given time, so that a new daemon first listens.
+// New returns the tenure of an engine that the daemon does not own. The daemon does
+// not claim the engine before the given time, so that a new daemon first receives
+// the claims of others.
 func New(options Options, notBefore clock.Millis) *Tenure {
 	return &Tenure{options: options, notBefore: notBefore}
 }
 
-// State returns where the daemon stands.
+// State returns the ownership state.
 func (tenure *Tenure) State() State {
 	return tenure.state
 }
 
-// Revise takes in what is known now and returns what follows.
+// Revise updates the state from what is known now and returns the resulting action.
 func (tenure *Tenure) Revise(now clock.Millis, facts Facts) Action {
 	if !facts.First {
 		return tenure.notFirst(now, facts)
 	}
-	tenure.firstAt = max(tenure.firstAt, facts.ListReadAt)
+	tenure.lastFirstAt = max(tenure.lastFirstAt, facts.ListReadAt)
 	if tenure.state == Idle {
 		tenureTable.Must(&tenure.state, wait)
-		tenure.since = now
+		tenure.waitingSince = now
 	}
-	if tenure.state == Waiting && facts.Fresh && tenure.due(now, facts) {
+	if tenure.state == Waiting && facts.ListFresh && tenure.mayClaim(now, facts) {
 		tenureTable.Must(&tenure.state, claim)
 		return Claim
 	}
-	return Stay
+	return NoAction
 }
 
-// notFirst gives up a wait at once, and an engine when its first candidate asks
-// for it or the time is over for which the last list may be acted on. The first
-// candidate may read its list later than this daemon.
+// notFirst ends a wait at once. It yields an owned engine when the first candidate
+// requests it or when the last list that made this daemon the first candidate may no
+// longer be acted on. It does not yield earlier, because the first candidate may read
+// its list later than this daemon.
 func (tenure *Tenure) notFirst(now clock.Millis, facts Facts) Action {
 	switch tenure.state {
 	case Waiting:
 		tenureTable.Must(&tenure.state, withdraw)
 	case Owning:
-		if facts.Asked || now >= tenure.OrdersUntil() {
+		if facts.HandoverRequested || now >= tenure.OrdersUntil() {
 			tenureTable.Must(&tenure.state, yield)
 			return Yield
 		}
 	}
-	return Stay
+	return NoAction
 }
 
-// OrdersUntil returns when the leave to give orders ends that rests on the last
-// list that named this daemon first. It binds at engines that ignore fencing
-// numbers.
+// OrdersUntil returns when the permission to give orders ends, which is based on the
+// last VM list that made this daemon the first candidate. It must be obeyed for
+// engines that ignore fencing numbers.
 func (tenure *Tenure) OrdersUntil() clock.Millis {
-	return tenure.firstAt + tenure.options.ViewAge
+	return tenure.lastFirstAt + tenure.options.MaxListAge
 }
 
-// due reports whether no former owner can act any more, or the engine itself
-// would refuse one.
-func (tenure *Tenure) due(now clock.Millis, facts Facts) bool {
+// mayClaim reports whether no former owner can give orders any more, or the engine
+// itself would refuse them.
+func (tenure *Tenure) mayClaim(now clock.Millis, facts Facts) bool {
 	switch {
 	case facts.HandedOver:
 		return true
 	case now < tenure.notBefore:
 		return false
 	case facts.ChecksFencing:
-		return !facts.Occupied || now-tenure.since >= tenure.options.HoldDown()
+		return !facts.OwnedByLiveDaemon || now-tenure.waitingSince >= tenure.options.HoldDown()
 	default:
-		return now-tenure.since >= tenure.options.HoldDown()
+		return now-tenure.waitingSince >= tenure.options.HoldDown()
 	}
 }
 
-// Interrupt starts the wait anew: what happened since the last list is unknown.
-// It reports whether the daemon was the owner.
+// Interrupt restarts the wait, because it is not known what happened since the last
+// list was read. It reports whether the daemon was the owner.
 func (tenure *Tenure) Interrupt(now clock.Millis) bool {
 	owned := tenure.state == Owning
 	if owned {
 		tenureTable.Must(&tenure.state, wait)
 	}
 	if tenure.state == Waiting {
-		tenure.since = now
+		tenure.waitingSince = now
 	}
 	return owned
 }
 
-// Withdraw ends the tenure: the handover is done, the engine is no longer
-// configured, or a higher number has been seen.
+// Withdraw ends the ownership or the wait: the handover is done, the engine is no
+// longer configured, or another daemon has claimed it with a higher fencing number
+// (outbid). After being outbid, the daemon does not claim the engine again for the
+// duration of HoldDown.
 func (tenure *Tenure) Withdraw(now clock.Millis, outbid bool) {
 	tenureTable.Must(&tenure.state, withdraw)
 	if outbid {
@@ -170,8 +176,9 @@
 	}
 }
 
-// Heard is the highest claim of an engine that a daemon has heard of.
-type Heard struct {
+// EngineClaim is the claim to an engine with the highest fencing number that a daemon has
+// received.
+type EngineClaim struct {
 	Owner       ident.DaemonID
 	Incarnation ident.Incarnation
 	Fence       ident.Fence
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -13,25 +13,25 @@
 var options = ownership.DefaultOptions()
 
 func TestClaimWaits(t *testing.T) {
-	first := ownership.Facts{First: true, Fresh: true}
-	checked := ownership.Facts{First: true, Fresh: true, ChecksFencing: true}
+	first := ownership.Facts{First: true, ListFresh: true}
+	checked := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
 	occupied := checked
-	occupied.Occupied = true
+	occupied.OwnedByLiveDaemon = true
 	stale := first
-	stale.Fresh = false
+	stale.ListFresh = false
 	handed := first
 	handed.HandedOver = true
 	for _, example := range []struct {
 		name  string
 		facts ownership.Facts
 		waits clock.Millis // until the claim
-		never bool
+		never bool         // no claim within a minute
 	}{
-		{name: "numbers ignored: the hold-down", facts: first, waits: options.HoldDown()},
-		{name: "numbers ignored: handed over", facts: handed},
-		{name: "numbers ignored: old list", facts: stale, never: true},
-		{name: "numbers checked", facts: checked},
-		{name: "numbers checked: the owner is heard from", facts: occupied, waits: options.HoldDown()},
+		{name: "fencing ignored: waits for the hold-down", facts: first, waits: options.HoldDown()},
+		{name: "fencing ignored: handed over", facts: handed},
+		{name: "fencing ignored: stale list", facts: stale, never: true},
+		{name: "fencing checked", facts: checked},
+		{name: "fencing checked: the owner is not silent", facts: occupied, waits: options.HoldDown()},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			tenure := ownership.New(options, 0)
@@ -50,41 +50,41 @@
 	}
 }
 
-func TestInterruptedWaitStartsAnew(t *testing.T) {
+func TestInterruptRestartsWait(t *testing.T) {
 	tenure := ownership.New(options, 0)
-	facts := ownership.Facts{First: true, Fresh: true}
+	facts := ownership.Facts{First: true, ListFresh: true}
 	tenure.Revise(0, facts)
 	tenure.Interrupt(options.HoldDown() - 1)
-	require.Equal(t, ownership.Stay, tenure.Revise(options.HoldDown(), facts))
+	require.Equal(t, ownership.NoAction, tenure.Revise(options.HoldDown(), facts))
 	require.Equal(t, ownership.Claim, tenure.Revise(2*options.HoldDown()-1, facts))
 }
 
-func TestOwnerYieldsWhenAskedOrInTime(t *testing.T) {
+func TestOwnerYieldsOnRequestOrStaleList(t *testing.T) {
 	for _, asked := range []bool{true, false} {
 		tenure := ownership.New(options, 0)
-		tenure.Revise(0, ownership.Facts{First: true, Fresh: true, HandedOver: true, ListReadAt: 1})
+		tenure.Revise(0, ownership.Facts{First: true, ListFresh: true, HandedOver: true, ListReadAt: 1})
 		require.Equal(t, ownership.Owning, tenure.State())
-		gone := ownership.Facts{Fresh: true, Asked: asked}
-		require.Equal(t, asked, tenure.Revise(2, gone) == ownership.Yield)
-		tenure.Revise(1+options.ViewAge, gone)
+		notFirst := ownership.Facts{ListFresh: true, HandoverRequested: asked}
+		require.Equal(t, asked, tenure.Revise(2, notFirst) == ownership.Yield)
+		tenure.Revise(1+options.MaxListAge, notFirst)
 		require.Equal(t, ownership.Yielding, tenure.State())
 	}
 }
 
 func TestOutbidDaemonWaits(t *testing.T) {
 	tenure := ownership.New(options, 0)
-	facts := ownership.Facts{First: true, Fresh: true, ChecksFencing: true}
+	facts := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
 	require.Equal(t, ownership.Claim, tenure.Revise(0, facts))
 	tenure.Withdraw(0, true)
-	require.Equal(t, ownership.Stay, tenure.Revise(options.HoldDown()-1, facts))
+	require.Equal(t, ownership.NoAction, tenure.Revise(options.HoldDown()-1, facts))
 	require.Equal(t, ownership.Claim, tenure.Revise(options.HoldDown(), facts))
 }
 
-func TestNumbersRise(t *testing.T) {
+func TestFencingNumbersIncrease(t *testing.T) {
 	const now = clock.Millis(1_796_000_000_000)
 	first := ownership.NextFence(now, "daemon-0", 0)
 	require.Greater(t, ownership.NextFence(now, "daemon-0", first), first)
-	require.Greater(t, ownership.NextFence(now-clock.Hour, "daemon-1", first), first, "a clock that is behind")
+	require.Greater(t, ownership.NextFence(now-clock.Hour, "daemon-1", first), first, "with a wall clock that is one hour behind")
 	require.NotEqual(t, first, ownership.NextFence(now, "daemon-1", 0), "two daemons in one millisecond")
 	require.Less(t, first, ident.Fence(1)<<53)
 }
--- a/internal/decide/placement/bench_test.go
+++ b/internal/decide/placement/bench_test.go
@@ -17,8 +17,8 @@
 	return ident.Adapter{Name: fmt.Sprintf("adapter-%05d", index), Version: "1"}
 }
 
-// fleet returns a pool of engines whose slots are full.
-func fleet(adapters, engines int) ([]*config.Engine, *placement.Views) {
+// newFleet returns a pool of engines with full slots, and views of them.
+func newFleet(adapters, engines int) ([]*config.Engine, *placement.Views) {
 	pool := make([]*config.Engine, 0, engines)
 	views := placement.NewViews()
 	for i := range engines {
@@ -33,14 +33,14 @@
 	return pool, views
 }
 
-// BenchmarkChoose places requests for all adapters in turn; most are resident
-// nowhere.
+// BenchmarkChoose places requests for all adapters one after another. Most adapters
+// are not resident at any engine.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []struct{ adapters, engines int }{
 		{3000, 9}, {15000, 30}, {15000, 100}, {3000, 300}, {15000, 300}, {15000, 1500},
 	} {
 		b.Run(fmt.Sprintf("adapters=%d/engines=%d", size.adapters, size.engines), func(b *testing.B) {
-			pool, views := fleet(size.adapters, size.engines)
+			pool, views := newFleet(size.adapters, size.engines)
 			queries := make([]placement.Query, size.adapters)
 			for i := range queries {
 				queries[i] = placement.Query{Adapter: adapterOf(i), Pool: pool}
@@ -58,11 +58,11 @@
 	}
 }
 
-// BenchmarkUpdate takes in an engine's state of which one slot has changed.
+// BenchmarkUpdate applies states of an engine that differ in one slot.
 func BenchmarkUpdate(b *testing.B) {
 	for _, engines := range []int{9, 300} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			_, views := fleet(15000, engines)
+			_, views := newFleet(15000, engines)
 			states := [2]message.EngineState{}
 			for i := range states {
 				states[i] = message.EngineState{Engine: "engine-0000", Owner: "daemon", Fence: 1}
--- a/internal/decide/placement/order.go
+++ b/internal/decide/placement/order.go
@@ -10,56 +10,59 @@
 	"teaselmoor/internal/control/config"
 )
 
-// orders remembers affinity sets, because ranking a large pool takes longer
-// than the rest of a decision.
-type orders struct {
+// affinitySets caches affinity sets, because ranking a large pool takes longer than
+// the rest of a placement decision.
+type affinitySets struct {
 	size  int
-	known map[orderKey][]*config.Engine
+	known map[affinitySetKey][]*config.Engine
 }
 
-// orderKey names an adapter and a pool. A pool belongs to one configuration
-// snapshot and never changes, so its first element identifies it.
-type orderKey struct {
+// affinitySetKey identifies an adapter and a pool. A pool belongs to one
+// configuration snapshot and never changes, so the address of its first element
+// identifies it.
+type affinitySetKey struct {
 	adapter ident.Adapter
 	pool    **config.Engine
 }
 
-// ordersLimit is the number of affinity sets remembered; above it all are
-// dropped and ranked again when they are needed.
-const ordersLimit = 1 << 16
+// maxAffinitySets is the maximum number of cached affinity sets. When it is reached,
+// the cache is cleared.
+const maxAffinitySets = 1 << 16
 
-func newOrders(size int) orders {
-	return orders{size: max(1, size), known: map[orderKey][]*config.Engine{}}
+func newAffinitySets(size int) affinitySets {
+	return affinitySets{size: max(1, size), known: map[affinitySetKey][]*config.Engine{}}
 }
 
 // of returns the affinity set of an adapter in a pool, best first.
-func (orders *orders) of(adapter ident.Adapter, pool []*config.Engine) []*config.Engine {
+func (affinitySets *affinitySets) of(adapter ident.Adapter, pool []*config.Engine) []*config.Engine {
 	if len(pool) == 0 {
 		return nil
 	}
-	key := orderKey{adapter: adapter, pool: &pool[0]}
-	set, known := orders.known[key]
+	key := affinitySetKey{adapter: adapter, pool: &pool[0]}
+	set, known := affinitySets.known[key]
 	if !known {
-		if len(orders.known) >= ordersLimit {
-			clear(orders.known)
+		if len(affinitySets.known) >= maxAffinitySets {
+			clear(affinitySets.known)
 		}
-		set = firstByHash(adapter, pool, orders.size)
-		orders.known[key] = set
+		set = topByHash(adapter, pool, affinitySets.size)
+		affinitySets.known[key] = set
 	}
 	return set
 }
 
-type scored struct {
+type scoredEngine struct {
 	engine *config.Engine
 	score  uint64
 }
 
-func firstByHash(adapter ident.Adapter, pool []*config.Engine, size int) []*config.Engine {
-	ranked := make([]scored, 0, len(pool))
+// topByHash returns the engines of a pool with the highest scores for an adapter, best
+// first.
+func topByHash(adapter ident.Adapter, pool []*config.Engine, size int) []*config.Engine {
+	ranked := make([]scoredEngine, 0, len(pool))
 	for _, engine := range pool {
-		ranked = append(ranked, scored{engine: engine, score: score(adapter, engine.Name)})
+		ranked = append(ranked, scoredEngine{engine: engine, score: score(adapter, engine.Name)})
 	}
-	slices.SortFunc(ranked, func(a, b scored) int {
+	slices.SortFunc(ranked, func(a, b scoredEngine) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.engine.Name, b.engine.Name))
 	})
 	set := make([]*config.Engine, 0, min(size, len(pool)))
@@ -69,7 +72,7 @@
 	return set
 }
 
-// score ranks the engines for an adapter (rendezvous hash).
+// score returns the rendezvous hash of an adapter and an engine.
 func score(adapter ident.Adapter, engine ident.EngineID) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -1,11 +1,12 @@
-// Package placement chooses the engine for a request from what a daemon knows
-// of the engines: knowledge that is late, and says how late.
+// Package placement chooses the engine for a request from the states that owners have
+// sent. These are stale by a known age.
 //
-// An engine that holds the adapter, or was asked to load it, comes first. For
-// an adapter that is held nowhere, daemons agree without talking on a few
-// engines, its affinity set: the first of the pool by rendezvous hash. Within
-// the set the engine that gives up least for the load is chosen. A decision
-// looks only at holders and at the affinity set, whatever the size of the pool.
+// Engines that hold the adapter, or will load it for waiting requests, are considered
+// first. For an adapter that no engine holds, all daemons compute the same few
+// engines without communication: its affinity set, the first engines of the pool by
+// rendezvous hash. Within the set, the engine where the load costs least is chosen.
+// A decision considers only the holders and the affinity set if any of them may serve
+// the request, so its cost does not depend on the size of the pool.
 package placement
 
 import (
@@ -18,41 +19,42 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Weights rank candidates. Costs are in units of one engine's full batch of
-// requests to wait for.
+// Weights are the costs that rank candidates. The unit is the wait for one full batch
+// of the engine's requests.
 type Weights struct {
-	// Load is the cost of loading the adapter first.
-	Load float64
-	// Spare is the cost of each request, as counted by the engine's owner, that
-	// asked lately for the adapter that would be evicted.
-	Spare float64
-	// Batch is the gain of joining a full batch against an empty one, for an
-	// adapter that has to be loaded. It makes the batches of a few engines large.
-	Batch float64
-	// Affinity is the cost of each step down the affinity order.
-	Affinity float64
-	// Set is the number of engines in an affinity set.
-	Set int
-	// Silence is the age from which an engine's state is not relied on.
-	Silence clock.Millis
+	// LoadCost is the cost of a load of the adapter.
+	LoadCost float64
+	// SpareCost is the cost of each recent request for the adapter that would be evicted,
+	// as counted by the engine's owner.
+	SpareCost float64
+	// BatchGain is the gain of joining a full batch instead of an empty one, for an
+	// adapter that must be loaded. It concentrates requests in large batches at a few
+	// engines.
+	BatchGain float64
+	// AffinityCost is the cost of each position in the affinity set after the first.
+	AffinityCost float64
+	// AffinitySetSize is the number of engines in an affinity set.
+	AffinitySetSize int
+	// MaxStateAge is the maximum age of an engine's state that is used.
+	MaxStateAge clock.Millis
 }
 
-// DefaultWeights returns the weights used when settings name none.
+// DefaultWeights returns the weights used if the settings do not set them.
 func DefaultWeights() Weights {
-	return Weights{Load: 4, Spare: 1, Batch: 0.25, Affinity: 0.01, Set: 9, Silence: 10 * clock.Second}
+	return Weights{LoadCost: 4, SpareCost: 1, BatchGain: 0.25, AffinityCost: 0.01, AffinitySetSize: 9, MaxStateAge: 10 * clock.Second}
 }
 
-// Affinity is the product's policy.
+// Affinity is the policy that daemons use. It is not safe for concurrent use.
 type Affinity struct {
-	weights Weights
-	orders  orders
-	// candidates is reused, so that a decision allocates nothing.
+	weights      Weights
+	affinitySets affinitySets
+	// candidates is reused, so that a decision does not allocate.
 	candidates []outcome.Candidate
 }
 
-// New returns the product's policy.
+// New returns an Affinity policy with the given weights.
 func New(weights Weights) *Affinity {
-	return &Affinity{weights: weights, orders: newOrders(weights.Set)}
+	return &Affinity{weights: weights, affinitySets: newAffinitySets(weights.AffinitySetSize)}
 }
 
 // choice is the best engine so far.
@@ -62,25 +64,25 @@
 	at     int // index into the candidates
 }
 
-// Choose implements Policy. When no holder and no engine of the affinity set
-// may serve, it looks at the whole pool.
+// Choose implements Policy. If no holder and no engine of the affinity set may serve
+// the request, it considers the whole pool.
 func (affinity *Affinity) Choose(now clock.Millis, query Query, views *Views) (*config.Engine, []outcome.Candidate) {
 	affinity.candidates = affinity.candidates[:0]
 	best := choice{}
 	for _, name := range views.Holders(query.Adapter) {
 		if at, found := find(query.Pool, name); found {
-			affinity.weigh(now, query, views, query.Pool[at], 0, &best)
+			affinity.consider(now, query, views, query.Pool[at], 0, &best)
 		}
 	}
-	for step, engine := range affinity.orders.of(query.Adapter, query.Pool) {
-		if !affinity.weighed(engine.Name) {
-			affinity.weigh(now, query, views, engine, step, &best)
+	for step, engine := range affinity.affinitySets.of(query.Adapter, query.Pool) {
+		if !affinity.considered(engine.Name) {
+			affinity.consider(now, query, views, engine, step, &best)
 		}
 	}
 	if best.engine == nil {
 		for _, engine := range query.Pool {
-			if !affinity.weighed(engine.Name) {
-				affinity.weigh(now, query, views, engine, len(query.Pool), &best)
+			if !affinity.considered(engine.Name) {
+				affinity.consider(now, query, views, engine, len(query.Pool), &best)
 			}
 		}
 	}
@@ -90,14 +92,15 @@
 	return best.engine, affinity.candidates
 }
 
-// find returns the index of an engine in a pool, which is in order of name.
+// find returns the index of an engine in a pool, which is sorted by name.
 func find(pool []*config.Engine, name ident.EngineID) (int, bool) {
 	return slices.BinarySearchFunc(pool, name, func(engine *config.Engine, name ident.EngineID) int {
 		return strings.Compare(string(engine.Name), string(name))
 	})
 }
 
-func (affinity *Affinity) weighed(name ident.EngineID) bool {
+// considered reports whether the current decision has a verdict on an engine.
+func (affinity *Affinity) considered(name ident.EngineID) bool {
 	for i := range affinity.candidates {
 		if affinity.candidates[i].Engine == name {
 			return true
@@ -106,10 +109,11 @@
 	return false
 }
 
-// weigh compares an engine with the best so far.
-func (affinity *Affinity) weigh(now clock.Millis, query Query, views *Views, engine *config.Engine, step int, best *choice) {
+// consider adds an engine's verdict to the candidates and compares its cost with the
+// best so far.
+func (affinity *Affinity) consider(now clock.Millis, query Query, views *Views, engine *config.Engine, step int, best *choice) {
 	view := views.View(engine.Name)
-	candidate := candidateOf(now, engine, view, query.Tried, affinity.weights.Silence)
+	candidate := candidateOf(now, engine, view, query.Tried, affinity.weights.MaxStateAge)
 	affinity.candidates = append(affinity.candidates, candidate)
 	if candidate.Verdict != outcome.RankedLower {
 		return
@@ -120,13 +124,13 @@
 	}
 }
 
-// cost is what serving the query at an engine costs.
+// cost returns the cost of serving the query at an engine.
 func (weights *Weights) cost(query Query, engine *config.Engine, views *Views, view *View, step int) float64 {
 	batch := float64(view.work()) / float64(engine.MaxRuns)
 	queue := max(0, batch-1)
 	if views.holds(engine.Name, query.Adapter) {
 		return queue
 	}
-	return queue + weights.Load + weights.Spare*view.State.Spare + weights.Affinity*float64(step) -
-		weights.Batch*min(1, batch)
+	return queue + weights.LoadCost + weights.SpareCost*view.State.Spare + weights.AffinityCost*float64(step) -
+		weights.BatchGain*min(1, batch)
 }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -15,8 +15,8 @@
 
 const now = clock.Hour
 
-// smallFleet returns three engines that hold nothing, heard of just now.
-func smallFleet() ([]*config.Engine, *placement.Views) {
+// newSmallFleet returns three engines without adapters, and current views of them.
+func newSmallFleet() ([]*config.Engine, *placement.Views) {
 	views := placement.NewViews()
 	var pool []*config.Engine
 	for _, name := range []ident.EngineID{"a", "b", "c"} {
@@ -27,22 +27,22 @@
 }
 
 func weights() placement.Weights {
-	return placement.Weights{Load: 2, Spare: 1, Affinity: 0.01, Set: 2, Silence: 10 * clock.Second}
+	return placement.Weights{LoadCost: 2, SpareCost: 1, AffinityCost: 0.01, AffinitySetSize: 2, MaxStateAge: 10 * clock.Second}
 }
 
 func TestHolderComesFirst(t *testing.T) {
-	for _, pool := range []struct {
+	for _, example := range []struct {
 		name  string
 		state message.EngineState
 	}{
 		{"resident", message.EngineState{Resident: []ident.Adapter{adapterOf(1)}}},
 		{"wanted", message.EngineState{Wanted: []ident.Adapter{adapterOf(1)}}},
 	} {
-		t.Run(pool.name, func(t *testing.T) {
+		t.Run(example.name, func(t *testing.T) {
 			for _, holder := range []ident.EngineID{"a", "b", "c"} {
-				engines, views := smallFleet()
-				pool.state.Engine, pool.state.Fence, pool.state.Version = holder, 1, 2
-				views.Update(now, pool.state)
+				engines, views := newSmallFleet()
+				example.state.Engine, example.state.Fence, example.state.Version = holder, 1, 2
+				views.Update(now, example.state)
 				engine, _ := placement.New(weights()).Choose(now, placement.Query{Adapter: adapterOf(1), Pool: engines}, views)
 				require.Equal(t, holder, engine.Name)
 			}
@@ -50,9 +50,10 @@
 	}
 }
 
-// TestQueueSpillsOver lets the holder's queue grow beyond the cost of a load.
+// TestQueueSpillsOver increases the holder's queue until waiting there costs more than
+// a load at another engine.
 func TestQueueSpillsOver(t *testing.T) {
-	pool, views := smallFleet()
+	pool, views := newSmallFleet()
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool}
 	for queued, spills := range map[int]bool{0: false, 4: false, 8: false, 13: true} {
 		views.Update(now, message.EngineState{
@@ -68,14 +69,15 @@
 	}
 }
 
-// TestDaemonsAgreeOnColdAdapter asks policies that share nothing.
+// TestDaemonsAgreeOnColdAdapter checks that policies without shared state choose the
+// same engine for an adapter that no engine holds.
 func TestDaemonsAgreeOnColdAdapter(t *testing.T) {
 	chosen := map[ident.EngineID]int{}
 	for adapter := range 300 {
-		pool, views := smallFleet()
+		pool, views := newSmallFleet()
 		query := placement.Query{Adapter: adapterOf(adapter), Pool: pool}
 		first, _ := placement.New(weights()).Choose(now, query, views)
-		otherPool, otherViews := smallFleet()
+		otherPool, otherViews := newSmallFleet()
 		query.Pool = otherPool
 		second, _ := placement.New(weights()).Choose(now, query, otherViews)
 		require.Equal(t, first.Name, second.Name)
@@ -84,20 +86,21 @@
 	require.Len(t, chosen, 3, "cold adapters are spread over the pool")
 }
 
-func TestColdAdapterGoesWhereLeastIsEvicted(t *testing.T) {
-	pool, views := smallFleet()
+func TestColdAdapterGoesToEngineWithLowestSpare(t *testing.T) {
+	pool, views := newSmallFleet()
 	for name, spare := range map[ident.EngineID]float64{"a": 3, "b": 1, "c": 2} {
 		views.Update(now, message.EngineState{Engine: name, Fence: 1, Version: 1, Spare: spare})
 	}
 	wide := weights()
-	wide.Set = 3
+	wide.AffinitySetSize = 3
 	engine, _ := placement.New(wide).Choose(now, placement.Query{Adapter: adapterOf(1), Pool: pool}, views)
 	require.Equal(t, ident.EngineID("b"), engine.Name)
 }
 
-// TestRefusalListsEveryEngine checks that a record of a refusal is complete.
+// TestRefusalListsEveryEngine checks that a refused request has a verdict on every
+// engine of the pool.
 func TestRefusalListsEveryEngine(t *testing.T) {
-	pool, views := smallFleet()
+	pool, views := newSmallFleet()
 	pool[0].Leaving = true
 	views.Update(now, message.EngineState{Engine: "b", Fence: 1, Version: 1, Quarantined: true})
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool, Tried: []ident.EngineID{"c"}}
@@ -108,13 +111,14 @@
 		verdicts[candidate.Engine] = candidate.Verdict
 	}
 	require.Equal(t, map[ident.EngineID]outcome.Verdict{
-		"a": outcome.EngineAway, "b": outcome.Quarantined, "c": outcome.TriedBefore,
+		"a": outcome.EngineLeaving, "b": outcome.Quarantined, "c": outcome.TriedBefore,
 	}, verdicts)
 }
 
-// TestPoolBeyondTheSetIsUsed takes away every engine of the affinity set.
-func TestPoolBeyondTheSetIsUsed(t *testing.T) {
-	pool, views := smallFleet()
+// TestWholePoolIsUsed excludes one chosen engine after another, also those of the
+// affinity set. The remaining engines of the pool must still be chosen.
+func TestWholePoolIsUsed(t *testing.T) {
+	pool, views := newSmallFleet()
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool}
 	for range pool {
 		engine, _ := placement.New(weights()).Choose(now, query, views)
@@ -125,8 +129,8 @@
 	require.Nil(t, engine)
 }
 
-func TestOldStateIsNotReliedOn(t *testing.T) {
-	pool, views := smallFleet()
+func TestStaleStateIsNotUsed(t *testing.T) {
+	pool, views := newSmallFleet()
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool}
 	engine, _ := placement.New(weights()).Choose(now+10*clock.Second, query, views)
 	require.NotNil(t, engine)
@@ -137,11 +141,11 @@
 	}
 }
 
-func TestLostOwnerIsPassedOver(t *testing.T) {
-	pool, views := smallFleet()
+func TestEngineOfLostOwnerIsNotChosen(t *testing.T) {
+	pool, views := newSmallFleet()
 	views.Update(now, message.EngineState{Engine: "a", Owner: "gone", Fence: 1, Version: 1, Resident: []ident.Adapter{adapterOf(1)}})
 	query := placement.Query{Adapter: adapterOf(1), Pool: pool}
-	views.LoseOwner("gone")
+	views.MarkOwnerLost("gone")
 	engine, _ := placement.New(weights()).Choose(now, query, views)
 	require.NotEqual(t, ident.EngineID("a"), engine.Name)
 	views.Update(now, message.EngineState{Engine: "a", Owner: "next", Fence: 2, Resident: []ident.Adapter{adapterOf(1)}})
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -10,33 +10,33 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Policy chooses an engine for a request from what a daemon knows.
+// Policy chooses an engine for a request from what a daemon knows about engines.
 type Policy interface {
-	// Choose returns the chosen engine, nil when none may serve, and the verdict
-	// on every engine that was considered, which holds until the next call.
+	// Choose returns the chosen engine, or nil if none may serve, and the verdicts on
+	// all considered engines. The verdicts are valid until the next call.
 	Choose(now clock.Millis, query Query, views *Views) (*config.Engine, []outcome.Candidate)
 }
 
 // Query is one request to place.
 type Query struct {
 	Adapter ident.Adapter
-	// Pool lists the engines that may run it, in order of name.
+	// Pool lists the engines that may run it, sorted by name.
 	Pool []*config.Engine
-	// Tried lists engines that earlier attempts failed on.
+	// Tried lists the engines at which earlier attempts failed.
 	Tried []ident.EngineID
 }
 
-// judge rules an engine out, or returns RankedLower for one that may serve.
-// From an age of silence on, an engine's state is not relied on.
-func judge(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, silence clock.Millis) outcome.Verdict {
+// verdictOn returns the reason why an engine may not serve, or RankedLower if it may.
+// States older than maxAge are not used.
+func verdictOn(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, maxAge clock.Millis) outcome.Verdict {
 	switch {
 	case engine.Leaving || view != nil && view.State.Leaving:
-		return outcome.EngineAway
-	case view == nil || view.Lost:
+		return outcome.EngineLeaving
+	case view == nil || view.OwnerLost:
 		return outcome.OwnerUnknown
 	case view.State.Quarantined:
 		return outcome.Quarantined
-	case now-view.HeardAt > silence:
+	case now-view.ConfirmedAt > maxAge:
 		return outcome.EngineSilent
 	}
 	for _, engineID := range tried {
@@ -47,13 +47,13 @@
 	return outcome.RankedLower
 }
 
-// Ranking chooses the engine of least cost in the whole pool, by a full scan.
-// The baselines that replays compare with are rankings.
+// Ranking is a policy that chooses the engine with the lowest cost by a scan of the
+// whole pool. Replays use rankings as baselines.
 type Ranking[Cost cmp.Ordered] struct {
-	// Cost is what serving the query at an engine costs.
+	// Cost returns the cost of serving the query at an engine.
 	Cost func(query Query, engine *config.Engine, view *View) Cost
-	// Silence is the age from which an engine's state is not relied on.
-	Silence clock.Millis
+	// MaxStateAge is the maximum age of an engine's state that is used.
+	MaxStateAge clock.Millis
 }
 
 // Choose implements Policy.
@@ -63,7 +63,7 @@
 	var least Cost
 	for i, engine := range query.Pool {
 		view := views.View(engine.Name)
-		candidates = append(candidates, candidateOf(now, engine, view, query.Tried, ranking.Silence))
+		candidates = append(candidates, candidateOf(now, engine, view, query.Tried, ranking.MaxStateAge))
 		if candidates[i].Verdict != outcome.RankedLower {
 			continue
 		}
@@ -78,44 +78,45 @@
 	return query.Pool[best], candidates
 }
 
-func candidateOf(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, silence clock.Millis) outcome.Candidate {
-	candidate := outcome.Candidate{Engine: engine.Name, Verdict: judge(now, engine, view, tried, silence)}
+func candidateOf(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, maxAge clock.Millis) outcome.Candidate {
+	candidate := outcome.Candidate{Engine: engine.Name, Verdict: verdictOn(now, engine, view, tried, maxAge)}
 	if view != nil {
-		candidate.Age = now - view.HeardAt
+		candidate.Age = now - view.ConfirmedAt
 	}
 	return candidate
 }
 
-// Random returns a policy that chooses any engine. It is a baseline.
-func Random(random *rand.Rand, silence clock.Millis) Policy {
-	return Ranking[float64]{Silence: silence, Cost: func(Query, *config.Engine, *View) float64 {
+// Random returns a baseline policy that chooses a random engine.
+func Random(random *rand.Rand, maxStateAge clock.Millis) Policy {
+	return Ranking[float64]{MaxStateAge: maxStateAge, Cost: func(Query, *config.Engine, *View) float64 {
 		return random.Float64()
 	}}
 }
 
-// LeastLoaded returns a policy that chooses the engine with the least work. It
-// is a baseline.
-func LeastLoaded(silence clock.Millis) Policy {
-	return Ranking[int]{Silence: silence, Cost: func(_ Query, _ *config.Engine, view *View) int {
+// LeastLoaded returns a baseline policy that chooses the engine with the fewest
+// requests.
+func LeastLoaded(maxStateAge clock.Millis) Policy {
+	return Ranking[int]{MaxStateAge: maxStateAge, Cost: func(_ Query, _ *config.Engine, view *View) int {
 		return view.work()
 	}}
 }
 
-// notResident outweighs any queue in ResidencyFirst.
-const notResident = 1 << 30
+// notResidentCost exceeds the length of any queue, so that ResidencyFirst prefers
+// every engine that holds the adapter.
+const notResidentCost = 1 << 30
 
-// ResidencyFirst returns a policy that chooses the least loaded of the engines
-// that hold the adapter, or else of all. It is the strong baseline.
-func ResidencyFirst(silence clock.Millis) Policy {
-	return Ranking[int]{Silence: silence, Cost: func(query Query, _ *config.Engine, view *View) int {
+// ResidencyFirst returns a policy that chooses the least loaded engine of those that
+// hold the adapter, or of all if none holds it. It is the strongest baseline.
+func ResidencyFirst(maxStateAge clock.Millis) Policy {
+	return Ranking[int]{MaxStateAge: maxStateAge, Cost: func(query Query, _ *config.Engine, view *View) int {
 		if view.holds(query.Adapter) {
 			return view.work()
 		}
-		return notResident + view.work()
+		return notResidentCost + view.work()
 	}}
 }
 
-// work is the number of requests at the engine, as far as is known.
+// work returns the known number of requests at the engine.
 func (view *View) work() int {
 	return view.State.Queued + view.State.Running + view.Sent
 }
--- a/internal/decide/placement/views.go
+++ b/internal/decide/placement/views.go
@@ -10,34 +10,35 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// View is what a daemon knows of one engine.
+// View is what a daemon knows about one engine.
 type View struct {
 	State message.EngineState
-	// HeardAt is when the state was received.
-	HeardAt clock.Millis
-	// Sent is the number of requests submitted since, which the state cannot show.
+	// ConfirmedAt is when the owner last sent or confirmed the state.
+	ConfirmedAt clock.Millis
+	// Sent is the number of requests submitted since then, which the state does not
+	// include.
 	Sent int
-	// Lost says that the connection to the owner broke after it was received.
-	Lost bool
+	// OwnerLost is set if the connection to the owner was lost since then.
+	OwnerLost bool
 }
 
-// Views is what a daemon knows of all engines, indexed by adapter.
+// Views is what a daemon knows about all engines, with an index by adapter.
 type Views struct {
 	byEngine map[ident.EngineID]*View
 	holders  map[ident.Adapter][]ident.EngineID
 }
 
-// NewViews returns views of no engine.
+// NewViews returns empty views.
 func NewViews() *Views {
 	return &Views{byEngine: map[ident.EngineID]*View{}, holders: map[ident.Adapter][]ident.EngineID{}}
 }
 
-// View returns what is known of an engine, nil when nothing is.
+// View returns what is known about an engine, or nil.
 func (views *Views) View(engine ident.EngineID) *View {
 	return views.byEngine[engine]
 }
 
-// All returns the views in order of the engines' names.
+// All returns the views sorted by the engines' names.
 func (views *Views) All() iter.Seq[*View] {
 	return func(yield func(*View) bool) {
 		for _, engine := range slices.Sorted(maps.Keys(views.byEngine)) {
@@ -48,13 +49,15 @@
 	}
 }
 
-// Holders lists the engines known to hold an adapter or to be loading it.
+// Holders returns the engines known to hold an adapter or to have requests that wait
+// for it.
 func (views *Views) Holders(adapter ident.Adapter) []ident.EngineID {
 	return views.holders[adapter]
 }
 
-// Update takes in an owner's word on its engine and reports whether it is news;
-// the higher fencing number wins, then the later version.
+// Update applies an owner's state of its engine and reports whether it was applied. A
+// state with a lower fencing number, or the same number and a lower version, than the
+// known one is ignored.
 func (views *Views) Update(now clock.Millis, state message.EngineState) bool {
 	known := views.byEngine[state.Engine]
 	if known == nil {
@@ -65,21 +68,21 @@
 		return false
 	}
 	views.reindex(state.Engine, known.State, state)
-	*known = View{State: state, HeardAt: now}
+	*known = View{State: state, ConfirmedAt: now}
 	return true
 }
 
-// LoseOwner notes that the connection to a daemon broke: its engines are passed
-// over until it is heard from again.
-func (views *Views) LoseOwner(owner ident.DaemonID) {
+// MarkOwnerLost records that the connection to a daemon was lost. Its engines are not
+// chosen until something is received from it again.
+func (views *Views) MarkOwnerLost(owner ident.DaemonID) {
 	for _, known := range views.byEngine {
 		if known.State.Owner == owner {
-			known.Lost = true
+			known.OwnerLost = true
 		}
 	}
 }
 
-// Drop forgets an engine.
+// Drop removes an engine.
 func (views *Views) Drop(engine ident.EngineID) {
 	if known := views.byEngine[engine]; known != nil {
 		views.reindex(engine, known.State, message.EngineState{})
@@ -87,7 +90,7 @@
 	}
 }
 
-// reindex moves an engine between the holders of adapters.
+// reindex updates the holders index after an engine's state has changed.
 func (views *Views) reindex(engine ident.EngineID, before, after message.EngineState) {
 	for adapter := range held(&before) {
 		if !holds(&after, adapter) {
@@ -101,8 +104,8 @@
 	}
 }
 
-// held yields the adapters that an engine holds, or will hold shortly because
-// requests wait there for them.
+// held yields the adapters that an engine holds, and those that it will load because
+// requests wait for them there.
 func held(state *message.EngineState) iter.Seq[ident.Adapter] {
 	return func(yield func(ident.Adapter) bool) {
 		for _, adapter := range state.Resident {
@@ -122,7 +125,7 @@
 	return slices.Contains(state.Resident, adapter) || slices.Contains(state.Wanted, adapter)
 }
 
-// holds reports whether an engine is known to hold an adapter.
+// holds reports whether the index lists an engine as a holder of an adapter.
 func (views *Views) holds(engine ident.EngineID, adapter ident.Adapter) bool {
 	return slices.Contains(views.holders[adapter], engine)
 }
--- a/internal/replay/experiment/experiment.go
+++ b/internal/replay/experiment/experiment.go
@@ -85,7 +85,7 @@
 		return runOffline(running.meter), nil
 	}
 	options := node.DefaultOptions()
-	options.Weights.Batch = setup.Site.BatchGain
+	options.Weights.BatchGain = setup.Site.BatchGain
 	if setup.Policy.Apply != nil {
 		setup.Policy.Apply(&options, Knowledge{Trace: trace, Start: nodetest.Start + settle, Seed: setup.Seed})
 	}
--- a/internal/replay/experiment/policy.go
+++ b/internal/replay/experiment/policy.go
@@ -87,17 +87,17 @@
 		{Name: "half-life 20 min", Apply: func(options *node.Options, _ Knowledge) {
 			options.Owner.HalfLife = 20 * clock.Minute
 		}},
-		brokered("never refuse", func(loads *loads.Options) { loads.Patient = true }),
+		brokered("never refuse", func(loads *loads.Options) { loads.NeverRefuse = true }),
 		brokered("arrival order", func(loads *loads.Options) { loads.ArrivalOrder = true }),
-		weighted("set of 1", func(weights *placement.Weights) { weights.Set = 1 }),
-		weighted("set of 2", func(weights *placement.Weights) { weights.Set = 2 }),
-		weighted("set of 3", func(weights *placement.Weights) { weights.Set = 3 }),
-		weighted("batch 0", func(weights *placement.Weights) { weights.Batch = 0 }),
-		weighted("batch 1", func(weights *placement.Weights) { weights.Batch = 1 }),
-		weighted("batch 4", func(weights *placement.Weights) { weights.Batch = 4 }),
-		weighted("batch 16", func(weights *placement.Weights) { weights.Batch = 16 }),
-		owned("no slot yields", func(owner *owner.Options) { owner.RoomWait = 0 }),
-		weighted("spare ignored", func(weights *placement.Weights) { weights.Spare = 0 }),
+		weighted("set of 1", func(weights *placement.Weights) { weights.AffinitySetSize = 1 }),
+		weighted("set of 2", func(weights *placement.Weights) { weights.AffinitySetSize = 2 }),
+		weighted("set of 3", func(weights *placement.Weights) { weights.AffinitySetSize = 3 }),
+		weighted("batch 0", func(weights *placement.Weights) { weights.BatchGain = 0 }),
+		weighted("batch 1", func(weights *placement.Weights) { weights.BatchGain = 1 }),
+		weighted("batch 4", func(weights *placement.Weights) { weights.BatchGain = 4 }),
+		weighted("batch 16", func(weights *placement.Weights) { weights.BatchGain = 16 }),
+		owned("no slot yields", func(owner *owner.Options) { owner.YieldDelay = 0 }),
+		weighted("spare ignored", func(weights *placement.Weights) { weights.SpareCost = 0 }),
 	}
 }
 
