--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -18,8 +18,8 @@
 	Day         Millis = 24 * Hour
 )
 
-// Source returns the current time. Daemons use System or Steady; tests pass their own
-// function.
+// Source returns the current time. Daemons use the sources of this package; tests pass
+// their own.
 type Source func() Millis
 
 // System returns the time of the system's wall clock.
--- a/internal/base/logpipe/logpipe_test.go
+++ b/internal/base/logpipe/logpipe_test.go
@@ -47,9 +47,9 @@
 	require.Contains(t, out.String(), `"Count":6`)
 }
 
-// TestFinishTimesOut checks that Finish returns after its timeout if the reader of the log
-// does not read, so that the process can end.
-func TestFinishTimesOut(t *testing.T) {
+// TestStalledReaderDoesNotDelayEnd checks that the wait for queued lines ends after its
+// timeout if the reader of the log does not read, so that the process can end.
+func TestStalledReaderDoesNotDelayEnd(t *testing.T) {
 	reader, writer := io.Pipe()
 	pipe := logpipe.New(writer, 8)
 	ctx, cancel := context.WithCancel(t.Context())
