--- a/internal/decide/admission/bound.go
+++ b/internal/decide/admission/bound.go
@@ -5,18 +5,18 @@
 	"teaselmoor/internal/control/config"
 )
 
-// Bound limits how many items of each class wait, over any number of queues.
+// Bound limits the number of waiting items of each class, over any number of queues.
 type Bound struct {
 	limits [config.ClassCount]int
 	counts [config.ClassCount]int
 }
 
-// NewBound returns a bound of limits[class] items of each class.
+// NewBound returns a bound that admits up to limits[class] items of each class.
 func NewBound(limits [config.ClassCount]int) *Bound {
 	return &Bound{limits: limits}
 }
 
-// Enter counts an item, or reports false when its class is full.
+// Enter counts an item, or returns false if its class is at the limit.
 func (bound *Bound) Enter(class config.Class) bool {
 	if bound.counts[class] >= bound.limits[class] {
 		return false
@@ -25,13 +25,13 @@
 	return true
 }
 
-// Leave ends the count of an item that entered.
+// Leave stops counting an item that has entered.
 func (bound *Bound) Leave(class config.Class) {
 	invariant.Check(bound.counts[class] > 0, "only what entered a queue leaves it", "class %s", class)
 	bound.counts[class]--
 }
 
-// Total returns the number of items counted.
+// Total returns the number of counted items.
 func (bound *Bound) Total() int {
 	total := 0
 	for _, count := range bound.counts {
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission holds queues of waiting work, in strict order of urgency
-// class and by earliest deadline within a class, and the bound on how much work
-// may wait.
+// Package admission implements the queues of waiting work and the bound on its
+// amount. Items are ordered by class, most urgent first, and by deadline within a
+// class.
 package admission
 
 import (
@@ -10,7 +10,8 @@
 	"teaselmoor/internal/control/config"
 )
 
-// Queue holds items of any type. It is not safe for concurrent use.
+// Queue is a queue of items with a class and a deadline. It is not safe for concurrent
+// use.
 type Queue[Item comparable] struct {
 	classes [config.ClassCount][]entry[Item]
 }
@@ -20,56 +21,56 @@
 	item     Item
 }
 
-// Push adds an item, behind those with the same deadline.
+// Push adds an item behind those with the same or an earlier deadline.
 func (queue *Queue[Item]) Push(class config.Class, deadline clock.Millis, item Item) {
-	list := queue.classes[class]
-	at := sort.Search(len(list), func(i int) bool { return list[i].deadline > deadline })
-	list = append(list, entry[Item]{})
-	copy(list[at+1:], list[at:])
-	list[at] = entry[Item]{deadline: deadline, item: item}
-	queue.classes[class] = list
+	entries := queue.classes[class]
+	at := sort.Search(len(entries), func(i int) bool { return entries[i].deadline > deadline })
+	entries = append(entries, entry[Item]{})
+	copy(entries[at+1:], entries[at:])
+	entries[at] = entry[Item]{deadline: deadline, item: item}
+	queue.classes[class] = entries
 }
 
 // First returns the item of a class with the earliest deadline.
 func (queue *Queue[Item]) First(class config.Class) (item Item, deadline clock.Millis, found bool) {
-	list := queue.classes[class]
-	if len(list) == 0 {
+	entries := queue.classes[class]
+	if len(entries) == 0 {
 		return item, 0, false
 	}
-	return list[0].item, list[0].deadline, true
+	return entries[0].item, entries[0].deadline, true
 }
 
 // Pop removes and returns the item of a class with the earliest deadline.
 func (queue *Queue[Item]) Pop(class config.Class) (item Item, found bool) {
-	list := queue.classes[class]
-	if len(list) == 0 {
+	entries := queue.classes[class]
+	if len(entries) == 0 {
 		return item, false
 	}
-	item = list[0].item
-	list[0] = entry[Item]{}
-	queue.classes[class] = list[1:]
+	item = entries[0].item
+	entries[0] = entry[Item]{}
+	queue.classes[class] = entries[1:]
 	return item, true
 }
 
-// Remove takes out an item that was pushed with this class and deadline, and
-// reports whether it was there.
+// Remove removes an item that was pushed with this class and deadline, and reports
+// whether it was in the queue.
 func (queue *Queue[Item]) Remove(class config.Class, deadline clock.Millis, item Item) bool {
-	list := queue.classes[class]
-	at := sort.Search(len(list), func(i int) bool { return list[i].deadline >= deadline })
-	for ; at < len(list) && list[at].deadline == deadline; at++ {
-		if list[at].item != item {
+	entries := queue.classes[class]
+	at := sort.Search(len(entries), func(i int) bool { return entries[i].deadline >= deadline })
+	for ; at < len(entries) && entries[at].deadline == deadline; at++ {
+		if entries[at].item != item {
 			continue
 		}
-		copy(list[at:], list[at+1:])
-		list[len(list)-1] = entry[Item]{}
-		queue.classes[class] = list[:len(list)-1]
+		copy(entries[at:], entries[at+1:])
+		entries[len(entries)-1] = entry[Item]{}
+		queue.classes[class] = entries[:len(entries)-1]
 		return true
 	}
 	return false
 }
 
-// Expire removes the items whose deadline is not after a time and passes them
-// on, most urgent first.
+// Expire removes the items whose deadline has been reached and passes each to the
+// given function, the most urgent class first.
 func (queue *Queue[Item]) Expire(now clock.Millis, expired func(Item)) {
 	for class := range queue.classes {
 		for {
@@ -83,21 +84,22 @@
 	}
 }
 
-// Drain removes all items and passes them on in order, most urgent first.
+// Drain removes all items and passes each to the given function in the order of the
+// queue.
 func (queue *Queue[Item]) Drain(removed func(Item)) {
 	for class := range queue.classes {
-		list := queue.classes[class]
+		entries := queue.classes[class]
 		queue.classes[class] = nil
-		for _, waiting := range list {
-			removed(waiting.item)
+		for _, entry := range entries {
+			removed(entry.item)
 		}
 	}
 }
 
-// Any reports whether an item of a class matches.
+// Any reports whether any item of a class matches the condition.
 func (queue *Queue[Item]) Any(class config.Class, matches func(Item) bool) bool {
-	for _, waiting := range queue.classes[class] {
-		if matches(waiting.item) {
+	for _, entry := range queue.classes[class] {
+		if matches(entry.item) {
 			return true
 		}
 	}
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -13,13 +13,14 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
+// waiting is an item as the sorted list of the test holds it.
 type waiting struct {
 	class    config.Class
 	deadline clock.Millis
 	item     int
 }
 
-// TestQueueKeepsItsOrder compares the queue with a sorted list.
+// TestQueueKeepsItsOrder compares the queue with a sorted list under random operations.
 func TestQueueKeepsItsOrder(t *testing.T) {
 	nodetest.CheckHistories(t, 200, func(t *rapid.T) {
 		var queue admission.Queue[int]
@@ -83,7 +84,7 @@
 	bound := admission.NewBound([config.ClassCount]int{config.Urgent: 1, config.Routine: 2})
 	require.True(t, bound.Enter(config.Urgent))
 	require.False(t, bound.Enter(config.Urgent))
-	require.True(t, bound.Enter(config.Routine), "a full class does not keep another one out")
+	require.True(t, bound.Enter(config.Routine), "a class at its limit does not block another class")
 	bound.Leave(config.Urgent)
 	require.True(t, bound.Enter(config.Urgent))
 	require.Equal(t, 2, bound.Total())
--- a/internal/decide/home/copy.go
+++ b/internal/decide/home/copy.go
@@ -11,154 +11,158 @@
 )
 
 const (
-	// maxCopies is the number of daemons that may hold a copy at once: the next
-	// in order, and on a handover the one after it.
+	// maxCopies is the maximum number of daemons that hold a copy of a record: the
+	// next home of the key and, while this daemon shuts down, the one after that.
 	maxCopies = 2
-	// maxCopyTries bounds the sending of one copy to one daemon.
-	maxCopyTries = 6
+	// maxCopySends is the number of times that a copy is sent to one daemon.
+	maxCopySends = 6
 )
 
-// copyTask is a copy that has not been confirmed.
-type copyTask struct {
-	at     clock.Millis // of the next sending
-	to     ident.DaemonID
-	key    string
-	stream ident.StreamID
-	state  recordState
-	tries  int
+// pendingCopy is a copy that the receiving daemon has not confirmed.
+type pendingCopy struct {
+	resendAt clock.Millis
+	to       ident.DaemonID
+	key      string
+	stream   ident.StreamID
+	state    recordState
+	sends    int
 }
 
-// replicate copies a record to where the next home would look for it. It
-// reports false when there is no other daemon.
-func (home *Home) replicate(now clock.Millis, known *record) bool {
+// replicate sends a copy of a record to the daemons that would be the key's next
+// home. It returns false if there is no other daemon.
+func (home *Home) replicate(now clock.Millis, record *record) bool {
 	count := 1
-	if home.leaving {
+	if home.shuttingDown {
 		count = maxCopies
 	}
-	targets := home.history.others(known.key, home.self, count)
-	known.copied = nil
+	targets := home.history.copyTargets(record.key, home.self, count)
+	record.copiedTo = nil
 	for _, target := range targets {
-		home.copies = append(home.copies, copyTask{
-			at: now + home.options.CopyInterval, to: target, key: known.key.Key,
-			stream: known.stream, state: known.state, tries: 1,
+		home.pendingCopies = append(home.pendingCopies, pendingCopy{
+			resendAt: now + home.options.CopyInterval, to: target, key: record.key.Key,
+			stream: record.stream, state: record.state, sends: 1,
 		})
-		home.sendCopy(target, known)
+		home.sendCopy(target, record)
 	}
 	return len(targets) > 0
 }
 
-func (home *Home) sendCopy(to ident.DaemonID, known *record) {
+func (home *Home) sendCopy(to ident.DaemonID, record *record) {
 	home.send(to, message.HomeCopy{
-		From: home.self, Key: known.key.Key, Caller: known.key.Caller, Region: known.key.Region,
-		BodyHash: known.bodyHash, Stream: known.stream,
-		Finished: known.state == recordFinished, Outcome: known.outcome, Stored: known.answer,
+		From: home.self, Key: record.key.Key, Caller: record.key.Caller, Region: record.key.Region,
+		BodyHash: record.bodyHash, Stream: record.stream,
+		Finished: record.state == recordFinished, Outcome: record.outcome, Stored: record.answer,
 	})
 }
 
-// tickCopies sends the copies again that are due and not confirmed.
-func (home *Home) tickCopies(now clock.Millis) {
+// resendCopies sends unconfirmed copies again when they are due.
+func (home *Home) resendCopies(now clock.Millis) {
 	due := 0
-	for due < len(home.copies) && home.copies[due].at <= now {
+	for due < len(home.pendingCopies) && home.pendingCopies[due].resendAt <= now {
 		due++
 	}
-	for _, task := range home.copies[:due] {
-		known, found := home.records[task.key]
-		if !found || !home.waits(task, known) || task.tries >= maxCopyTries {
+	for _, pending := range home.pendingCopies[:due] {
+		record, found := home.records[pending.key]
+		if !found || !home.needsCopy(pending, record) || pending.sends >= maxCopySends {
 			continue
 		}
-		task.tries++
-		task.at = now + home.options.CopyInterval
-		home.copies = append(home.copies, task)
-		home.sendCopy(task.to, known)
+		pending.sends++
+		pending.resendAt = now + home.options.CopyInterval
+		home.pendingCopies = append(home.pendingCopies, pending)
+		home.sendCopy(pending.to, record)
 	}
-	home.copies = home.copies[due:]
+	home.pendingCopies = home.pendingCopies[due:]
 }
 
-// waits reports whether a task's record still needs its copy.
-func (home *Home) waits(task copyTask, known *record) bool {
-	finishedSince := known.state == recordFinished && task.state != recordFinished
-	return known.stream == task.stream && !finishedSince && !slices.Contains(known.copied, task.to)
+// needsCopy reports whether a pending copy is still of use: the record is that of
+// the same attempt, has not finished since, and the copy is unconfirmed.
+func (home *Home) needsCopy(pending pendingCopy, record *record) bool {
+	finishedSince := record.state == recordFinished && pending.state != recordFinished
+	return record.stream == pending.stream && !finishedSince && !slices.Contains(record.copiedTo, pending.to)
 }
 
-// Copied keeps another home's record, if there is room. A record of another
-// attempt gives way unless this daemon is itself the key's home, or that attempt
-// is known to have ended: either way some record stays, so none runs twice.
-func (home *Home) Copied(now clock.Millis, copied message.HomeCopy) []effect.Effect {
-	known, found := home.records[copied.Key]
+// StoreCopy stores the copy of another home's record, if there is room. It replaces a
+// record of a different attempt under the same key, unless this daemon is itself
+// the key's home or that attempt has finished. In each case a record of the key
+// remains, so no attempt runs twice.
+func (home *Home) StoreCopy(now clock.Millis, copied message.HomeCopy) []effect.Effect {
+	held, found := home.records[copied.Key]
 	key := Key{Key: copied.Key, Caller: copied.Caller, Region: copied.Region}
 	if !found {
 		if len(home.records) >= home.options.MaxRecords {
-			return home.take()
+			return home.takeEffects()
 		}
-		known = &record{state: recordGranted, key: key, bodyHash: copied.BodyHash, stream: copied.Stream, at: now}
-		home.add(known)
+		held = &record{state: recordGranted, key: key, bodyHash: copied.BodyHash, stream: copied.Stream, changedAt: now}
+		home.insert(held)
 	}
-	if known.stream != copied.Stream {
-		if first, _ := home.history.latest().first(key); first == home.self || known.state == recordFinished {
-			return home.take()
+	if held.stream != copied.Stream {
+		if homeDaemon, _ := home.history.latest().homeOf(key); homeDaemon == home.self || held.state == recordFinished {
+			return home.takeEffects()
 		}
-		known.stream, known.bodyHash, known.key = copied.Stream, copied.BodyHash, key
+		held.stream, held.bodyHash, held.key = copied.Stream, copied.BodyHash, key
 	}
-	if copied.Finished && known.outcome.Kind != outcome.Answered {
-		recordTable.Must(&known.state, finishRecord)
-		known.at = now
-		known.outcome = copied.Outcome
-		home.keep(known, copied.Stored)
+	if copied.Finished && held.outcome.Kind != outcome.Answered {
+		recordTable.Must(&held.state, finishRecord)
+		held.changedAt = now
+		held.outcome = copied.Outcome
+		home.storeAnswer(held, copied.Stored)
 	}
 	home.send(copied.From, message.HomeCopyAck{
 		From: home.self, Key: copied.Key, Stream: copied.Stream, Finished: copied.Finished,
 	})
-	return home.take()
+	return home.takeEffects()
 }
 
-// CopyConfirmed takes in the word that a copy is held, and grants the attempt
-// that waited for it.
-func (home *Home) CopyConfirmed(ack message.HomeCopyAck) []effect.Effect {
-	known, found := home.records[ack.Key]
-	if !found || known.stream != ack.Stream || ack.Finished != (known.state == recordFinished) {
-		return home.take()
+// ConfirmCopy records that a daemon holds a copy, and grants the attempt if it
+// was waiting for one.
+func (home *Home) ConfirmCopy(ack message.HomeCopyAck) []effect.Effect {
+	record, found := home.records[ack.Key]
+	if !found || record.stream != ack.Stream || ack.Finished != (record.state == recordFinished) {
+		return home.takeEffects()
 	}
-	if !slices.Contains(known.copied, ack.From) {
-		known.copied = append(known.copied, ack.From)
+	if !slices.Contains(record.copiedTo, ack.From) {
+		record.copiedTo = append(record.copiedTo, ack.From)
 	}
-	if known.state == recordCopying {
-		home.grant(known)
+	if record.state == recordCopying {
+		home.grant(record)
 	}
-	return home.take()
+	return home.takeEffects()
 }
 
-// Forgotten frees the copy of a key whose attempt did not run.
-func (home *Home) Forgotten(forget message.HomeCopyDelete) []effect.Effect {
-	known, found := home.records[forget.Key]
-	if found && known.stream == forget.Stream && known.state != recordFinished {
-		home.drop(known)
+// DeleteCopy deletes the copy of a record whose attempt did not run. A finished
+// record is kept.
+func (home *Home) DeleteCopy(forget message.HomeCopyDelete) []effect.Effect {
+	record, found := home.records[forget.Key]
+	if found && record.stream == forget.Stream && record.state != recordFinished {
+		home.remove(record)
 	}
-	return home.take()
+	return home.takeEffects()
 }
 
-// Shutdown hands the records over to the daemons next in order.
+// Shutdown copies every record to the daemons that would be its key's next homes.
 func (home *Home) Shutdown(now clock.Millis) []effect.Effect {
-	home.leaving = true
-	for _, known := range home.inOrder() {
-		home.replicate(now, known)
+	home.shuttingDown = true
+	for _, record := range home.recordsInOrder() {
+		home.replicate(now, record)
 	}
-	return home.take()
+	return home.takeEffects()
 }
 
-// Idle reports whether no record waits to be copied, so that a leaving daemon
-// may exit.
+// Idle reports whether no record waits to be copied. A daemon that shuts down may
+// exit then.
 func (home *Home) Idle() bool {
-	return !slices.ContainsFunc(home.copies, func(task copyTask) bool {
-		known, found := home.records[task.key]
-		return found && home.waits(task, known)
+	return !slices.ContainsFunc(home.pendingCopies, func(pending pendingCopy) bool {
+		record, found := home.records[pending.key]
+		return found && home.needsCopy(pending, record)
 	})
 }
 
-// inOrder returns the records in a fixed order.
-func (home *Home) inOrder() []*record {
+// recordsInOrder returns the records in order of their stream ids, so that effects
+// do not depend on the order of a map.
+func (home *Home) recordsInOrder() []*record {
 	ordered := make([]*record, 0, len(home.records))
-	for _, known := range home.records {
-		ordered = append(ordered, known)
+	for _, record := range home.records {
+		ordered = append(ordered, record)
 	}
 	slices.SortFunc(ordered, func(a, b *record) int { return a.stream.Compare(b.stream) })
 	return ordered
--- a/internal/decide/home/home_test.go
+++ b/internal/decide/home/home_test.go
@@ -21,8 +21,8 @@
 
 const apiKey = "key"
 
-func site() config.Config {
-	published := config.Config{
+func testConfig() config.Config {
+	document := config.Config{
 		Version:      1,
 		WeightStores: []config.WeightStore{{Name: "weights", LoadsPerSecond: 2}},
 		Services:     []config.Service{{Name: "records", Addresses: []string{"127.0.0.1:2"}}},
@@ -34,12 +34,12 @@
 		Adapters: []config.Adapter{{Name: "quote", Version: "1", BaseModel: "base", Labels: map[string]string{"task": "quote"}}},
 	}
 	for i := range 2 {
-		published.Engines = append(published.Engines, config.Engine{
+		document.Engines = append(document.Engines, config.Engine{
 			Name: ident.EngineID(fmt.Sprintf("engine-%d", i)), Address: "127.0.0.1:1", DataCentre: "dc-0", Region: "north",
 			BaseModel: "base", Store: "weights", Slots: 2, MaxRuns: 4,
 		})
 	}
-	return published
+	return document
 }
 
 func newNetwork(t require.TestingT, seed uint64, daemons int) *nodetest.Network {
@@ -51,14 +51,14 @@
 		})
 	}
 	network, err := nodetest.New(nodetest.Options{
-		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(), VMs: vms,
+		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: testConfig(), VMs: vms,
 		Engine: nodetest.EngineOptions{RunDuration: 300, LoadDuration: 400}, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
 }
 
-// attempts are the requests sent under one key.
+// attempts sends and counts the requests under one key.
 type attempts struct {
 	key      string
 	issuedAt clock.Millis
@@ -81,8 +81,9 @@
 	return arrived.RequestID
 }
 
-// ran counts the runs of a request, or of all whose id begins with the prefix.
-func ran(network *nodetest.Network, prefix string, whole bool) int {
+// runCount returns how often engines and services ran a request. If whole is false,
+// it counts all requests whose ids begin with the prefix and a slash.
+func runCount(network *nodetest.Network, prefix string, whole bool) int {
 	count := 0
 	matches := func(id string) bool { return id == prefix || !whole && strings.HasPrefix(id, prefix+"/") }
 	for _, engine := range network.Engines {
@@ -100,25 +101,26 @@
 	return count
 }
 
-// requireOnce checks what was run against what callers were told.
-func requireOnce(t require.TestingT, network *nodetest.Network, keys []*attempts) {
+// requireAtMostOnce checks that no key ran more than once, that each request has at
+// most one answer, and that no request ran that was answered with NotRun.
+func requireAtMostOnce(t require.TestingT, network *nodetest.Network, keys []*attempts) {
 	for _, sent := range keys {
-		require.LessOrEqual(t, ran(network, sent.key, false), 1, "key %s ran more than once", sent.key)
+		require.LessOrEqual(t, runCount(network, sent.key, false), 1, "key %s ran more than once", sent.key)
 		for i := range sent.count {
 			id := fmt.Sprintf("%s/%d", sent.key, i+1)
 			answers := network.Answers[id]
 			require.LessOrEqual(t, len(answers), 1, "request %s was answered more than once", id)
 			if len(answers) == 1 && answers[0].Outcome.Kind == outcome.NotRun {
-				require.Zero(t, ran(network, id, true), "request %s ran and was told %v", id, answers[0].Outcome)
+				require.Zero(t, runCount(network, id, true), "request %s ran and was answered with %v", id, answers[0].Outcome)
 			}
 		}
 	}
 }
 
-// TestAtMostOnce sends non-repeatable requests, with retries through other
-// daemons and with other bodies, through histories of faults.
+// TestAtMostOnce sends requests that must not be repeated, with retries through
+// other daemons and with other bodies, while random faults occur.
 func TestAtMostOnce(t *testing.T) {
-	answered, faulty, total := 0, 0, 0
+	answered, faultCount, total := 0, 0, 0
 	nodetest.CheckHistories(t, 60, func(t *rapid.T) {
 		network := newNetwork(t, rapid.Uint64().Draw(t, "seed"), 5)
 		faults := &nodetest.Faults{Network: network, MaxListLag: node.DefaultOptions().Home.ListLag, Counts: map[string]int{}}
@@ -144,11 +146,11 @@
 			default:
 				network.Run(clock.Millis(rapid.SampledFrom([]int64{1, 5, 50, 300, 1500, 4000, 9000}).Draw(t, "span")))
 			}
-			requireOnce(t, network, keys)
+			requireAtMostOnce(t, network, keys)
 		}
 		faults.EndAll()
 		network.Run(70 * clock.Second)
-		requireOnce(t, network, keys)
+		requireAtMostOnce(t, network, keys)
 		for _, sent := range keys {
 			total += sent.count
 			for i := range sent.count {
@@ -158,16 +160,17 @@
 			}
 		}
 		for _, count := range faults.Counts {
-			faulty += count
+			faultCount += count
 		}
 	})
-	t.Logf("%d requests, %d answered, %d faults", total, answered, faulty)
+	t.Logf("%d requests, %d answered, %d faults", total, answered, faultCount)
 }
 
-// TestSecondAttempt names the cases that the random histories may not dwell on.
+// TestSecondAttempt checks the outcome of a retry after an answered attempt, in cases
+// that random histories may not reach often.
 func TestSecondAttempt(t *testing.T) {
 	tests := map[string]struct {
-		between func(network *nodetest.Network, faults *nodetest.Faults, keeper ident.DaemonID)
+		between func(network *nodetest.Network, faults *nodetest.Faults, homeDaemon ident.DaemonID)
 		reasons []outcome.Reason
 	}{
 		"nothing between": {
@@ -175,18 +178,18 @@
 			reasons: []outcome.Reason{outcome.Complete},
 		},
 		"home killed": {
-			between: func(network *nodetest.Network, _ *nodetest.Faults, keeper ident.DaemonID) {
-				network.Kill(keeper)
-				dropFromList(network, keeper)
+			between: func(network *nodetest.Network, _ *nodetest.Faults, homeDaemon ident.DaemonID) {
+				network.Kill(homeDaemon)
+				dropFromList(network, homeDaemon)
 			},
 			reasons: []outcome.Reason{outcome.Complete},
 		},
 		"home leaves": {
-			between: func(network *nodetest.Network, _ *nodetest.Faults, keeper ident.DaemonID) {
-				network.HandleEvent(network.Nodes[keeper], node.Shutdown{})
-				network.RunUntil(10*clock.Second, network.Nodes[keeper].Node.Idle)
-				network.Kill(keeper)
-				dropFromList(network, keeper)
+			between: func(network *nodetest.Network, _ *nodetest.Faults, homeDaemon ident.DaemonID) {
+				network.HandleEvent(network.Nodes[homeDaemon], node.Shutdown{})
+				network.RunUntil(10*clock.Second, network.Nodes[homeDaemon].Node.Idle)
+				network.Kill(homeDaemon)
+				dropFromList(network, homeDaemon)
 			},
 			reasons: []outcome.Reason{outcome.Complete},
 		},
@@ -206,29 +209,30 @@
 			first := sent.send(network, "daemon-0", "a")
 			network.Run(2 * clock.Second)
 			require.Equal(t, outcome.Complete, network.Answers[first][0].Outcome.Reason)
-			keeper := network.Answers[first][0].Record.Home
+			homeDaemon := network.Answers[first][0].Record.Home
 			require.True(t, network.Answers[first][0].Record.HomeCopied)
-			test.between(network, &nodetest.Faults{Network: network, Counts: map[string]int{}}, keeper)
+			test.between(network, &nodetest.Faults{Network: network, Counts: map[string]int{}}, homeDaemon)
 			network.Run(10 * clock.Second)
-			again := sent.send(network, liveEntry(network), "a")
+			retry := sent.send(network, liveEntry(network), "a")
 			network.Run(5 * clock.Second)
-			require.Contains(t, test.reasons, network.Answers[again][0].Outcome.Reason)
-			requireOnce(t, network, []*attempts{sent})
+			require.Contains(t, test.reasons, network.Answers[retry][0].Outcome.Reason)
+			requireAtMostOnce(t, network, []*attempts{sent})
 		})
 	}
 }
 
-func dropFromList(network *nodetest.Network, gone ident.DaemonID) {
-	var left []members.VM
+// dropFromList removes a daemon from the VM list.
+func dropFromList(network *nodetest.Network, dropped ident.DaemonID) {
+	var remaining []members.VM
 	for _, vm := range network.VMs() {
-		if vm.Name != string(gone) {
-			left = append(left, vm)
+		if vm.Name != string(dropped) {
+			remaining = append(remaining, vm)
 		}
 	}
-	network.SetVMs(left)
+	network.SetVMs(remaining)
 }
 
-// liveEntry returns a daemon that is up, other than the given ones.
+// liveEntry returns a running daemon other than the given ones.
 func liveEntry(network *nodetest.Network, without ...ident.DaemonID) ident.DaemonID {
 	for _, name := range network.HostNames() {
 		if host := network.Nodes[name]; !host.Dead && !host.Paused && !slices.Contains(without, name) {
@@ -238,7 +242,8 @@
 	return ""
 }
 
-// homeUnder returns the home of a key under the present list without some daemons.
+// homeUnder returns the home of a key under the current VM list without the given
+// daemons.
 func homeUnder(network *nodetest.Network, key string, without ...ident.DaemonID) ident.DaemonID {
 	vms := slices.DeleteFunc(network.VMs(), func(vm members.VM) bool { return slices.Contains(without, ident.DaemonID(vm.Name)) })
 	view := members.NewView(members.List{Version: 1, VMs: vms}, network.Now)
@@ -246,8 +251,9 @@
 	return found
 }
 
-// TestListsDiffer lets a home go on with the list of a time when it was home,
-// while the others have a newer one and the key is younger than both.
+// TestListsDiffer checks that a key runs at most once if a former home still has the
+// VM list under which it was the home, while the other daemons have a newer list and
+// the key was issued after both.
 func TestListsDiffer(t *testing.T) {
 	network := newNetwork(t, 1, 5)
 	network.Run(10 * clock.Second)
@@ -259,11 +265,12 @@
 	sent.send(network, former, "a")
 	sent.send(network, liveEntry(network, former), "a")
 	network.Run(10 * clock.Second)
-	requireOnce(t, network, []*attempts{sent})
-	require.Equal(t, 1, ran(network, "k", false), "the home under the new list serves")
+	requireAtMostOnce(t, network, []*attempts{sent})
+	require.Equal(t, 1, runCount(network, "k", false), "the home under the new list runs the request")
 }
 
-// TestHomeAndCopyKilled ends both daemons that know of a first attempt.
+// TestHomeAndCopyKilled checks that a retry is refused after both daemons that held
+// the record of the first attempt were killed.
 func TestHomeAndCopyKilled(t *testing.T) {
 	network := newNetwork(t, 1, 5)
 	network.Run(10 * clock.Second)
@@ -271,53 +278,56 @@
 	first := homeUnder(network, "k")
 	sent.send(network, liveEntry(network, first), "a")
 	network.Run(clock.Second)
-	second := homeUnder(network, "k", first) // which holds the copy
+	second := homeUnder(network, "k", first) // holds the copy
 	network.Kill(first)
 	network.Kill(second)
 	dropFromList(network, first)
 	dropFromList(network, second)
 	network.Run(20 * clock.Second)
-	again := sent.send(network, liveEntry(network), "a")
+	retry := sent.send(network, liveEntry(network), "a")
 	network.Run(5 * clock.Second)
-	require.Equal(t, outcome.KeyNotVouched, network.Answers[again][0].Outcome.Reason)
-	requireOnce(t, network, []*attempts{sent})
+	require.Equal(t, outcome.KeyNotVouched, network.Answers[retry][0].Outcome.Reason)
+	requireAtMostOnce(t, network, []*attempts{sent})
 }
 
-// TestPausedHomeWakes grants nothing on what it believed before its pause.
+// TestPausedHomeWakes checks that a home grants nothing on the basis of the VM list
+// that it had before it was paused.
 func TestPausedHomeWakes(t *testing.T) {
 	network := newNetwork(t, 1, 5)
 	network.Run(10 * clock.Second)
 	paused := homeUnder(network, "k")
 	sent := &attempts{key: "k", issuedAt: network.Now, service: true}
 	network.Pause(paused)
-	early := sent.send(network, liveEntry(network, paused), "a")
+	refused := sent.send(network, liveEntry(network, paused), "a")
 	network.Run(5 * clock.Second)
-	require.Equal(t, outcome.HomeUnreachable, network.Answers[early][0].Outcome.Reason)
+	require.Equal(t, outcome.HomeUnreachable, network.Answers[refused][0].Outcome.Reason)
 	dropFromList(network, paused)
 	network.Run(20 * clock.Second)
 	sent.send(network, liveEntry(network, paused), "a")
 	network.Resume(paused)
 	network.Run(5 * clock.Second)
-	requireOnce(t, network, []*attempts{sent})
+	requireAtMostOnce(t, network, []*attempts{sent})
 }
 
-// TestPartitionBetweenEntryAndHome answers at once what nobody received.
+// TestPartitionBetweenEntryAndHome checks that a request is refused if messages are
+// lost in one direction between its entry and its home, and that the key can be used
+// again afterwards.
 func TestPartitionBetweenEntryAndHome(t *testing.T) {
 	network := newNetwork(t, 1, 5)
 	network.Run(10 * clock.Second)
-	keeper := homeUnder(network, "k")
-	entry := liveEntry(network, keeper)
+	homeDaemon := homeUnder(network, "k")
+	entry := liveEntry(network, homeDaemon)
 	sent := &attempts{key: "k", issuedAt: network.Now, service: true}
-	for _, oneWay := range []nodetest.Direction{{From: keeper, To: entry}, {From: entry, To: keeper}} {
+	for _, oneWay := range []nodetest.Direction{{From: homeDaemon, To: entry}, {From: entry, To: homeDaemon}} {
 		network.Blocked[oneWay] = true
 		refused := sent.send(network, entry, "a")
 		network.Run(3 * clock.Second)
 		require.Equal(t, outcome.HomeUnreachable, network.Answers[refused][0].Outcome.Reason)
 		clear(network.Blocked)
-		network.Run(3 * clock.Second) // the home hears that the attempt was given up
+		network.Run(3 * clock.Second) // the home receives the outcome of the refused attempt
 	}
 	sent.send(network, entry, "a")
 	network.Run(3 * clock.Second)
-	requireOnce(t, network, []*attempts{sent})
-	require.Equal(t, 1, ran(network, "k", false), "a true not-run frees the key")
+	requireAtMostOnce(t, network, []*attempts{sent})
+	require.Equal(t, 1, runCount(network, "k", false), "an attempt that did not run releases the key")
 }
--- a/internal/decide/home/vouch.go
+++ b/internal/decide/home/vouch.go
@@ -11,29 +11,29 @@
 	"teaselmoor/internal/decide/ownership"
 )
 
-// Key is an idempotency key with what its home follows from.
+// Key is an idempotency key with the data that determines its home.
 type Key struct {
 	Key    string
 	Caller string
-	// Region is the caller's region; empty leaves the choice to a hash of the
-	// caller's name. It never changes for a caller, or two regions could each
-	// think themselves home.
+	// Region is the caller's region. If it is empty, a hash of the caller's name
+	// chooses the region. It must not change for a caller, or daemons of two regions
+	// could both act as the key's home.
 	Region string
 }
 
-// roster lists the live daemons under one VM list, by region.
+// roster holds the live daemons of a VM list, by region.
 type roster map[string][]ident.DaemonID
 
 func newRoster(view *members.View) roster {
 	listed := roster{}
-	for _, daemon := range view.Daemons(func(*members.VM) bool { return true }) {
+	for _, daemon := range view.LiveDaemons(func(*members.VM) bool { return true }) {
 		vm, _ := view.Daemon(daemon)
 		listed[vm.Region] = append(listed[vm.Region], daemon)
 	}
 	return listed
 }
 
-// daemons returns the daemons that a key's home is chosen from.
+// daemons returns the daemons among which a key's home is chosen.
 func (roster roster) daemons(key Key) []ident.DaemonID {
 	if len(roster) == 1 || key.Region != "" {
 		for region, daemons := range roster {
@@ -51,101 +51,106 @@
 	return roster[string(region)]
 }
 
-func (roster roster) first(key Key) (ident.DaemonID, bool) {
+// homeOf returns the daemon that is the key's home.
+func (roster roster) homeOf(key Key) (ident.DaemonID, bool) {
 	return ownership.First(rankKey(key), roster.daemons(key))
 }
 
 func rankKey(key Key) string { return "key/" + key.Key }
 
-// Of returns the daemon that is home to a key under a VM list.
+// Of returns the daemon that is a key's home according to a VM list.
 func Of(view *members.View, key Key) (ident.DaemonID, bool) {
-	return newRoster(view).first(key)
+	return newRoster(view).homeOf(key)
 }
 
-// history holds the rosters of the VM lists that this daemon has read without a
-// gap: list versions rise by one, so that a list missed in between shows.
-type history struct {
+// rosterHistory holds the rosters of the VM lists that this daemon has read without
+// missing one. Versions of the list rise by one, so a missed list is detected.
+type rosterHistory struct {
 	version uint64
-	readAt  clock.Millis // of the latest reading
-	eras    []era
+	readAt  clock.Millis // time at which the latest list was read
+	periods []rosterPeriod
 }
 
-// era is the time in which one roster held.
-type era struct {
-	// since is when the roster was first read.
+// rosterPeriod is a period during which the roster did not change.
+type rosterPeriod struct {
+	// since is the time at which the roster was first read.
 	since  clock.Millis
 	roster roster
 }
 
-// latest returns the present roster, nil before the first.
-func (history *history) latest() roster {
-	if len(history.eras) == 0 {
+// latest returns the current roster, or nil if no VM list has been read.
+func (rosterHistory *rosterHistory) latest() roster {
+	if len(rosterHistory.periods) == 0 {
 		return nil
 	}
-	return history.eras[len(history.eras)-1].roster
+	return rosterHistory.periods[len(rosterHistory.periods)-1].roster
 }
 
-// others returns the first daemons in a key's order without the given one.
-func (history *history) others(key Key, without ident.DaemonID, count int) []ident.DaemonID {
-	ranked := ownership.Rank(rankKey(key), history.latest().daemons(key))
+// copyTargets returns the first daemons in the key's rank order, leaving out the
+// given one.
+func (rosterHistory *rosterHistory) copyTargets(key Key, without ident.DaemonID, count int) []ident.DaemonID {
+	ranked := ownership.Rank(rankKey(key), rosterHistory.latest().daemons(key))
 	ranked = slices.DeleteFunc(ranked, func(daemon ident.DaemonID) bool { return daemon == without })
 	return ranked[:min(count, len(ranked))]
 }
 
-// read takes in a reading of the VM list and reports whether the roster
-// changed. A list older than one read before is no fresh knowledge.
-func (history *history) read(view *members.View) bool {
+// update applies a VM list that was read and reports whether the roster changed. A
+// list older than one read before is ignored. If a list was missed in between, or
+// the roster differs under the same version, the history starts anew.
+func (rosterHistory *rosterHistory) update(view *members.View) bool {
 	version := view.List.Version
-	if len(history.eras) > 0 && version < history.version {
+	if len(rosterHistory.periods) > 0 && version < rosterHistory.version {
 		return false
 	}
 	next := newRoster(view)
-	same := maps.EqualFunc(history.latest(), next, slices.Equal)
-	gap := version > history.version+1 || version == history.version && !same
-	if gap || len(history.eras) == 0 {
-		history.eras = []era{{since: view.ReadAt, roster: next}}
+	same := maps.EqualFunc(rosterHistory.latest(), next, slices.Equal)
+	gap := version > rosterHistory.version+1 || version == rosterHistory.version && !same
+	if gap || len(rosterHistory.periods) == 0 {
+		rosterHistory.periods = []rosterPeriod{{since: view.ReadAt, roster: next}}
 	} else if !same {
-		history.eras = append(history.eras, era{since: view.ReadAt, roster: next})
+		rosterHistory.periods = append(rosterHistory.periods, rosterPeriod{since: view.ReadAt, roster: next})
 	}
-	history.version = version
-	history.readAt = view.ReadAt
+	rosterHistory.version = version
+	rosterHistory.readAt = view.ReadAt
 	return !same
 }
 
-// prune drops the eras that ended before a time.
-func (history *history) prune(before clock.Millis) {
-	for len(history.eras) > 1 && history.eras[1].since < before {
-		history.eras = history.eras[1:]
+// prune removes the periods that ended before the given time.
+func (rosterHistory *rosterHistory) prune(before clock.Millis) {
+	for len(rosterHistory.periods) > 1 && rosterHistory.periods[1].since < before {
+		rosterHistory.periods = rosterHistory.periods[1:]
 	}
 }
 
-// acts reports whether this daemon may act as home of a key now.
-func (home *Home) acts(now clock.Millis, key Key) bool {
-	if len(home.history.eras) == 0 || now-home.history.readAt > home.options.MaxViewAge {
+// mayActAsHome reports whether this daemon is the key's home according to a VM list
+// that is recent enough.
+func (home *Home) mayActAsHome(now clock.Millis, key Key) bool {
+	if len(home.history.periods) == 0 || now-home.history.readAt > home.options.MaxListAge {
 		return false
 	}
-	first, found := home.history.latest().first(key)
-	return found && first == home.self
+	homeDaemon, found := home.history.latest().homeOf(key)
+	return found && homeDaemon == home.self
 }
 
-// vouches reports whether this home would know of an earlier attempt under a
-// key. No attempt is granted before the key's issue, less the clock margin, by
-// its home's clock; that clock differs from this one by the margin at most; and
-// a home acts on a list that was current up to MaxViewAge and ListLag before. So
-// this daemon must have been home under every list current since then.
-func (home *Home) vouches(now clock.Millis, key Key, issuedAt clock.Millis) bool {
+// canVouch reports whether this home would have a record of an earlier attempt under
+// the key. By the clock of its home, no attempt is granted earlier than ClockMargin
+// before the key's issue time. That clock differs from this one by at most
+// ClockMargin, and a home acts on a list that may be out of date by the maximum age
+// of a list plus its lag. So this daemon must have been the key's home under every
+// list that was current since then.
+func (home *Home) canVouch(now clock.Millis, key Key, issuedAt clock.Millis) bool {
 	margin := home.options.ClockMargin
 	if issuedAt > now+margin || issuedAt < now-home.options.Retention+2*margin {
 		return false
 	}
-	from := issuedAt - 2*margin - home.options.MaxViewAge - home.options.ListLag
-	eras := home.history.eras
+	from := issuedAt - 2*margin - home.options.MaxListAge - home.options.ListLag
+	eras := home.history.periods
 	if len(eras) == 0 || eras[0].since > from {
 		return false
 	}
 	for i := len(eras) - 1; i >= 0; i-- {
-		first, found := eras[i].roster.first(key)
-		if !found || first != home.self {
+		homeDaemon, found := eras[i].roster.homeOf(key)
+		if !found || homeDaemon != home.self {
 			return false
 		}
 		if eras[i].since <= from {
@@ -155,34 +160,34 @@
 	return true
 }
 
-// VouchesFresh reports whether this daemon could vouch for a key issued now, if
-// it is that key's home under every list it has read.
-func (home *Home) VouchesFresh(now clock.Millis) bool {
-	span := 2*home.options.ClockMargin + home.options.MaxViewAge + home.options.ListLag
-	eras := home.history.eras
-	return len(eras) > 0 && eras[0].since <= now-span && now-home.history.readAt <= home.options.MaxViewAge
+// CanVouchForNewKeys reports whether this daemon could vouch for a key issued now,
+// provided that it is the key's home under every list it has read.
+func (home *Home) CanVouchForNewKeys(now clock.Millis) bool {
+	needed := 2*home.options.ClockMargin + home.options.MaxListAge + home.options.ListLag
+	eras := home.history.periods
+	return len(eras) > 0 && eras[0].since <= now-needed && now-home.history.readAt <= home.options.MaxListAge
 }
 
-// ListRead takes in a reading of the VM list. Records that now have another
-// home or copy holder are copied there; attempts granted to entries that are no
-// longer listed become unknown.
-func (home *Home) ListRead(now clock.Millis, view *members.View) []effect.Effect {
+// UpdateVMList applies a VM list that was read. If the roster changed, records are copied
+// again to where they may now belong, and unfinished attempts granted to entries
+// that are no longer listed end as unknown.
+func (home *Home) UpdateVMList(now clock.Millis, view *members.View) []effect.Effect {
 	before := home.history.latest()
-	changed := home.history.read(view)
-	home.history.prune(now - home.options.Retention - home.options.MaxViewAge - home.options.ListLag)
+	changed := home.history.update(view)
+	home.history.prune(now - home.options.Retention - home.options.MaxListAge - home.options.ListLag)
 	if !changed || before == nil {
-		return home.take()
+		return home.takeEffects()
 	}
-	home.lose(now, func(lost *record) bool {
-		_, listed := view.Daemon(lost.stream.Daemon)
+	home.endAsUnknown(now, func(record *record) bool {
+		_, listed := view.Daemon(record.stream.Daemon)
 		return !listed
 	})
-	for _, known := range home.inOrder() {
-		was, _ := before.first(known.key)
-		is, _ := home.history.latest().first(known.key)
-		if was == home.self || is == home.self {
-			home.replicate(now, known)
+	for _, record := range home.recordsInOrder() {
+		formerHome, _ := before.homeOf(record.key)
+		currentHome, _ := home.history.latest().homeOf(record.key)
+		if formerHome == home.self || currentHome == home.self {
+			home.replicate(now, record)
 		}
 	}
-	return home.take()
+	return home.takeEffects()
 }
--- a/internal/decide/loads/broker_test.go
+++ b/internal/decide/loads/broker_test.go
@@ -15,135 +15,137 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
-const span = 500 * clock.Millisecond
+const loadDuration = 500 * clock.Millisecond
 
-func askOf(adapter int, class config.Class, budget clock.Millis, waiters int) message.LoadRequest {
+func requestOf(adapter int, class config.Class, budget clock.Millis, waiters int) message.LoadRequest {
 	return message.LoadRequest{
 		Store: "weights", Engine: "engine", Adapter: ident.Adapter{Name: fmt.Sprint(adapter), Version: "1"},
 		Class: class, Budget: budget, Waiters: waiters,
 	}
 }
 
-// store takes exactly the span for each load and keeps account of replies.
+// store simulates a weight store at which each load takes exactly loadDuration. It
+// records the broker's replies.
 type store struct {
-	t       require.TestingT
-	broker  *loads.Broker
-	now     clock.Millis
-	due     map[string]clock.Millis // deadlines of loads that wait
-	loading string
-	ends    clock.Millis
-	order   []string
-	refused map[string]bool
+	t         require.TestingT
+	broker    *loads.Broker
+	now       clock.Millis
+	deadlines map[string]clock.Millis // of the waiting loads, by adapter
+	loading   string
+	endsAt    clock.Millis // end of the current load
+	order     []string     // of the grants
+	refused   map[string]bool
 }
 
 func newStore(t require.TestingT, options loads.Options) *store {
-	return &store{t: t, broker: loads.New(options), now: clock.Hour, due: map[string]clock.Millis{}, refused: map[string]bool{}}
+	return &store{t: t, broker: loads.New(options), now: clock.Hour, deadlines: map[string]clock.Millis{}, refused: map[string]bool{}}
 }
 
-func (store *store) ask(ask message.LoadRequest) {
-	store.due[ask.Adapter.Name] = store.now + ask.Budget
-	delete(store.refused, ask.Adapter.Name)
-	store.take(store.broker.Ask(store.now, "daemon", ask))
+func (store *store) request(request message.LoadRequest) {
+	store.deadlines[request.Adapter.Name] = store.now + request.Budget
+	delete(store.refused, request.Adapter.Name)
+	store.handle(store.broker.Request(store.now, "daemon", request))
 }
 
-func (store *store) take(replies []loads.Reply) {
+func (store *store) handle(replies []loads.Reply) {
 	for _, reply := range replies {
 		switch reply := reply.Message.(type) {
 		case message.LoadDecision:
 			if reply.Refused {
 				store.refused[reply.Adapter.Name] = true
-				delete(store.due, reply.Adapter.Name)
+				delete(store.deadlines, reply.Adapter.Name)
 			}
 		case message.LoadGrant:
 			name := reply.Adapter.Name
 			require.Empty(store.t, store.loading, "one load at a time")
-			require.Contains(store.t, store.due, name, "only what waits is granted")
-			require.LessOrEqual(store.t, store.now+span, store.due[name], "%s is granted in time or refused", name)
-			store.loading, store.ends = name, store.now+span
+			require.Contains(store.t, store.deadlines, name, "only waiting loads are granted")
+			require.LessOrEqual(store.t, store.now+loadDuration, store.deadlines[name], "%s is granted in time or refused", name)
+			store.loading, store.endsAt = name, store.now+loadDuration
 			store.order = append(store.order, name)
-			delete(store.due, name)
+			delete(store.deadlines, name)
 		}
 	}
 }
 
-// pass lets time go by.
-func (store *store) pass(until clock.Millis) {
-	for store.loading != "" && store.ends <= until {
-		store.now = store.ends
+// runUntil advances the time and returns the leases of the loads that end.
+func (store *store) runUntil(until clock.Millis) {
+	for store.loading != "" && store.endsAt <= until {
+		store.now = store.endsAt
 		done := message.LoadDone{Store: "weights", Engine: "engine", Adapter: ident.Adapter{Name: store.loading, Version: "1"}}
 		store.loading = ""
-		store.take(store.broker.Done(store.now, done))
+		store.handle(store.broker.ReturnLease(store.now, done))
 	}
 	store.now = until
-	store.take(store.broker.Tick(store.now))
+	store.handle(store.broker.Tick(store.now))
 }
 
-// TestEveryLoadIsGrantedInTimeOrRefused draws arrivals far above the rate of the
-// store: no load may be late without a word.
+// TestEveryLoadIsGrantedInTimeOrRefused draws requests far above the rate of the store
+// and checks that each load is either granted in time or refused.
 func TestEveryLoadIsGrantedInTimeOrRefused(t *testing.T) {
 	nodetest.CheckHistories(t, 200, func(t *rapid.T) {
 		options := loads.DefaultOptions()
-		options.Floor = rapid.IntRange(0, 5).Draw(t, "floor")
+		options.MaxUrgentInRow = rapid.IntRange(0, 5).Draw(t, "floor")
 		store := newStore(t, options)
 		for i := range rapid.IntRange(1, 60).Draw(t, "asks") {
 			class := config.Class(rapid.IntRange(0, 1).Draw(t, "class"))
 			budget := clock.Millis(rapid.IntRange(0, 8000).Draw(t, "budget"))
-			store.ask(askOf(i, class, budget, rapid.IntRange(1, 5).Draw(t, "waiters")))
-			store.pass(store.now + clock.Millis(rapid.IntRange(0, 600).Draw(t, "pause")))
+			store.request(requestOf(i, class, budget, rapid.IntRange(1, 5).Draw(t, "waiters")))
+			store.runUntil(store.now + clock.Millis(rapid.IntRange(0, 600).Draw(t, "pause")))
 		}
-		store.pass(store.now + clock.Minute)
-		require.Empty(t, store.due, "nothing waits for ever")
+		store.runUntil(store.now + clock.Minute)
+		require.Empty(t, store.deadlines, "no load is left waiting")
 	})
 }
 
 func TestUrgentGoesFirst(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
-	store.ask(askOf(0, config.Routine, clock.Minute, 1))
-	store.ask(askOf(1, config.Routine, clock.Minute, 9))
-	store.ask(askOf(2, config.Urgent, clock.Minute, 1))
-	store.pass(store.now + 5*clock.Second)
+	store.request(requestOf(0, config.Routine, clock.Minute, 1))
+	store.request(requestOf(1, config.Routine, clock.Minute, 9))
+	store.request(requestOf(2, config.Urgent, clock.Minute, 1))
+	store.runUntil(store.now + 5*clock.Second)
 	require.Equal(t, []string{"0", "2", "1"}, store.order)
 }
 
-// TestRoutineFloor keeps urgent loads waiting all the time: a routine one goes
-// after seven of them.
+// TestRoutineFloor checks that a routine load is granted after seven urgent ones while
+// more urgent loads are waiting.
 func TestRoutineFloor(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
 	for i := range 20 {
-		store.ask(askOf(i, config.Urgent, clock.Minute, 1))
+		store.request(requestOf(i, config.Urgent, clock.Minute, 1))
 	}
-	store.ask(askOf(100, config.Routine, clock.Minute, 1))
-	store.pass(store.now + 20*clock.Second)
+	store.request(requestOf(100, config.Routine, clock.Minute, 1))
+	store.runUntil(store.now + 20*clock.Second)
 	require.Equal(t, "100", store.order[7])
 }
 
-// TestFloorYieldsToUrgentDeadlines leaves urgent loads no time to spare: none is
-// late, and the routine load is told that it has to wait too long.
+// TestFloorYieldsToUrgentDeadlines checks that no urgent load is late when all of them
+// together need the whole time, and that the routine load is refused.
 func TestFloorYieldsToUrgentDeadlines(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
 	for i := range 20 {
-		store.ask(askOf(i, config.Urgent, 20*span+loads.DefaultOptions().Margin, 1))
+		store.request(requestOf(i, config.Urgent, 20*loadDuration+loads.DefaultOptions().DeadlineMargin, 1))
 	}
-	store.ask(askOf(100, config.Routine, 5*clock.Second, 1))
-	store.pass(store.now + 20*clock.Second)
+	store.request(requestOf(100, config.Routine, 5*clock.Second, 1))
+	store.runUntil(store.now + 20*clock.Second)
 	require.Len(t, store.order, 20)
 	require.Equal(t, map[string]bool{"100": true}, store.refused)
 }
 
-// TestFewestWaitersAreRefused keeps the load that serves most.
+// TestFewestWaitersAreRefused checks that the load with more waiting requests is kept
+// if one of two has to be refused.
 func TestFewestWaitersAreRefused(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
-	store.ask(askOf(0, config.Routine, clock.Minute, 1))
-	store.ask(askOf(1, config.Routine, 1200, 1))
-	store.ask(askOf(2, config.Routine, 1200, 5))
+	store.request(requestOf(0, config.Routine, clock.Minute, 1))
+	store.request(requestOf(1, config.Routine, 1200, 1))
+	store.request(requestOf(2, config.Routine, 1200, 5))
 	require.Equal(t, map[string]bool{"1": true}, store.refused)
 }
 
-func TestLeaseEnds(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	options := loads.DefaultOptions()
 	broker := loads.New(options)
-	require.Len(t, broker.Ask(0, "daemon", askOf(0, config.Routine, clock.Minute, 1)), 2)
-	broker.Ask(0, "daemon", askOf(1, config.Routine, clock.Minute, 1))
+	require.Len(t, broker.Request(0, "daemon", requestOf(0, config.Routine, clock.Minute, 1)), 2)
+	broker.Request(0, "daemon", requestOf(1, config.Routine, clock.Minute, 1))
 	require.Empty(t, broker.Tick(options.Lease-1))
 	granted := broker.Tick(options.Lease)
 	require.Len(t, granted, 1)
@@ -152,11 +154,11 @@
 
 func TestWithdrawnLoadIsNotGranted(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
-	store.ask(askOf(0, config.Routine, clock.Minute, 1))
-	store.ask(askOf(1, config.Routine, clock.Minute, 1))
-	withdrawn := askOf(1, config.Routine, 0, 0)
+	store.request(requestOf(0, config.Routine, clock.Minute, 1))
+	store.request(requestOf(1, config.Routine, clock.Minute, 1))
+	withdrawn := requestOf(1, config.Routine, 0, 0)
 	withdrawn.Withdraw = true
-	store.take(store.broker.Ask(store.now, "daemon", withdrawn))
-	store.pass(store.now + clock.Minute)
+	store.handle(store.broker.Request(store.now, "daemon", withdrawn))
+	store.runUntil(store.now + clock.Minute)
 	require.Equal(t, []string{"0"}, store.order)
 }
--- a/internal/decide/loads/schedule.go
+++ b/internal/decide/loads/schedule.go
@@ -6,9 +6,9 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// refuse drops loads until the rest of the schedule is feasible.
-func (broker *Broker) refuse(now clock.Millis) []Reply {
-	if broker.options.Patient || broker.options.ArrivalOrder {
+// refuseInfeasible refuses waiting loads until the schedule of the others is feasible.
+func (broker *Broker) refuseInfeasible(now clock.Millis) []Reply {
+	if broker.options.NeverRefuse || broker.options.ArrivalOrder {
 		return nil
 	}
 	var replies []Reply
@@ -18,79 +18,84 @@
 			return replies
 		}
 		at := broker.leastValuable(late)
-		drained := broker.start(now) + clock.Millis(float64(len(broker.waiting))*broker.pace())
-		replies = append(replies, verdict(&broker.waiting[at], true, drained-now))
+		drained := broker.nextStart(now) + clock.Millis(float64(len(broker.waiting))*broker.meanInterval())
+		replies = append(replies, decision(&broker.waiting[at], true, drained-now))
 		broker.waiting = append(broker.waiting[:at], broker.waiting[at+1:]...)
 	}
 }
 
-// firstLate returns the first load of the schedule that would end too late, or -1.
+// firstLate returns the index of the first load that would end too late, or -1.
 func (broker *Broker) firstLate(now clock.Millis) int {
-	ends := float64(broker.start(now) + broker.options.Margin)
+	expectedEnd := float64(broker.nextStart(now) + broker.options.DeadlineMargin)
 	for i := range broker.waiting {
-		ends += broker.pace()
-		if clock.Millis(ends) > broker.waiting[i].deadline {
+		expectedEnd += broker.meanInterval()
+		if clock.Millis(expectedEnd) > broker.waiting[i].deadline {
 			return i
 		}
 	}
 	return -1
 }
 
-// leastValuable returns the load up to an index whose refusal costs least: of
-// the lowest class, then that with the fewest waiting requests, then the latest.
+// leastValuable returns the index of the load to refuse, among those up to the given
+// index: of the lowest class, then with the fewest waiting requests, then the last
+// in the schedule.
 func (broker *Broker) leastValuable(last int) int {
 	least := 0
 	for i := 1; i <= last; i++ {
-		if !lessValuable(&broker.waiting[least].ask, &broker.waiting[i].ask) {
+		if !servesLess(&broker.waiting[least].request, &broker.waiting[i].request) {
 			least = i
 		}
 	}
 	return least
 }
 
-// lessValuable reports whether a serves less than b.
-func lessValuable(a, b *message.LoadRequest) bool {
+// servesLess reports whether a has a lower class than b or, within a class, fewer
+// waiting requests.
+func servesLess(a, b *message.LoadRequest) bool {
 	if a.Class != b.Class {
 		return a.Class > b.Class
 	}
 	return a.Waiters < b.Waiters
 }
 
-func verdict(waiting *wait, refused bool, wait clock.Millis) Reply {
-	return Reply{To: waiting.from, Message: message.LoadDecision{
-		Store: waiting.ask.Store, Engine: waiting.ask.Engine, Adapter: waiting.ask.Adapter,
+// decision returns the message that refuses a load, or tells its owner how long it
+// is expected to wait.
+func decision(load *waitingLoad, refused bool, wait clock.Millis) Reply {
+	return Reply{To: load.from, Message: message.LoadDecision{
+		Store: load.request.Store, Engine: load.request.Engine, Adapter: load.request.Adapter,
 		Refused: refused, Wait: wait,
 	}}
 }
 
-// next returns the index of the load that is granted next.
-func (broker *Broker) next(now clock.Millis) int {
+// nextIndex returns the index of the load to grant next.
+func (broker *Broker) nextIndex(now clock.Millis) int {
 	if broker.options.ArrivalOrder {
 		return 0
 	}
-	if routine := broker.firstOf(config.Routine); routine >= 0 && broker.urgentRun >= broker.options.Floor &&
+	if routine := broker.firstOfClass(config.Routine); routine >= 0 && broker.consecutiveUrgent >= broker.options.MaxUrgentInRow &&
 		broker.feasibleAfter(now, routine) {
 		return routine
 	}
 	return 0
 }
 
-func (broker *Broker) firstOf(class config.Class) int {
+// firstOfClass returns the index of the first load of a class, or -1.
+func (broker *Broker) firstOfClass(class config.Class) int {
 	for i := range broker.waiting {
-		if broker.waiting[i].ask.Class == class {
+		if broker.waiting[i].request.Class == class {
 			return i
 		}
 	}
 	return -1
 }
 
-// feasibleAfter reports whether the loads ahead of one in the schedule still
-// end in time when that one goes first.
+// feasibleAfter reports whether the loads ahead of the given one in the schedule
+// would still end in time if that one were granted first.
 func (broker *Broker) feasibleAfter(now clock.Millis, first int) bool {
-	ends := float64(broker.start(now)+broker.options.Margin) + broker.pace()
+	expectedEnd := float64(broker.nextStart(now)+broker.options.DeadlineMargin) + broker.meanInterval()
 	for i := range first {
-		ends += broker.pace()
-		if clock.Millis(ends) > broker.waiting[i].deadline {
+		expectedEnd += broker.meanInterval()
+		if clock.Millis(expectedEnd) > broker.waiting[i].deadline {
 			return false
 		}
 	}
--- a/internal/decide/node/answer.go
+++ b/internal/decide/node/answer.go
@@ -32,7 +32,7 @@
 			return attempt.Outcome
 		}
 	}
-	return outcome.Lost(outcome.OwnerLost)
+	return outcome.MayHaveRun(outcome.OwnerLost)
 }
 
 func (node *Node) callerDisconnected(stream ident.StreamID) {
@@ -44,10 +44,10 @@
 	switch request.state {
 	case requestResuming:
 		node.cancelOrphan(request)
-		final = outcome.Lost(outcome.CallerGone)
+		final = outcome.MayHaveRun(outcome.CallerGone)
 	case requestSubmitted, requestDispatched:
 		node.cancelAttempt(request)
-		final = outcome.Lost(outcome.CallerGone)
+		final = outcome.MayHaveRun(outcome.CallerGone)
 	}
 	node.answer(request, final)
 }
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -127,7 +127,7 @@
 		return
 	}
 	if ended.Outcome.Kind == outcome.Answered && request.chunksKnown && request.chunks != ended.Chunks {
-		ended.Outcome = outcome.Lost(outcome.Truncated)
+		ended.Outcome = outcome.MayHaveRun(outcome.Truncated)
 	}
 	attempt := request.lastAttempt()
 	attempt.Outcome = ended.Outcome
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -19,7 +19,7 @@
 		return
 	}
 	node.ownerRole.pauseEndedAt = node.now
-	node.peers.Relisten(node.now)
+	node.peers.ResetSilence(node.now)
 	node.emit(effect.Audit{
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
 		Cause: "two steps were too far apart", Before: versionText(uint64(previousStep)), After: versionText(uint64(node.now)),
@@ -94,7 +94,7 @@
 		return
 	}
 	node.vms = view
-	node.homeEffects(node.home.ListRead(node.now, view))
+	node.homeEffects(node.home.UpdateVMList(node.now, view))
 	if previous != nil && view.List.Version == previous.List.Version {
 		node.reviseOwnership()
 		return
@@ -104,7 +104,7 @@
 	if previous != nil && view.ReadAt-previous.ReadAt > node.options.Ownership.MaxListAge {
 		node.handleVMListGap()
 	}
-	node.configEffects(node.rollout.Peers(node.now, view, node.options.DataCentre, node.options.Region))
+	node.configEffects(node.rollout.UpdateVMList(node.now, view, node.options.DataCentre, node.options.Region))
 	node.groupDaemons()
 	node.rankCandidates()
 }
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -53,7 +53,7 @@
 		return options
 	}
 	if store, known := node.config.Store(name); known {
-		options.Span = clock.Millis(float64(clock.Second) / store.LoadsPerSecond)
+		options.LoadDuration = clock.Millis(float64(clock.Second) / store.LoadsPerSecond)
 		if rate := node.regionRate(store); rate < store.LoadsPerSecond {
 			options.Interval = clock.Millis(float64(clock.Second) / rate)
 		}
@@ -62,11 +62,11 @@
 }
 
 func (node *Node) loadRequested(from ident.DaemonID, request message.LoadRequest) {
-	node.sendReplies(node.broker(request.Store).Ask(node.now, from, request))
+	node.sendReplies(node.broker(request.Store).Request(node.now, from, request))
 }
 
 func (node *Node) loadDone(done message.LoadDone) {
-	node.sendReplies(node.broker(done.Store).Done(node.now, done))
+	node.sendReplies(node.broker(done.Store).ReturnLease(node.now, done))
 }
 
 func (node *Node) loadGrant(grant message.LoadGrant) {
@@ -110,7 +110,7 @@
 		if owned.owner.Engine.Store != store {
 			continue
 		}
-		unanswered, since, silent := owned.owner.LongestUnanswered(node.now, node.options.Loads.Silence)
+		unanswered, since, silent := owned.owner.LongestUnanswered(node.now, node.options.Loads.BrokerTimeout)
 		if silent && (!found || since < oldest) {
 			engine, adapter, oldest, found = name, unanswered, since, true
 		}
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -177,7 +177,7 @@
 	case MessageReceived:
 		node.received(event.From, event.Message)
 	case PeerLost:
-		node.peers.Lost(event.Peer)
+		node.peers.MarkDisconnected(event.Peer)
 		node.views.MarkOwnerLost(event.Peer)
 		node.peerLost(event)
 	case RunEnded:
@@ -191,11 +191,11 @@
 	case ConfigRead:
 		node.configEffects(node.rollout.Adopt(node.now, event.Snapshot))
 	case ConfigWatched:
-		node.configEffects(node.rollout.Watched(node.now, event.Result))
+		node.configEffects(node.rollout.HandleWatchResult(node.now, event.Result))
 	case ConfigPartRead:
-		node.configEffects(node.rollout.PartRead(node.now, event.Name, event.Body, event.Failed))
+		node.configEffects(node.rollout.HandlePartRead(node.now, event.Name, event.Body, event.Failed))
 	case ConfigAssembled:
-		node.configEffects(node.rollout.Assembled(node.now, event.Mark, event.Snapshot, event.Cause))
+		node.configEffects(node.rollout.HandleAssembled(node.now, event.Mark, event.Snapshot, event.Cause))
 	case VMListRead:
 		node.vmListRead(event.View)
 	case Tick:
@@ -207,7 +207,7 @@
 
 // received dispatches a message to the role that handles it.
 func (node *Node) received(from ident.DaemonID, received message.Message) {
-	node.peers.Touch(node.now, from)
+	node.peers.RecordContact(node.now, from)
 	switch received := received.(type) {
 	case message.Submit:
 		node.submitReceived(from, received)
@@ -226,11 +226,11 @@
 	case message.HomeFinished:
 		node.homeFinished(received)
 	case message.HomeCopy:
-		node.homeEffects(node.home.Copied(node.now, received))
+		node.homeEffects(node.home.StoreCopy(node.now, received))
 	case message.HomeCopyAck:
-		node.homeEffects(node.home.CopyConfirmed(received))
+		node.homeEffects(node.home.ConfirmCopy(received))
 	case message.HomeCopyDelete:
-		node.homeEffects(node.home.Forgotten(received))
+		node.homeEffects(node.home.DeleteCopy(received))
 	case message.LoadRequest:
 		node.loadRequested(from, received)
 	case message.LoadGrant:
@@ -242,11 +242,11 @@
 	case message.EngineState:
 		node.engineState(received)
 	case message.ConfigOffer:
-		node.configEffects(node.rollout.Offered(node.now, from, received))
+		node.configEffects(node.rollout.HandleOffer(node.now, from, received))
 	case message.ConfigFetch:
-		node.configEffects(node.rollout.Fetched(node.now, from, received))
+		node.configEffects(node.rollout.HandleFetch(node.now, from, received))
 	case message.ConfigPart:
-		node.configEffects(node.rollout.Part(node.now, received))
+		node.configEffects(node.rollout.HandlePart(node.now, received))
 	case message.Update:
 		node.updateReceived(received)
 	case message.FullUpdateRequest:
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -60,7 +60,7 @@
 		refusal.Owner = claim.Owner
 	}
 	if submit.Resume {
-		refusal.Outcome, refusal.Dispatched = outcome.Lost(outcome.OwnerLost), true
+		refusal.Outcome, refusal.Dispatched = outcome.MayHaveRun(outcome.OwnerLost), true
 	}
 	node.send(from, refusal)
 }
--- a/internal/decide/node/resume.go
+++ b/internal/decide/node/resume.go
@@ -38,7 +38,7 @@
 // repeated or its answer has begun, its run is resumed instead and no second run is
 // started.
 func (node *Node) ownerLost(request *request) {
-	lost := outcome.Lost(outcome.OwnerLost)
+	lost := outcome.MayHaveRun(outcome.OwnerLost)
 	request.lastAttempt().Outcome = lost
 	if !request.rule.Repeatable || request.answerStarted {
 		node.awaitOwner(request, "")
@@ -74,7 +74,7 @@
 func (node *Node) tickResume(request *request) {
 	if request.resumeUntil <= node.now {
 		node.cancelOrphan(request)
-		node.answer(request, outcome.Lost(outcome.OwnerLost))
+		node.answer(request, outcome.MayHaveRun(outcome.OwnerLost))
 		return
 	}
 	if owner, found := node.ownerSince(request.engine, request.lostAt); found {
@@ -107,7 +107,7 @@
 		node.ownerLost(request)
 	case request.state == requestSubmitted && !request.resumed && request.deadline+submitGrace <= node.now:
 		node.cancelOrphan(request)
-		node.answer(request, outcome.Lost(outcome.OwnerLost))
+		node.answer(request, outcome.MayHaveRun(outcome.OwnerLost))
 	case request.probeAt <= node.now:
 		node.awaitOwner(request, "")
 	}
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -105,7 +105,7 @@
 	longRun := startLongRun(t, "quote-1@1")
 	longRun.feed(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
 	longRun.feed(node.AnswerReceived{Stream: longRun.lastSubmit.Stream, Chunks: 2})
-	longRun.requireAnswered(t, outcome.Lost(outcome.Truncated))
+	longRun.requireAnswered(t, outcome.MayHaveRun(outcome.Truncated))
 }
 
 // TestOrphanIsCancelled disconnects the caller while the owner of its run is dead,
@@ -115,7 +115,7 @@
 	longRun.killOwner()
 	longRun.network.Run(10)
 	longRun.feed(node.CallerDisconnected{Stream: longRun.lastSubmit.Stream})
-	require.Equal(t, outcome.Lost(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
+	require.Equal(t, outcome.MayHaveRun(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
 	longRun.network.Run(20 * clock.Second)
 	require.NotEmpty(t, longRun.cancels)
 	require.NotEqual(t, longRun.owner, longRun.cancels[len(longRun.cancels)-1], "the cancel must go to the next owner")
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome defines what a caller can be told about a request: exactly
-// one of answered, not run, or unknown, with a reason from a closed list and a
-// decision record that explains it without any other source.
+// Package outcome defines the possible outcomes of a request: Answered, NotRun or
+// Unknown, each with a reason from a closed list, and the decision record, which
+// explains an outcome without any other source.
 package outcome
 
 import (
@@ -13,34 +13,36 @@
 
 // Kinds of outcome.
 const (
-	// Answered: the complete answer of the addressed adapter version was delivered.
+	// Answered means that the complete answer of the addressed adapter version was
+	// delivered.
 	Answered Kind = "Answered"
-	// NotRun: nothing anywhere received the request.
+	// NotRun means that no engine or service received the request.
 	NotRun Kind = "NotRun"
-	// Unknown: the request may have run; the system does not repeat it.
+	// Unknown means that the request may have run. The system does not repeat it.
 	Unknown Kind = "Unknown"
 )
 
-// Outcome is the final word on a request.
+// Outcome is the result of a request, or of one attempt to run it.
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// RetryAfter is the span after which coming back helps; 0 when it does not.
+	// RetryAfter is the time after which sending the request again may succeed, or 0
+	// if it is of no use.
 	RetryAfter clock.Millis
 }
 
-// Done returns the outcome of a request that was answered.
+// Done returns the outcome Answered.
 func Done() Outcome {
 	return Outcome{Kind: Answered, Reason: Complete}
 }
 
-// Refused returns a not-run outcome.
+// Refused returns the outcome NotRun with a reason.
 func Refused(reason Reason, retryAfter clock.Millis) Outcome {
 	return Outcome{Kind: NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// Lost returns an unknown outcome.
-func Lost(reason Reason) Outcome {
+// MayHaveRun returns the outcome Unknown with a reason.
+func MayHaveRun(reason Reason) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason}
 }
 
@@ -48,38 +50,45 @@
 type Candidate struct {
 	Engine  ident.EngineID
 	Verdict Verdict
-	// Age is how old the knowledge was that the verdict rests on.
+	// Age is the age of the engine state on which the verdict is based.
 	Age clock.Millis
 }
 
-// Verdict says why a candidate was chosen or passed over.
+// Verdict is the reason for which a candidate was chosen or not.
 type Verdict string
 
 // Verdicts on candidates.
 const (
-	Chosen       Verdict = "Chosen"
-	RankedLower  Verdict = "RankedLower"
-	EngineAway   Verdict = "EngineLeaving"
+	Chosen Verdict = "Chosen"
+	// RankedLower means that the engine could have run the request, but another one
+	// ranked higher.
+	RankedLower   Verdict = "RankedLower"
+	EngineLeaving Verdict = "EngineLeaving"
+	// EngineSilent means that the newest state of the engine was too old to rely on.
 	EngineSilent Verdict = "EngineSilent"
 	OwnerUnknown Verdict = "OwnerUnknown"
 	Quarantined  Verdict = "Quarantined"
-	TriedBefore  Verdict = "TriedBefore"
-	LoadsFail    Verdict = "LoadsFail"
+	// TriedBefore means that an earlier attempt at the engine failed.
+	TriedBefore Verdict = "TriedBefore"
+	// LoadsFail means that the engine failed to load the adapter.
+	LoadsFail Verdict = "LoadsFail"
+	// LoadsAdapter means that the engine was asked to load the adapter.
 	LoadsAdapter Verdict = "LoadsAdapter"
 )
 
-// Attempt is one submission of a request to an engine's owner or a service.
+// Attempt describes one submission of a request to an engine's owner or to a service.
 type Attempt struct {
 	Stream string
 	Engine ident.EngineID
 	Owner  ident.DaemonID
 	At     clock.Millis
-	// Dispatched tells whether the entry knows that the engine received it.
+	// Dispatched is set if the entry knows that the engine received the request.
 	Dispatched bool
 	Outcome    Outcome
 }
 
-// Record reconstructs a decision. It is complete in itself: VMs keep nothing.
+// Record holds everything that is needed to explain the outcome of a request later.
+// VMs store nothing else about it.
 type Record struct {
 	Request       string
 	Daemon        ident.DaemonID
@@ -87,17 +96,18 @@
 	ConfigVersion uint64
 	Caller        string
 	Target        string
-	// Detail says what was wrong with a malformed request. It holds no API key
-	// and nothing of the body.
+	// Detail says what was wrong with a malformed request. It contains neither the API
+	// key nor any part of the body.
 	Detail     string `json:",omitempty"`
 	Rule       string
 	Class      string
 	Repeatable bool
-	// Deadline is the point in time by which the answer had to begin.
+	// Deadline is the time by which the answer had to begin.
 	Deadline clock.Millis
-	// Home is the daemon that granted a request under an idempotency key, and
-	// HomeCopied whether a second daemon held the record then.
-	Home       ident.DaemonID
+	// Home is the daemon that granted a request under an idempotency key.
+	Home ident.DaemonID
+	// HomeCopied is set if a second daemon held the record of the key at the time of
+	// the grant.
 	HomeCopied bool
 	Candidates []Candidate
 	Attempts   []Attempt
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -18,8 +18,8 @@
 
 const apiKey = "key"
 
-func site() config.Config {
-	published := config.Config{
+func testConfig() config.Config {
+	document := config.Config{
 		Version:      1,
 		WeightStores: []config.WeightStore{{Name: "weights", LoadsPerSecond: 2}},
 		Callers:      []config.Caller{{Name: "clerk", KeyHash: config.HashKey(apiKey)}},
@@ -29,19 +29,19 @@
 		},
 	}
 	for i := range 3 {
-		published.Engines = append(published.Engines, config.Engine{
+		document.Engines = append(document.Engines, config.Engine{
 			Name: ident.EngineID(fmt.Sprintf("engine-%d", i)), Address: "127.0.0.1:1", DataCentre: fmt.Sprintf("dc-%d", i%2),
 			Region: "north", BaseModel: "base", Store: "weights", Slots: 2, MaxRuns: 3, ChecksFencing: i == 0,
 		})
 	}
 	for i := range 4 {
-		published.Adapters = append(
-			published.Adapters,
+		document.Adapters = append(
+			document.Adapters,
 			config.Adapter{Name: fmt.Sprintf("review-%d", i), Version: "1", BaseModel: "base"},
 			config.Adapter{Name: fmt.Sprintf("quote-%d", i), Version: "1", BaseModel: "base", Labels: map[string]string{"task": "quote"}},
 		)
 	}
-	return published
+	return document
 }
 
 func newNetwork(t require.TestingT, seed uint64, failLoads float64) *nodetest.Network {
@@ -53,23 +53,23 @@
 		})
 	}
 	options := node.DefaultOptions()
-	options.RetryShare = 1 // so that repeated attempts are common
+	options.RetryShare = 1 // makes repeated attempts common
 	network, err := nodetest.New(nodetest.Options{
-		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(), VMs: vms,
+		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: testConfig(), VMs: vms,
 		Engine: nodetest.EngineOptions{RunDuration: 800, LoadDuration: 300, ReportLag: 200, FailLoadShare: failLoads}, Node: options,
 	})
 	require.NoError(t, err)
 	return network
 }
 
-// sent is one request and where it was sent.
+// sent is a request and the daemon that it was sent to.
 type sent struct {
 	id         string
 	host       *nodetest.Host
 	repeatable bool
 }
 
-// history is one course of requests and faults.
+// history is a sequence of requests and faults.
 type history struct {
 	network *nodetest.Network
 	faults  *nodetest.Faults
@@ -100,7 +100,7 @@
 	history.network.Engines[rapid.SampledFrom(names).Draw(t, "engine")].Restart()
 }
 
-// check judges what callers were told by what the engines ran.
+// check compares the answered outcomes with what the engines ran.
 func (history *history) check(t require.TestingT) {
 	for _, request := range history.sent {
 		runs := 0
@@ -115,42 +115,43 @@
 		if len(answers) == 0 {
 			continue
 		}
-		switch told := answers[0].Outcome; told.Kind {
+		switch final := answers[0].Outcome; final.Kind {
 		case outcome.NotRun:
-			require.Zero(t, runs, "request %s ran and was told %v", request.id, told)
+			require.Zero(t, runs, "request %s ran and was answered with %v", request.id, final)
 		case outcome.Answered:
-			require.NotZero(t, runs, "request %s did not run and was told %v", request.id, told)
+			require.NotZero(t, runs, "request %s did not run and was answered with %v", request.id, final)
 		}
 	}
 }
 
-// TestOutcomesAreTrue drives requests of both kinds through faults of daemons,
-// network, VM list and engines. A request is answered once, and what its caller
-// is told is what happened.
+// TestOutcomesAreTrue sends repeatable and non-repeatable requests while daemons, the
+// network, the VM list and engines have faults. It checks that each request is
+// answered once and that its outcome agrees with what the engines ran.
 func TestOutcomesAreTrue(t *testing.T) {
-	var total tally
-	nodetest.CheckHistories(t, 40, total.outcomeHistory)
-	t.Logf("%+v", total)
+	var totals totals
+	nodetest.CheckHistories(t, 40, totals.runHistory)
+	t.Logf("%+v", totals)
 }
 
-// TestHistoriesThatShowedFaults repeats two histories. In the first a copy of a
-// submit arrived after its request had been refused and its engine handed over;
-// in the second a load failed at a slot that a former owner's run was pinned to.
+// TestHistoriesThatShowedFaults repeats two histories that once failed. In the first,
+// a duplicate of a submit message arrived after the request had been refused and its
+// engine handed over. In the second, a load failed at a slot to which a former owner's
+// run was pinned.
 func TestHistoriesThatShowedFaults(t *testing.T) {
-	var total tally
-	nodetest.CheckSeeds(t, []uint64{41811044, 1798561}, total.outcomeHistory)
+	var totals totals
+	nodetest.CheckSeeds(t, []uint64{41811044, 1798561}, totals.runHistory)
 }
 
-// tally sums what histories went through and what callers were told.
-type tally struct {
+// totals counts the requests, faults and outcomes of all histories.
+type totals struct {
 	Requests, Faults int
-	Told             map[outcome.Kind]int
+	Outcomes         map[outcome.Kind]int
 }
 
-// outcomeHistory draws one history and adds it up.
-func (tally *tally) outcomeHistory(t *rapid.T) {
-	if tally.Told == nil {
-		tally.Told = map[outcome.Kind]int{}
+// runHistory draws one history, checks it and adds it to the totals.
+func (totals *totals) runHistory(t *rapid.T) {
+	if totals.Outcomes == nil {
+		totals.Outcomes = map[outcome.Kind]int{}
 	}
 	network := newNetwork(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0, 0.3}).Draw(t, "failing loads"))
 	history := &history{network: network, faults: &nodetest.Faults{
@@ -176,14 +177,14 @@
 	for _, request := range history.sent {
 		answers := network.Answers[request.id]
 		if !request.host.Dead && network.Nodes[request.host.Name] == request.host {
-			require.Len(t, answers, 1, "request %s at a daemon that lives", request.id)
+			require.Len(t, answers, 1, "request %s at a daemon that is running", request.id)
 		}
 		if len(answers) > 0 {
-			tally.Told[answers[0].Outcome.Kind]++
+			totals.Outcomes[answers[0].Outcome.Kind]++
 		}
 	}
-	tally.Requests += len(history.sent)
+	totals.Requests += len(history.sent)
 	for _, count := range history.faults.Counts {
-		tally.Faults += count
+		totals.Faults += count
 	}
 }
--- a/internal/decide/outcome/reason.go
+++ b/internal/decide/outcome/reason.go
@@ -1,9 +1,11 @@
 package outcome
 
-// Reason is a code from the closed list below. Sentence gives the text for it.
+// Reason is the code of a reason, from the closed list below. Sentence returns its
+// explanation.
 type Reason string
 
-// Reasons. Callers and regulators see these codes; a code never changes meaning.
+// Reasons for outcomes. Callers and regulators see these codes, so the meaning of a
+// code never changes.
 const (
 	Complete            Reason = "Complete"
 	BadRequest          Reason = "BadRequest"
@@ -104,7 +106,7 @@
 	InvalidAnswer:       "What came back was not an answer of the server to this request, and it was discarded.",
 }
 
-// Sentence explains the reason in a form fit for a letter.
+// Sentence explains the reason in one sentence that can be quoted in a letter.
 func (reason Reason) Sentence() string {
 	return sentences[reason]
 }
--- a/internal/decide/outcome/shutdown_test.go
+++ b/internal/decide/outcome/shutdown_test.go
@@ -14,8 +14,9 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// leave begins a graceful end; the VM list says so at once, or only after it.
-func leave(network *nodetest.Network, name ident.DaemonID, listed bool) {
+// startShutdown starts the graceful shutdown of a daemon. If listed is set, the VM list
+// shows it as leaving at once.
+func startShutdown(network *nodetest.Network, name ident.DaemonID, listed bool) {
 	network.HandleEvent(network.Nodes[name], node.Shutdown{})
 	if listed {
 		vms := network.VMs()
@@ -28,34 +29,35 @@
 	}
 }
 
-// exit ends a daemon that has nothing left to do.
+// exit ends a daemon that is idle and removes it from the VM list.
 func exit(network *nodetest.Network, name ident.DaemonID) {
 	network.Kill(name)
-	var left []members.VM
+	var remaining []members.VM
 	for _, vm := range network.VMs() {
 		if vm.Name != string(name) {
-			left = append(left, vm)
+			remaining = append(remaining, vm)
 		}
 	}
-	network.SetVMs(left)
+	network.SetVMs(remaining)
 }
 
-// TestShutdownCutsNothing lets one or two daemons leave under load. Every
-// request that was taken in is answered, and the daemons come to an end.
+// TestShutdownCutsNothing shuts down one or two daemons under load. It checks that
+// every accepted request is answered and that the daemons become idle.
 func TestShutdownCutsNothing(t *testing.T) {
 	total := 0
 	nodetest.CheckHistories(t, 60, shutdownHistory(&total))
 	t.Logf("%d requests", total)
 }
 
-// TestHandoverToLeavingDaemon repeats a history in which an engine was handed
-// over to a daemon that had begun to leave as well.
+// TestHandoverToLeavingDaemon repeats a history in which an engine was handed over to
+// a daemon that was shutting down as well.
 func TestHandoverToLeavingDaemon(t *testing.T) {
 	total := 0
 	nodetest.CheckSeeds(t, []uint64{8349846}, shutdownHistory(&total))
 }
 
-// shutdownHistory draws one history and adds its requests to the total.
+// shutdownHistory returns a property that draws one history, checks it and adds its
+// requests to the total.
 func shutdownHistory(total *int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		network := newNetwork(t, rapid.Uint64().Draw(t, "seed"), 0)
@@ -70,7 +72,7 @@
 				network.Run(clock.Millis(rapid.SampledFrom([]int64{1, 50, 300, 900}).Draw(t, "span")))
 			case 1:
 				if begun < len(leaving) {
-					leave(network, leaving[begun], listed)
+					startShutdown(network, leaving[begun], listed)
 					begun++
 				}
 			default:
@@ -78,10 +80,10 @@
 			}
 		}
 		for _, name := range leaving[begun:] {
-			leave(network, name, listed)
+			startShutdown(network, name, listed)
 		}
 		for _, name := range leaving {
-			require.True(t, network.RunUntil(30*clock.Second, network.Nodes[name].Node.Idle), "%s comes to an end", name)
+			require.True(t, network.RunUntil(30*clock.Second, network.Nodes[name].Node.Idle), "%s becomes idle", name)
 			exit(network, name)
 		}
 		network.Run(20 * clock.Second)
@@ -89,12 +91,12 @@
 		for _, request := range history.sent {
 			answers := network.Answers[request.id]
 			require.Len(t, answers, 1, "request %s", request.id)
-			told := answers[0].Outcome
-			refused := told.Reason == outcome.ShuttingDown || told.Reason == outcome.DeadlinePassed ||
-				told.Reason == outcome.QueueFull || told.Reason == outcome.NoEngine || told.Reason == outcome.KeyNotVouched ||
-				told.Reason == outcome.HomeUnreachable || told.Reason == outcome.DeadlineUnreachable
-			require.True(t, told.Kind == outcome.Answered || refused && told.Kind == outcome.NotRun,
-				"request %s was cut off: %v", request.id, told)
+			final := answers[0].Outcome
+			refused := final.Reason == outcome.ShuttingDown || final.Reason == outcome.DeadlinePassed ||
+				final.Reason == outcome.QueueFull || final.Reason == outcome.NoEngine || final.Reason == outcome.KeyNotVouched ||
+				final.Reason == outcome.HomeUnreachable || final.Reason == outcome.DeadlineUnreachable
+			require.True(t, final.Kind == outcome.Answered || refused && final.Kind == outcome.NotRun,
+				"request %s was cut off: %v", request.id, final)
 		}
 		*total += len(history.sent)
 	}
--- a/internal/decide/outcome/status.go
+++ b/internal/decide/outcome/status.go
@@ -30,7 +30,7 @@
 	ServiceLost:         http.StatusBadGateway,
 }
 
-// Status is the HTTP status of an error answer with this reason.
+// Status returns the HTTP status of an error answer with this reason.
 func (reason Reason) Status() int {
 	if status, known := statuses[reason]; known {
 		return status
@@ -38,7 +38,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// Retryable reports whether a client may usefully repeat the request by itself.
+// Retryable reports whether a client library may repeat the request automatically.
 func (outcome Outcome) Retryable() bool {
 	return outcome.Kind == NotRun && outcome.RetryAfter > 0
 }
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/owner/owner_test.go
@@ -132,7 +132,7 @@
 	harness.advance(50)
 	harness.finishLoads(false)
 	require.Contains(t, harness.running, urgent)
-	require.Equal(t, outcome.Lost(outcome.Cancelled), harness.ended[routine])
+	require.Equal(t, outcome.MayHaveRun(outcome.Cancelled), harness.ended[routine])
 }
 
 func TestUrgentDoesNotCancelUnrepeatableRuns(t *testing.T) {
--- a/internal/decide/owner/report.go
+++ b/internal/decide/owner/report.go
@@ -102,7 +102,7 @@
 			run.slot = noSlot
 			owner.running++
 		default:
-			owner.sendEnded(run, outcome.Lost(outcome.EngineRestarted), 0)
+			owner.sendEnded(run, outcome.MayHaveRun(outcome.EngineRestarted), 0)
 			delete(owner.runs, run.submit.Stream)
 		}
 	}
--- a/internal/decide/owner/run.go
+++ b/internal/decide/owner/run.go
@@ -202,7 +202,7 @@
 		owner.handleConnectionLost(now, run, result)
 	case ResultWrongAdapter:
 		owner.quarantine(now, "an answer named another run, adapter or version")
-		owner.sendEnded(run, outcome.Lost(outcome.WrongAdapter), result.Chunks)
+		owner.sendEnded(run, outcome.MayHaveRun(outcome.WrongAdapter), result.Chunks)
 		if owner.takeover.retired {
 			owner.finish(run, result)
 		} else {
@@ -249,7 +249,7 @@
 	if result.Result == ResultTruncated {
 		reason = outcome.Truncated
 	}
-	owner.sendEnded(run, outcome.Lost(reason), result.Chunks)
+	owner.sendEnded(run, outcome.MayHaveRun(reason), result.Chunks)
 	if run.state == runDispatched {
 		owner.cancel(now, run)
 	}
@@ -287,11 +287,11 @@
 	case ResultFenced:
 		return outcome.Refused(outcome.NotOwner, 0)
 	case ResultTruncated:
-		return outcome.Lost(outcome.Truncated)
+		return outcome.MayHaveRun(outcome.Truncated)
 	case ResultCancelled:
-		return outcome.Lost(outcome.Cancelled)
+		return outcome.MayHaveRun(outcome.Cancelled)
 	default:
-		return outcome.Lost(outcome.EngineLost)
+		return outcome.MayHaveRun(outcome.EngineLost)
 	}
 }
 
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -111,7 +111,7 @@
 		verdicts[candidate.Engine] = candidate.Verdict
 	}
 	require.Equal(t, map[ident.EngineID]outcome.Verdict{
-		"a": outcome.EngineAway, "b": outcome.Quarantined, "c": outcome.TriedBefore,
+		"a": outcome.EngineLeaving, "b": outcome.Quarantined, "c": outcome.TriedBefore,
 	}, verdicts)
 }
 
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -31,7 +31,7 @@
 func verdictOn(now clock.Millis, engine *config.Engine, view *View, tried []ident.EngineID, maxAge clock.Millis) outcome.Verdict {
 	switch {
 	case engine.Leaving || view != nil && view.State.Leaving:
-		return outcome.EngineAway
+		return outcome.EngineLeaving
 	case view == nil || view.OwnerLost:
 		return outcome.OwnerUnknown
 	case view.State.Quarantined:
--- a/internal/decide/rollout/candidate.go
+++ b/internal/decide/rollout/candidate.go
@@ -8,27 +8,30 @@
 	"teaselmoor/internal/control/config"
 )
 
-// maxCandidates bounds the publications that a daemon remembers at once.
+// maxCandidates is the maximum number of candidates that a daemon keeps.
 const maxCandidates = 64
 
-// candidate is a publication that is known and not in force.
+// candidate is a known publication that may replace the configuration in force.
 type candidate struct {
 	mark config.Mark
-	// manifest is nil until it has been read.
+	// manifest is nil until it has been received.
 	manifest []byte
-	// sources are the daemons that offered it, in order of their offers.
+	// sources are the daemons that offered the candidate, in order of their offers.
 	sources []ident.DaemonID
-	// published says that the configuration service showed it.
+	// published is set if the configuration service returned the manifest.
 	published bool
-	// refused says that it does not validate and never will.
-	refused   bool
-	failures  int
-	notBefore clock.Millis
-	cause     string // of the last failure
+	// refused is set if the candidate is invalid, so that it is never tried again.
+	refused  bool
+	failures int
+	// nextTryAt is the earliest time at which fetching it is tried again.
+	nextTryAt   clock.Millis
+	lastFailure string // cause of the last failure
 }
 
-// consider returns the candidate of a mark, nil when it can't come into force.
-func (rollout *Rollout) consider(mark config.Mark) *candidate {
+// candidateFor returns the candidate with the mark and adds it if it is new. It
+// returns nil if the mark is not higher than the one in force. If there are too many
+// candidates, the lowest is removed.
+func (rollout *Rollout) candidateFor(mark config.Mark) *candidate {
 	if mark.Compare(rollout.inForce.mark) <= 0 {
 		return nil
 	}
@@ -44,7 +47,7 @@
 	return known
 }
 
-// marks returns the marks of the candidates, the highest first.
+// marks returns the marks of the candidates in descending order.
 func (rollout *Rollout) marks() []config.Mark {
 	marks := make([]config.Mark, 0, len(rollout.candidates))
 	for mark := range rollout.candidates {
@@ -54,20 +57,21 @@
 	return marks
 }
 
-// best returns the highest candidate that may be fetched now, nil for none. A
-// higher one that can't be had at present does not keep a lower one back.
-func (rollout *Rollout) best() *candidate {
+// bestCandidate returns the highest candidate that may be fetched now, or nil. A higher
+// one that is refused or waits for its next try does not block a lower one.
+func (rollout *Rollout) bestCandidate() *candidate {
 	for _, mark := range rollout.marks() {
-		known := rollout.candidates[mark]
-		if !known.refused && known.notBefore <= rollout.now {
-			return known
+		candidate := rollout.candidates[mark]
+		if !candidate.refused && candidate.nextTryAt <= rollout.now {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// dropCandidates forgets those that the configuration in force has overtaken.
-func (rollout *Rollout) dropCandidates() {
+// dropObsolete removes the candidates that are not higher than the configuration in
+// force.
+func (rollout *Rollout) dropObsolete() {
 	for mark := range rollout.candidates {
 		if mark.Compare(rollout.inForce.mark) <= 0 {
 			delete(rollout.candidates, mark)
@@ -78,13 +82,15 @@
 	}
 }
 
-// fail notes that a candidate can't be had now; each new cause is audited once.
-func (rollout *Rollout) fail(failed *candidate, cause string) {
-	interval := min(rollout.options.RetryInterval<<min(failed.failures, 8), rollout.options.MaxRetryInterval)
-	failed.failures++
-	failed.notBefore = rollout.now + interval
-	if failed.cause != cause {
-		failed.cause = cause
-		rollout.refuse(failed.mark, cause)
+// deferCandidate records that a candidate can't be fetched now and schedules the next
+// try, with exponential backoff. The failure is audited if its cause differs from the
+// last one.
+func (rollout *Rollout) deferCandidate(candidate *candidate, cause string) {
+	interval := min(rollout.options.RetryInterval<<min(candidate.failures, 8), rollout.options.MaxRetryInterval)
+	candidate.failures++
+	candidate.nextTryAt = rollout.now + interval
+	if candidate.lastFailure != cause {
+		candidate.lastFailure = cause
+		rollout.auditRefusal(candidate.mark, cause)
 	}
 }
--- a/internal/decide/rollout/fetch.go
+++ b/internal/decide/rollout/fetch.go
@@ -9,174 +9,187 @@
 )
 
 const (
-	// maxAsked is the number of parts asked for at once.
-	maxAsked = 4
-	// rounds is the number of times that each source of a part is asked.
-	rounds = 2
-	// service is the source that stands for the configuration service.
-	service ident.DaemonID = ""
+	// maxPendingParts is the maximum number of part requests in flight.
+	maxPendingParts = 4
+	// triesPerSource is how often a part is requested from each of its sources.
+	triesPerSource = 2
+	// configService is the source value of the configuration service.
+	configService ident.DaemonID = ""
 )
 
-// fetch gathers one candidate. The manifest counts as a part without a name.
+// fetch is the state of fetching one candidate. The manifest is treated as a part
+// whose name is empty.
 type fetch struct {
 	candidate *candidate
 	manifest  config.Manifest
 	parts     map[string][]byte
-	asked     map[string]*ask
-	// wanted lists the parts not asked for yet.
-	wanted     []string
+	// pending holds the requests in flight, by part.
+	pending map[string]*partRequest
+	// notRequested lists the parts that have not been requested yet.
+	notRequested []string
+	// assembling is set while an AssembleConfig effect is being carried out.
 	assembling bool
 }
 
-// ask is a part that was asked for.
-type ask struct {
-	tries int
-	until clock.Millis
+// partRequest is a request for a part.
+type partRequest struct {
+	tries     int
+	timeoutAt clock.Millis
 }
 
-// tickFetch starts on the best candidate and asks again for what did not come.
-func (rollout *Rollout) tickFetch() {
-	rollout.chooseFetch()
+// advanceFetch starts fetching the best candidate and repeats requests that have timed
+// out.
+func (rollout *Rollout) advanceFetch() {
+	rollout.startBestFetch()
 	current := rollout.fetching
 	if current == nil || current.assembling {
 		return
 	}
-	for _, part := range current.overdue(rollout.now) {
-		rollout.ask(part)
+	for _, part := range current.overdueParts(rollout.now) {
+		rollout.requestPart(part)
 		if rollout.fetching != current {
 			return
 		}
 	}
 }
 
-func (current *fetch) overdue(now clock.Millis) []string {
+// overdueParts returns the parts whose requests have timed out.
+func (fetch *fetch) overdueParts(now clock.Millis) []string {
 	var overdue []string
-	for _, part := range append([]string{""}, current.names()...) {
-		if asked, found := current.asked[part]; found && asked.until <= now {
+	for _, part := range append([]string{""}, fetch.partNames()...) {
+		if request, found := fetch.pending[part]; found && request.timeoutAt <= now {
 			overdue = append(overdue, part)
 		}
 	}
 	return overdue
 }
 
-func (current *fetch) names() []string {
-	names := make([]string, 0, len(current.manifest.Parts))
-	for _, part := range current.manifest.Parts {
+func (fetch *fetch) partNames() []string {
+	names := make([]string, 0, len(fetch.manifest.Parts))
+	for _, part := range fetch.manifest.Parts {
 		names = append(names, part.Name)
 	}
 	return names
 }
 
-// chooseFetch turns to a higher candidate as soon as one is known; parts that
-// both have need not be fetched again.
-func (rollout *Rollout) chooseFetch() {
-	best := rollout.best()
-	if best == nil || !rollout.peers.asked(rollout.now, rollout.options) {
+// startBestFetch starts fetching the best candidate if it is higher than the one being
+// fetched. Parts that both have in common are not fetched again.
+func (rollout *Rollout) startBestFetch() {
+	best := rollout.bestCandidate()
+	if best == nil || !rollout.peers.inquiryDone(rollout.now, rollout.options) {
 		return
 	}
 	current := rollout.fetching
 	if current != nil && (current.assembling || current.candidate.mark.Compare(best.mark) >= 0) {
 		return
 	}
-	next := &fetch{candidate: best, parts: map[string][]byte{}, asked: map[string]*ask{}}
+	next := &fetch{candidate: best, parts: map[string][]byte{}, pending: map[string]*partRequest{}}
 	rollout.fetching = next
 	if best.manifest == nil {
-		rollout.ask("")
+		rollout.requestPart("")
 		return
 	}
 	if current != nil {
 		next.parts = current.parts
 	}
-	rollout.readManifest()
+	rollout.requestMissingParts()
 }
 
-// ask asks the next source in turn for a part, or gives the candidate up.
-func (rollout *Rollout) ask(part string) {
+// requestPart requests a part from its next source, in rotation. It abandons the fetch
+// if all sources have been tried often enough.
+func (rollout *Rollout) requestPart(part string) {
 	current := rollout.fetching
 	sources := current.sources(part)
-	asked, found := current.asked[part]
+	request, found := current.pending[part]
 	if !found {
-		asked = &ask{}
-		current.asked[part] = asked
+		request = &partRequest{}
+		current.pending[part] = request
 	}
-	if asked.tries >= rounds*len(sources) {
-		rollout.abandon("part " + part + " is nowhere to be had")
+	if request.tries >= triesPerSource*len(sources) {
+		rollout.abandonFetch("part " + part + " is nowhere to be had")
 		return
 	}
-	source := sources[asked.tries%len(sources)]
-	asked.tries++
-	asked.until = rollout.now + rollout.options.FetchTimeout
-	if source == service {
+	source := sources[request.tries%len(sources)]
+	request.tries++
+	request.timeoutAt = rollout.now + rollout.options.FetchTimeout
+	if source == configService {
 		rollout.emit(effect.ReadConfigPart{Name: part})
 		return
 	}
 	rollout.send(source, message.ConfigFetch{Mark: current.candidate.mark, Part: part})
 }
 
-// sources lists where a part may be had: what the service showed is read there
-// first, what a daemon offered is fetched from it.
-func (current *fetch) sources(part string) []ident.DaemonID {
-	offered := current.candidate.sources
+// sources returns the sources of a part, in the order in which they are tried: first
+// the daemons that offered the candidate, then the configuration service. The manifest
+// is requested only from daemons.
+func (fetch *fetch) sources(part string) []ident.DaemonID {
+	offered := fetch.candidate.sources
 	switch {
 	case part == "":
 		return offered
-	case current.candidate.published && len(offered) == 0:
-		return []ident.DaemonID{service}
+	case fetch.candidate.published && len(offered) == 0:
+		return []ident.DaemonID{configService}
 	default:
-		return append(append([]ident.DaemonID(nil), offered...), service)
+		return append(append([]ident.DaemonID(nil), offered...), configService)
 	}
 }
 
-func (rollout *Rollout) abandon(cause string) {
-	abandoned := rollout.fetching.candidate
-	rollout.spare = rollout.fetching.parts
+// abandonFetch ends the current fetch until the next try of its candidate, and keeps
+// the parts that were received.
+func (rollout *Rollout) abandonFetch(cause string) {
+	candidate := rollout.fetching.candidate
+	rollout.leftoverParts = rollout.fetching.parts
 	rollout.fetching = nil
-	rollout.fail(abandoned, cause)
+	rollout.deferCandidate(candidate, cause)
 }
 
-// readManifest asks for the parts that are not at hand.
-func (rollout *Rollout) readManifest() {
+// requestMissingParts parses the manifest and requests the parts that are not
+// available locally.
+func (rollout *Rollout) requestMissingParts() {
 	current := rollout.fetching
 	manifest, err := config.ParseManifest(current.candidate.manifest)
 	if err != nil {
-		rollout.refuseFetch(err.Error())
+		rollout.refuseCandidate(err.Error())
 		return
 	}
 	current.manifest = manifest
 	for _, part := range manifest.Parts {
-		if body, found := rollout.atHand(part.Name); found && part.Verify(body) == nil {
+		if body, found := rollout.localPart(part.Name); found && part.Verify(body) == nil {
 			current.parts[part.Name] = body
 			continue
 		}
 		delete(current.parts, part.Name)
-		current.wanted = append(current.wanted, part.Name)
+		current.notRequested = append(current.notRequested, part.Name)
 	}
-	rollout.proceed()
+	rollout.continueFetch()
 }
 
-func (rollout *Rollout) atHand(name string) ([]byte, bool) {
+// localPart returns a part from this fetch, from an abandoned one or from the
+// configuration in force.
+func (rollout *Rollout) localPart(name string) ([]byte, bool) {
 	if body, found := rollout.fetching.parts[name]; found {
 		return body, true
 	}
-	if body, found := rollout.spare[name]; found {
+	if body, found := rollout.leftoverParts[name]; found {
 		return body, true
 	}
 	body, found := rollout.inForce.parts[name]
 	return body, found
 }
 
-// proceed asks for further parts, or has the whole assembled.
-func (rollout *Rollout) proceed() {
+// continueFetch requests further parts, or emits an AssembleConfig if all parts have
+// arrived.
+func (rollout *Rollout) continueFetch() {
 	current := rollout.fetching
-	for len(current.wanted) > 0 && len(current.asked) < maxAsked {
-		next := current.wanted[0]
-		current.wanted = current.wanted[1:]
-		rollout.ask(next)
+	for len(current.notRequested) > 0 && len(current.pending) < maxPendingParts {
+		next := current.notRequested[0]
+		current.notRequested = current.notRequested[1:]
+		rollout.requestPart(next)
 		if rollout.fetching != current {
 			return
 		}
 	}
-	if len(current.asked) > 0 || len(current.wanted) > 0 {
+	if len(current.pending) > 0 || len(current.notRequested) > 0 {
 		return
 	}
 	current.assembling = true
@@ -186,68 +199,71 @@
 	})
 }
 
-// refuseFetch refuses the present candidate for good.
-func (rollout *Rollout) refuseFetch(cause string) {
-	refused := rollout.fetching.candidate
+// refuseCandidate ends the current fetch and refuses its candidate permanently.
+func (rollout *Rollout) refuseCandidate(cause string) {
+	candidate := rollout.fetching.candidate
 	rollout.fetching = nil
-	refused.refused = true
-	rollout.refuse(refused.mark, cause)
+	candidate.refused = true
+	rollout.auditRefusal(candidate.mark, cause)
 }
 
-// PartRead takes in a part read from the configuration service.
-func (rollout *Rollout) PartRead(now clock.Millis, name string, body []byte, failed bool) []effect.Effect {
+// HandlePartRead handles the result of reading a part from the configuration service.
+func (rollout *Rollout) HandlePartRead(now clock.Millis, name string, body []byte, failed bool) []effect.Effect {
 	rollout.now = now
-	rollout.arrived(name, body, failed)
-	return rollout.take()
+	rollout.partArrived(name, body, failed)
+	return rollout.takeEffects()
 }
 
-// Part takes in a part from another daemon.
-func (rollout *Rollout) Part(now clock.Millis, part message.ConfigPart) []effect.Effect {
+// HandlePart handles a part, or the manifest, sent by another daemon.
+func (rollout *Rollout) HandlePart(now clock.Millis, part message.ConfigPart) []effect.Effect {
 	rollout.now = now
 	current := rollout.fetching
 	if current != nil && current.candidate.mark == part.Mark {
 		if part.Part == "" {
 			rollout.manifestArrived(part)
 		} else {
-			rollout.arrived(part.Part, part.Body, part.Missing)
+			rollout.partArrived(part.Part, part.Body, part.Missing)
 		}
 	}
-	return rollout.take()
+	return rollout.takeEffects()
 }
 
+// manifestArrived stores a manifest that has the candidate's mark, and otherwise
+// requests it from the next source.
 func (rollout *Rollout) manifestArrived(part message.ConfigPart) {
 	current := rollout.fetching
-	if current.asked[""] == nil {
+	if current.pending[""] == nil {
 		return
 	}
 	manifest, err := config.ParseManifest(part.Body)
 	if part.Missing || err != nil || config.MarkOf(manifest, part.Body) != part.Mark {
-		rollout.ask("")
+		rollout.requestPart("")
 		return
 	}
-	delete(current.asked, "")
+	delete(current.pending, "")
 	current.candidate.manifest = part.Body
-	rollout.readManifest()
+	rollout.requestMissingParts()
 }
 
-// arrived keeps a part that is what the manifest says, and otherwise asks the
-// next source.
-func (rollout *Rollout) arrived(name string, body []byte, failed bool) {
+// partArrived stores a part that agrees with the manifest, and otherwise requests it
+// from the next source.
+func (rollout *Rollout) partArrived(name string, body []byte, failed bool) {
 	current := rollout.fetching
-	if current == nil || current.assembling || current.asked[name] == nil {
+	if current == nil || current.assembling || current.pending[name] == nil {
 		return
 	}
-	if failed || !current.matches(name, body) {
-		rollout.ask(name)
+	if failed || !current.isValid(name, body) {
+		rollout.requestPart(name)
 		return
 	}
-	delete(current.asked, name)
+	delete(current.pending, name)
 	current.parts[name] = body
-	rollout.proceed()
+	rollout.continueFetch()
 }
 
-func (current *fetch) matches(name string, body []byte) bool {
-	for _, part := range current.manifest.Parts {
+// isValid reports whether a part agrees with the manifest.
+func (fetch *fetch) isValid(name string, body []byte) bool {
+	for _, part := range fetch.manifest.Parts {
 		if part.Name == name {
 			return part.Verify(body) == nil
 		}
@@ -255,28 +271,28 @@
 	return false
 }
 
-// Assembled takes in the end of an AssembleConfig: a snapshot, or the cause of
-// the refusal.
-func (rollout *Rollout) Assembled(now clock.Millis, mark config.Mark, snapshot *config.Snapshot, cause string) []effect.Effect {
+// HandleAssembled handles the result of an AssembleConfig effect. If the snapshot is nil,
+// the candidate is refused with the given cause.
+func (rollout *Rollout) HandleAssembled(now clock.Millis, mark config.Mark, snapshot *config.Snapshot, cause string) []effect.Effect {
 	rollout.now = now
 	current := rollout.fetching
 	if current == nil || current.candidate.mark != mark || !current.assembling {
-		return rollout.take()
+		return rollout.takeEffects()
 	}
 	if snapshot == nil {
-		rollout.refuseFetch(cause)
-		rollout.tickFetch()
-		return rollout.take()
+		rollout.refuseCandidate(cause)
+		rollout.advanceFetch()
+		return rollout.takeEffects()
 	}
 	rollout.fetching = nil
-	rollout.accept(accepted{
+	rollout.accept(acceptedConfig{
 		mark: mark, snapshot: snapshot, manifest: current.candidate.manifest, parts: current.parts,
 	}, current.candidate.origin())
-	rollout.tickFetch()
-	return rollout.take()
+	rollout.advanceFetch()
+	return rollout.takeEffects()
 }
 
-// origin says where a candidate came from, for the audit trail.
+// origin returns the cause that the audit event of an accepted candidate names.
 func (candidate *candidate) origin() string {
 	if candidate.published {
 		return "published"
--- a/internal/decide/rollout/peers.go
+++ b/internal/decide/rollout/peers.go
@@ -13,105 +13,111 @@
 )
 
 const (
-	// maxInquiries is the number of peers that a new daemon asks at each interval.
+	// maxInquiries is the number of peers that a new daemon additionally sends offers to
+	// at each interval, to learn of their configurations.
 	maxInquiries = 4
-	// maxSources bounds the daemons remembered as sources of one candidate.
+	// maxSources is the maximum number of daemons kept as sources of one candidate.
 	maxSources = 8
 )
 
-// peers are the daemons to exchange offers with.
+// peers holds the daemons to exchange offers with.
 type peers struct {
+	// known is set once a VM list has been read.
 	known bool
-	// rank is this daemon's place in the watch order of its data centre.
-	rank   int
-	near   []ident.DaemonID // of the data centre, without this one
-	region []ident.DaemonID
-	all    []ident.DaemonID // of the region, and the contacts in other regions
-	turn   int
-	// offerAt is when the next offers are due.
-	offerAt clock.Millis
-	// knownAt is when the first VM list was read.
+	// rank is this daemon's position in the watch order of its data centre.
+	rank           int
+	sameDataCentre []ident.DaemonID // other daemons of the data centre
+	region         []ident.DaemonID // other daemons of the region
+	all            []ident.DaemonID // region, and the peers in other regions
+	rotation       int              // number of calls of next
+	// nextOfferAt is the time at which the next offers are due.
+	nextOfferAt clock.Millis
+	// knownAt is the time at which the first VM list was read.
 	knownAt clock.Millis
-	replies map[ident.DaemonID]bool
-	// taught says that a peer has told of a configuration.
-	taught bool
+	// offersFrom holds the peers that have sent an offer, with or without a
+	// configuration.
+	offersFrom map[ident.DaemonID]bool
+	// offeredConfig is set once a peer has offered a configuration.
+	offeredConfig bool
 }
 
-// asked reports whether peers have been asked: one told of a configuration, or
-// as many as were asked replied, or there was time enough.
-func (peers *peers) asked(now clock.Millis, options Options) bool {
+// inquiryDone reports whether this daemon has asked its peers for their configurations:
+// one of them offered one, enough of them replied, or the time for it is over.
+func (peers *peers) inquiryDone(now clock.Millis, options Options) bool {
 	if !peers.known {
 		return false
 	}
-	return peers.taught || len(peers.replies) >= min(maxInquiries, len(peers.all)) ||
-		now-peers.knownAt >= options.InquirySpan
+	return peers.offeredConfig || len(peers.offersFrom) >= min(maxInquiries, len(peers.all)) ||
+		now-peers.knownAt >= options.InquiryTimeout
 }
 
-// Peers takes in a reading of the VM list.
-func (rollout *Rollout) Peers(now clock.Millis, view *members.View, dataCentre, region string) []effect.Effect {
+// UpdateVMList applies a VM list that was read.
+func (rollout *Rollout) UpdateVMList(now clock.Millis, view *members.View, dataCentre, region string) []effect.Effect {
 	rollout.now = now
-	near := view.Daemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
-	order := ownership.Rank("configuration watch", near)
+	sameDataCentre := view.LiveDaemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
+	order := ownership.Rank("configuration watch", sameDataCentre)
 	peers := &rollout.peers
 	if !peers.known {
-		peers.known, peers.knownAt, peers.replies = true, now, map[ident.DaemonID]bool{}
-		rollout.watch.heardAt = now
+		peers.known, peers.knownAt, peers.offersFrom = true, now, map[ident.DaemonID]bool{}
+		rollout.watch.lastContactAt = now
 	}
 	peers.rank = slices.Index(order, rollout.self)
-	if peers.rank < 0 { // not listed, or leaving
+	if peers.rank < 0 { // not listed as live
 		peers.rank = len(order) + rollout.options.Watchers
 	}
-	peers.near = rollout.without(near)
-	peers.region = rollout.without(view.Daemons(func(vm *members.VM) bool { return vm.Region == region }))
-	peers.all = append(slices.Clone(peers.region), Contacts(view, rollout.self, region)...)
-	rollout.offerInTurn()
-	rollout.tickWatch()
-	return rollout.take()
+	peers.sameDataCentre = rollout.withoutSelf(sameDataCentre)
+	peers.region = rollout.withoutSelf(view.LiveDaemons(func(vm *members.VM) bool { return vm.Region == region }))
+	peers.all = append(slices.Clone(peers.region), CrossRegionPeers(view, rollout.self, region)...)
+	rollout.offerPeriodically()
+	rollout.callIfDue()
+	return rollout.takeEffects()
 }
 
-// Contacts returns the daemons of other regions that a daemon keeps a connection
-// to, so that a configuration spreads between regions without the service: one
-// in each, of those with a later name, which is the side that does not dial.
-func Contacts(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
+// CrossRegionPeers returns the daemons of other regions to which a daemon keeps connections, so
+// that configurations spread between regions without the configuration service. There
+// is one in each region, among the daemons whose names sort after this daemon's: of two
+// daemons, the one whose name sorts first dials.
+func CrossRegionPeers(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
 	later := map[string][]ident.DaemonID{}
-	for _, daemon := range view.Daemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
+	for _, daemon := range view.LiveDaemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
 		vm, _ := view.Daemon(daemon)
 		later[vm.Region] = append(later[vm.Region], daemon)
 	}
-	var contacts []ident.DaemonID
+	var peers []ident.DaemonID
 	for _, other := range slices.Sorted(maps.Keys(later)) {
-		contact, _ := ownership.First("contact/"+string(self), later[other])
-		contacts = append(contacts, contact)
+		peer, _ := ownership.First("contact/"+string(self), later[other])
+		peers = append(peers, peer)
 	}
-	return contacts
+	return peers
 }
 
-func (rollout *Rollout) without(daemons []ident.DaemonID) []ident.DaemonID {
+func (rollout *Rollout) withoutSelf(daemons []ident.DaemonID) []ident.DaemonID {
 	return slices.DeleteFunc(daemons, func(daemon ident.DaemonID) bool { return daemon == rollout.self })
 }
 
-// offer describes what this daemon has.
-func (rollout *Rollout) offer(reply bool) message.ConfigOffer {
+// newOffer returns an offer of the configuration in force.
+func (rollout *Rollout) newOffer(reply bool) message.ConfigOffer {
 	offered := rollout.inForce.mark
 	if rollout.inForce.manifest == nil {
-		offered.Version = 0 // nothing that could be fetched
+		offered.Version = 0 // other daemons cannot fetch it
 	}
-	return message.ConfigOffer{Mark: offered, Contact: rollout.watch.contact, Reply: reply}
+	return message.ConfigOffer{Mark: offered, Contact: rollout.watch.connected, Reply: reply}
 }
 
-// offerInTurn offers to a few daemons at each interval: watchers to their whole
-// data centre, everyone to one daemon of the region and one of all, in turn.
-func (rollout *Rollout) offerInTurn() {
+// offerPeriodically sends offers at each interval: every daemon to one daemon of its
+// region and to one of all its peers, in rotation, and connected watchers also to all
+// daemons of their data centre. A new daemon sends more until its inquiry is done.
+func (rollout *Rollout) offerPeriodically() {
 	peers := &rollout.peers
-	if !peers.known || rollout.now < peers.offerAt {
+	if !peers.known || rollout.now < peers.nextOfferAt {
 		return
 	}
-	peers.offerAt = rollout.now + rollout.options.OfferInterval
+	peers.nextOfferAt = rollout.now + rollout.options.OfferInterval
 	chosen := []ident.DaemonID{peers.next(peers.region), peers.next(peers.all)}
-	if rollout.watch.contact {
-		chosen = append(chosen, peers.near...)
+	if rollout.watch.connected {
+		chosen = append(chosen, peers.sameDataCentre...)
 	}
-	if !peers.asked(rollout.now, rollout.options) {
+	if !peers.inquiryDone(rollout.now, rollout.options) {
 		for range maxInquiries {
 			chosen = append(chosen, peers.next(peers.all))
 		}
@@ -119,13 +125,13 @@
 	rollout.offerTo(chosen)
 }
 
-// offerNow offers a configuration that has just been accepted: by watchers to
-// their data centre, by others to a few.
-func (rollout *Rollout) offerNow() {
+// offerAccepted offers a configuration that has just been accepted: every daemon to a
+// few peers, and connected watchers also to all daemons of their data centre.
+func (rollout *Rollout) offerAccepted() {
 	peers := &rollout.peers
 	chosen := []ident.DaemonID{peers.next(peers.region), peers.next(peers.region), peers.next(peers.all)}
-	if rollout.watch.contact {
-		chosen = append(chosen, peers.near...)
+	if rollout.watch.connected {
+		chosen = append(chosen, peers.sameDataCentre...)
 	}
 	rollout.offerTo(chosen)
 }
@@ -134,64 +140,66 @@
 	slices.Sort(chosen)
 	for _, peer := range slices.Compact(chosen) {
 		if peer != "" {
-			rollout.send(peer, rollout.offer(false))
+			rollout.send(peer, rollout.newOffer(false))
 		}
 	}
 }
 
-// next returns the daemons of a list in turn. Each daemon begins at another
-// place, because its rank differs.
+// next returns the next daemon of a list, in rotation. Daemons start at different
+// positions, because their ranks differ.
 func (peers *peers) next(list []ident.DaemonID) ident.DaemonID {
 	if len(list) == 0 {
 		return ""
 	}
-	peers.turn++
-	return list[(peers.turn+peers.rank*7)%len(list)]
+	peers.rotation++
+	return list[(peers.rotation+peers.rank*7)%len(list)]
 }
 
-// Offered takes in what another daemon has accepted.
-func (rollout *Rollout) Offered(now clock.Millis, from ident.DaemonID, offer message.ConfigOffer) []effect.Effect {
+// HandleOffer handles an offer from another daemon. It replies to the offer, unless that is
+// itself a reply, if the other daemon has no configuration or a lower one.
+func (rollout *Rollout) HandleOffer(now clock.Millis, from ident.DaemonID, offer message.ConfigOffer) []effect.Effect {
 	rollout.now = now
-	if offer.Contact && slices.Contains(rollout.peers.near, from) {
-		rollout.watch.heardAt = now
+	if offer.Contact && slices.Contains(rollout.peers.sameDataCentre, from) {
+		rollout.watch.lastContactAt = now
 	}
 	if rollout.peers.known {
-		rollout.peers.replies[from] = true
-		rollout.peers.taught = rollout.peers.taught || offer.Mark.Version > 0
+		rollout.peers.offersFrom[from] = true
+		rollout.peers.offeredConfig = rollout.peers.offeredConfig || offer.Mark.Version > 0
 	}
 	if offer.Mark.Version > 0 {
-		rollout.offered(from, offer)
+		rollout.addSource(from, offer)
 	}
 	if !offer.Reply && (offer.Mark.Version == 0 || offer.Mark.Compare(rollout.inForce.mark) < 0) {
-		rollout.send(from, rollout.offer(true))
+		rollout.send(from, rollout.newOffer(true))
 	}
-	rollout.tickFetch()
-	return rollout.take()
+	rollout.advanceFetch()
+	return rollout.takeEffects()
 }
 
-func (rollout *Rollout) offered(from ident.DaemonID, offer message.ConfigOffer) {
-	known := rollout.consider(offer.Mark)
-	if known == nil || slices.Contains(known.sources, from) {
+// addSource adds a daemon as a source of the candidate that it offered.
+func (rollout *Rollout) addSource(from ident.DaemonID, offer message.ConfigOffer) {
+	candidate := rollout.candidateFor(offer.Mark)
+	if candidate == nil || slices.Contains(candidate.sources, from) {
 		return
 	}
-	known.sources = append(known.sources, from)
-	if len(known.sources) > maxSources {
-		known.sources = known.sources[1:]
+	candidate.sources = append(candidate.sources, from)
+	if len(candidate.sources) > maxSources {
+		candidate.sources = candidate.sources[1:]
 	}
 }
 
-// Fetched answers another daemon that asks for a part.
-func (rollout *Rollout) Fetched(now clock.Millis, from ident.DaemonID, wanted message.ConfigFetch) []effect.Effect {
+// HandleFetch answers another daemon's request for a part or the manifest.
+func (rollout *Rollout) HandleFetch(now clock.Millis, from ident.DaemonID, fetch message.ConfigFetch) []effect.Effect {
 	rollout.now = now
-	answer := message.ConfigPart{Mark: wanted.Mark, Part: wanted.Part}
+	part := message.ConfigPart{Mark: fetch.Mark, Part: fetch.Part}
 	switch {
-	case wanted.Mark != rollout.inForce.mark:
-	case wanted.Part == "":
-		answer.Body = rollout.inForce.manifest
+	case fetch.Mark != rollout.inForce.mark:
+	case fetch.Part == "":
+		part.Body = rollout.inForce.manifest
 	default:
-		answer.Body = rollout.inForce.parts[wanted.Part]
+		part.Body = rollout.inForce.parts[fetch.Part]
 	}
-	answer.Missing = answer.Body == nil
-	rollout.send(from, answer)
-	return rollout.take()
+	part.Missing = part.Body == nil
+	rollout.send(from, part)
+	return rollout.takeEffects()
 }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,16 +1,16 @@
-// Package rollout decides which published configuration a daemon accepts, where
-// it fetches the parts, and whether it watches the configuration service.
+// Package rollout decides which published configuration a daemon accepts, from where it
+// fetches the parts, and whether it watches the configuration service.
 //
-// Few daemons of each data centre watch; they offer what they accept to the
-// others, which fetch the parts from them. Every daemon also offers its
-// configuration to a few others at an interval, so that a version spreads while
-// the service is down or stale. A version is accepted as a whole or not at all,
-// and an accepted one is only ever followed by a higher one: publications are
-// ordered by version number, and by the manifest's digest where two carry the
-// same number.
+// A few daemons of each data centre, the watchers, watch the service. They offer the
+// configurations that they accept to the other daemons, which fetch the parts from
+// them. Every daemon also offers its configuration to a few others at intervals, so
+// that a version spreads while the service is down or returns stale values. A version
+// is accepted as a whole or not at all, and only a higher one can replace it:
+// publications are ordered by version number and, if two have the same number, by the
+// digest of the manifest.
 //
-// The machine does no I/O. Every method takes the current time and returns the
-// effects to carry out.
+// The state machine does no I/O. The methods that handle an event take the current
+// time and return the effects to carry out.
 package rollout
 
 import (
@@ -24,31 +24,33 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// Options are the limits of a rollout.
+// Options are the timing and limits of a rollout.
 type Options struct {
-	// Watchers is the number of daemons of a data centre that watch the service.
+	// Watchers is the number of daemons in each data centre that watch the service.
 	Watchers int
-	// WatchWait is how long one watch call waits.
+	// WatchWait is how long a watch call waits for a change.
 	WatchWait clock.Millis
-	// RetryInterval is the span after which a watcher repeats a failed call.
+	// RetryInterval is the time after which a watcher repeats a failed call. It is also
+	// the first backoff interval of other daemons' calls and of failed fetches.
 	RetryInterval clock.Millis
-	// MaxRetryInterval is the longest span between the calls of a daemon that
-	// watches only because the watchers are silent.
+	// MaxRetryInterval is the maximum backoff interval of failed fetches and of the
+	// calls of daemons that are not watchers.
 	MaxRetryInterval clock.Millis
-	// PollInterval is the span between two reads by daemons that do not watch.
+	// PollInterval is the interval at which daemons read the service without watching.
 	PollInterval clock.Millis
-	// ContactTimeout is the silence of all watchers of the data centre after
-	// which others watch.
+	// ContactTimeout is the time after which other daemons watch if no watcher of the
+	// data centre has had contact with the service.
 	ContactTimeout clock.Millis
-	// OfferInterval is the span between two offers to other daemons.
+	// OfferInterval is the interval of the offers to other daemons.
 	OfferInterval clock.Millis
-	// FetchTimeout is the span after which a part is asked for elsewhere.
+	// FetchTimeout is the time after which a part is requested from another source.
 	FetchTimeout clock.Millis
-	// InquirySpan is how long a new daemon waits for its peers' offers.
-	InquirySpan clock.Millis
+	// InquiryTimeout is the maximum time for which a new daemon waits for offers of its
+	// peers.
+	InquiryTimeout clock.Millis
 }
 
-// DefaultOptions returns the limits used when settings name none.
+// DefaultOptions returns the limits that apply if the settings do not set any.
 func DefaultOptions() Options {
 	return Options{
 		Watchers:         2,
@@ -59,36 +61,37 @@
 		ContactTimeout:   2500 * clock.Millisecond,
 		OfferInterval:    clock.Second,
 		FetchTimeout:     400 * clock.Millisecond,
-		InquirySpan:      clock.Second,
+		InquiryTimeout:   clock.Second,
 	}
 }
 
-// Rollout is the state of one daemon's configuration.
+// Rollout is the state of a daemon's configuration rollout.
 type Rollout struct {
 	options Options
 	self    ident.DaemonID
 	now     clock.Millis
 
-	inForce    accepted
+	inForce    acceptedConfig
 	candidates map[config.Mark]*candidate
 	fetching   *fetch
-	// spare holds the parts of the last candidate that was given up, so that a
-	// retry asks only for what is missing.
-	spare   map[string][]byte
-	watch   watch
-	peers   peers
-	effects []effect.Effect
+	// leftoverParts holds the parts of the last abandoned fetch, so that a retry requests
+	// only the missing ones.
+	leftoverParts map[string][]byte
+	watch         watch
+	peers         peers
+	effects       []effect.Effect
 }
 
-// accepted is the configuration in force, with what other daemons fetch.
-type accepted struct {
+// acceptedConfig is an accepted configuration, with the manifest and the parts that
+// other daemons fetch.
+type acceptedConfig struct {
 	mark     config.Mark
 	snapshot *config.Snapshot
 	manifest []byte
 	parts    map[string][]byte
 }
 
-// New returns the rollout of a daemon that has no configuration.
+// New returns the rollout of a daemon without a configuration.
 func New(self ident.DaemonID, options Options) *Rollout {
 	return &Rollout{options: options, self: self, candidates: map[config.Mark]*candidate{}}
 }
@@ -101,50 +104,50 @@
 	rollout.emit(effect.Send{To: to, Message: sent})
 }
 
-// take returns the effects gathered since the last call.
-func (rollout *Rollout) take() []effect.Effect {
+// takeEffects returns the effects collected since the last call.
+func (rollout *Rollout) takeEffects() []effect.Effect {
 	effects := rollout.effects
 	rollout.effects = nil
 	return effects
 }
 
-// Mark identifies the configuration in force.
+// Mark returns the mark of the configuration in force.
 func (rollout *Rollout) Mark() config.Mark {
 	return rollout.inForce.mark
 }
 
-// Snapshot returns the configuration in force, nil before the first.
+// Snapshot returns the configuration in force, or nil if there is none.
 func (rollout *Rollout) Snapshot() *config.Snapshot {
 	return rollout.inForce.snapshot
 }
 
-// Ready reports whether the daemon has a configuration and has asked its peers
-// whether they know a later one.
+// Ready reports whether the daemon has a configuration and has asked its peers for a
+// higher one.
 func (rollout *Rollout) Ready() bool {
-	return rollout.inForce.snapshot != nil && rollout.peers.asked(rollout.now, rollout.options)
+	return rollout.inForce.snapshot != nil && rollout.peers.inquiryDone(rollout.now, rollout.options)
 }
 
-// Tick repeats calls and offers that are due and goes on fetching.
+// Tick sends the calls, offers and requests for parts that are due.
 func (rollout *Rollout) Tick(now clock.Millis) []effect.Effect {
 	rollout.now = now
-	rollout.offerInTurn()
-	rollout.tickWatch()
-	rollout.tickFetch()
-	return rollout.take()
+	rollout.offerPeriodically()
+	rollout.callIfDue()
+	rollout.advanceFetch()
+	return rollout.takeEffects()
 }
 
-// Adopt puts a snapshot in force that was handed in as a whole, unless a later
-// one is. Other daemons cannot fetch it from here.
+// Adopt puts a complete snapshot in force if its version is higher than the one in
+// force. Other daemons cannot fetch it from this daemon.
 func (rollout *Rollout) Adopt(now clock.Millis, snapshot *config.Snapshot) []effect.Effect {
 	rollout.now = now
 	if snapshot.Version() > rollout.inForce.mark.Version {
-		rollout.accept(accepted{mark: config.Mark{Version: snapshot.Version()}, snapshot: snapshot}, "handed in")
+		rollout.accept(acceptedConfig{mark: config.Mark{Version: snapshot.Version()}, snapshot: snapshot}, "handed in")
 	}
-	return rollout.take()
+	return rollout.takeEffects()
 }
 
-// accept puts a configuration in force and offers it.
-func (rollout *Rollout) accept(next accepted, cause string) {
+// accept puts a configuration in force and offers it to other daemons.
+func (rollout *Rollout) accept(next acceptedConfig, cause string) {
 	before := rollout.inForce.mark
 	invariant.Check(next.mark.Compare(before) > 0, "an accepted configuration never reverts",
 		"%v after %v", next.mark, before)
@@ -152,16 +155,16 @@
 		cause += "; a second publication under this version number"
 	}
 	rollout.inForce = next
-	rollout.spare = nil
-	rollout.dropCandidates()
+	rollout.leftoverParts = nil
+	rollout.dropObsolete()
 	rollout.emit(effect.Audit{
 		At: rollout.now, Kind: effect.ConfigAccepted, Object: "configuration", Cause: cause,
 		Before: versionText(before), After: versionText(next.mark),
 	})
-	rollout.offerNow()
+	rollout.offerAccepted()
 }
 
-func (rollout *Rollout) refuse(mark config.Mark, cause string) {
+func (rollout *Rollout) auditRefusal(mark config.Mark, cause string) {
 	rollout.emit(effect.Audit{
 		At: rollout.now, Kind: effect.ConfigRefused, Object: "configuration", Cause: cause,
 		Before: versionText(rollout.inForce.mark), After: versionText(mark),
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -14,7 +14,7 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
-func site(version uint64, rate float64) config.Config {
+func testConfig(version uint64, rate float64) config.Config {
 	return config.Config{
 		Version:      version,
 		WeightStores: []config.WeightStore{{Name: "weights", LoadsPerSecond: 2}},
@@ -32,43 +32,44 @@
 		})
 	}
 	network, err := nodetest.New(nodetest.Options{
-		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: site(1, 0), VMs: vms, UseConfigService: true, Node: node.DefaultOptions(),
+		Seed: seed, Delay: 1, Jitter: 4, TickInterval: 50, Config: testConfig(1, 0), VMs: vms, UseConfigService: true, Node: node.DefaultOptions(),
 	})
 	require.NoError(t, err)
 	return network
 }
 
-// history publishes versions, good and bad, and follows what is in force.
+// history publishes valid and invalid versions and checks which ones are in force.
 type history struct {
 	network *nodetest.Network
 	faults  *nodetest.Faults
-	version uint64 // highest published
-	seen    map[*nodetest.Host]config.Mark
-	bad     map[config.Mark]bool
+	version uint64                         // highest published version
+	inForce map[*nodetest.Host]config.Mark // at the last check
+	invalid map[config.Mark]bool           // publications that must not come into force
 }
 
-// publish publishes one version in one of the ways that operators get wrong.
+// publish publishes a version, validly or with one of the mistakes that operators make,
+// or changes whether the service corrupts its values.
 func (history *history) publish(t *rapid.T) {
 	service := history.network.Service
 	switch rapid.SampledFrom([]string{"good", "good", "same number", "lower", "invalid", "part missing", "garbled", "corrupt", "intact"}).Draw(t, "publication") {
 	case "good":
 		history.version++
-		history.put(t, site(history.version, 0))
+		history.put(t, testConfig(history.version, 0))
 	case "same number":
-		history.put(t, site(history.version, rapid.Float64Range(1, 100).Draw(t, "rate")))
+		history.put(t, testConfig(history.version, rapid.Float64Range(1, 100).Draw(t, "rate")))
 	case "lower":
-		history.put(t, site(max(1, history.version-1), 7))
+		history.put(t, testConfig(max(1, history.version-1), 7))
 	case "invalid":
 		history.version++
-		invalid := site(history.version, 0)
+		invalid := testConfig(history.version, 0)
 		invalid.Rules[0].Class = "Later"
-		history.bad[markOf(t, invalid)] = true
+		history.invalid[markOf(t, invalid)] = true
 		history.put(t, invalid)
 	case "part missing":
 		history.version++
-		partless := site(history.version, 1000+float64(history.version))
-		history.bad[markOf(t, partless)] = true
-		_, text := manifestOf(t, partless)
+		incomplete := testConfig(history.version, 1000+float64(history.version))
+		history.invalid[markOf(t, incomplete)] = true
+		_, text := manifestOf(t, incomplete)
 		service.PutManifest(text)
 	case "garbled":
 		service.PutManifest([]byte("Version: ["))
@@ -96,27 +97,27 @@
 	return config.MarkOf(manifest, text)
 }
 
-// check follows every daemon's life: what is in force rises or stays, and is
-// never a version that was published badly.
+// check checks that no daemon's configuration in force has reverted since the last
+// check, and that none is an invalid publication.
 func (history *history) check(t require.TestingT) {
 	for _, name := range history.network.HostNames() {
 		host := history.network.Nodes[name]
 		mark := host.Node.ConfigMark()
-		require.GreaterOrEqual(t, mark.Compare(history.seen[host]), 0, "%s went from %v to %v", name, history.seen[host], mark)
-		history.seen[host] = mark
-		require.False(t, history.bad[mark], "%s has a bad publication of version %d in force", name, mark.Version)
+		require.GreaterOrEqual(t, mark.Compare(history.inForce[host]), 0, "%s went from %v to %v", name, history.inForce[host], mark)
+		history.inForce[host] = mark
+		require.False(t, history.invalid[mark], "%s has an invalid publication of version %d in force", name, mark.Version)
 	}
 }
 
-// TestNeverRevertsAndSpreads drives publications through faults of the service,
-// of daemons and of their network. What is in force never reverts, and once the
-// faults are over the next version is in force everywhere within seconds.
+// TestNeverRevertsAndSpreads publishes versions while the service, daemons and the
+// network have faults. It checks that no configuration in force reverts, and that a
+// version published after the faults have ended is in force everywhere within 3 s.
 func TestNeverRevertsAndSpreads(t *testing.T) {
 	publications, faults := 0, 0
 	nodetest.CheckHistories(t, 60, func(t *rapid.T) {
 		network := newNetwork(t, rapid.Uint64().Draw(t, "seed"))
 		history := &history{
-			network: network, version: 1, seen: map[*nodetest.Host]config.Mark{}, bad: map[config.Mark]bool{},
+			network: network, version: 1, inForce: map[*nodetest.Host]config.Mark{}, invalid: map[config.Mark]bool{},
 			faults: &nodetest.Faults{Network: network, MaxListLag: clock.Second, Counts: map[string]int{}},
 		}
 		network.Run(rapid.SampledFrom([]clock.Millis{0, 500, 5000}).Draw(t, "start"))
@@ -148,7 +149,7 @@
 		network.Run(15 * clock.Second)
 		history.check(t)
 		history.version++
-		history.put(t, site(history.version, 0))
+		history.put(t, testConfig(history.version, 0))
 		require.True(t, network.RunUntil(3*clock.Second, func() bool { return network.InForceEverywhere(history.version) }),
 			"version %d within 3 s, in force: %v", history.version, network.VersionsInForce())
 		history.check(t)
--- a/internal/direct/requestlog/trail.go
+++ b/internal/direct/requestlog/trail.go
@@ -108,13 +108,13 @@
 			Engine: ident.EngineID(line.Server), At: clock.Millis(line.Time.UnixMilli()), Dispatched: true,
 		})
 	case ending.MessageNoAnswer:
-		reader.endAttempt(line, line.Sent, outcome.Lost(outcome.ServiceLost))
+		reader.endAttempt(line, line.Sent, outcome.MayHaveRun(outcome.ServiceLost))
 	case ending.MessageServerDeclined:
 		reader.endAttempt(line, true, outcome.Refused(outcome.EngineRefused, 0))
 	case ending.MessageServerFailed:
 		reader.endAttempt(line, true, outcome.Outcome{Kind: outcome.Answered, Reason: outcome.ServerFailed})
 	case ending.MessageAnswerBroken, ending.MessageStreamBroken:
-		reader.endAttempt(line, true, outcome.Lost(outcome.Truncated))
+		reader.endAttempt(line, true, outcome.MayHaveRun(outcome.Truncated))
 	case ending.MessageRequestEnded:
 		reader.end(line)
 	}
--- a/internal/direct/requestlog/trail_test.go
+++ b/internal/direct/requestlog/trail_test.go
@@ -41,10 +41,10 @@
 func TestLostWithItsServer(t *testing.T) {
 	record, err := requestlog.Read(strings.NewReader(log), "6bfc")
 	require.NoError(t, err)
-	require.Equal(t, outcome.Lost(outcome.Truncated), record.Outcome)
+	require.Equal(t, outcome.MayHaveRun(outcome.Truncated), record.Outcome)
 	require.Len(t, record.Attempts, 1)
 	require.EqualValues(t, "i-f3", record.Attempts[0].Engine)
-	require.Equal(t, outcome.Lost(outcome.Truncated), record.Attempts[0].Outcome)
+	require.Equal(t, outcome.MayHaveRun(outcome.Truncated), record.Attempts[0].Outcome)
 }
 
 // TestOverItsLimit checks that the detail says what the account had left and how many daemons
--- a/internal/integration/harness/call.go
+++ b/internal/integration/harness/call.go
@@ -124,7 +124,7 @@
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
 	request.Header.Set("Content-Type", "application/json")
 	if call.Key != "" {
-		request.Header.Set(callers.KeyHeader, call.Key)
+		request.Header.Set(callers.IdempotencyKeyHeader, call.Key)
 	}
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialSmall}}).Do(request)
 	if err != nil {
--- a/internal/replay/experiment/policy.go
+++ b/internal/replay/experiment/policy.go
@@ -87,7 +87,7 @@
 		{Name: "half-life 20 min", Apply: func(options *node.Options, _ Knowledge) {
 			options.Owner.HalfLife = 20 * clock.Minute
 		}},
-		brokered("never refuse", func(loads *loads.Options) { loads.Patient = true }),
+		brokered("never refuse", func(loads *loads.Options) { loads.NeverRefuse = true }),
 		brokered("arrival order", func(loads *loads.Options) { loads.ArrivalOrder = true }),
 		weighted("set of 1", func(weights *placement.Weights) { weights.AffinitySetSize = 1 }),
 		weighted("set of 2", func(weights *placement.Weights) { weights.AffinitySetSize = 2 }),
--- a/internal/serve/callers/answer.go
+++ b/internal/serve/callers/answer.go
@@ -15,10 +15,11 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// errorBody is the body of every answer that is not an answer of the model.
+// errorBody is the body of an answer by which the daemon reports an error, instead of
+// forwarding the answer of a model or service.
 type errorBody struct {
 	Error errorDetail `json:"error"`
-	// Record reconstructs the decision, when there was one.
+	// Record describes how the request was decided; nil if there was no decision.
 	Record *outcome.Record `json:"record,omitempty"`
 }
 
@@ -28,14 +29,15 @@
 	Code    string `json:"code"`
 }
 
-// answer runs a request and writes its answer as it arrives.
-func (api *API) answer(writer http.ResponseWriter, request *http.Request, arrived node.RequestArrived, ticket *daemon.Ticket) {
-	api.daemon.Begin(arrived, ticket)
+// runRequest starts a request and writes its answer as it arrives, until the answer ends
+// or the caller disconnects.
+func (api *API) runRequest(writer http.ResponseWriter, request *http.Request, arrived node.RequestArrived, pending *daemon.PendingRequest) {
+	api.daemon.StartRequest(arrived, pending)
 	response := &response{writer: writer, requestID: arrived.RequestID}
 	for {
-		items, err := ticket.Inbox.Next(request.Context())
+		items, err := pending.Inbox.Next(request.Context())
 		if err != nil {
-			api.daemon.Gone(ticket)
+			api.daemon.CallerDisconnected(pending)
 			return
 		}
 		written := 0
@@ -48,19 +50,19 @@
 			written += len(item.Payload)
 		}
 		response.flush()
-		ticket.Inbox.Consumed(written)
+		pending.Inbox.Consumed(written)
 	}
 }
 
-// response is one answer on its way to the caller. A streamed answer is written
-// as it arrives; another is held until it is known to be complete.
+// response writes an answer to the caller. A streamed answer is written as it arrives; any
+// other answer is buffered until it is known to be complete.
 type response struct {
 	writer      http.ResponseWriter
 	requestID   string
 	status      int
 	contentType string
 	streaming   bool
-	body        []byte
+	body        []byte // not yet written
 }
 
 func (response *response) add(item relay.Item) {
@@ -71,7 +73,7 @@
 	response.status, response.contentType = item.Status, item.ContentType
 	response.streaming = relay.IsStream(item.ContentType)
 	if response.streaming {
-		response.head(outcome.Outcome{})
+		response.writeHead(outcome.Outcome{})
 	}
 }
 
@@ -83,7 +85,7 @@
 	response.body = append(response.body, payload...)
 }
 
-// flush writes what a streamed answer has gathered.
+// flush writes the buffered events of a streamed answer.
 func (response *response) flush() {
 	if !response.streaming {
 		return
@@ -93,11 +95,12 @@
 	_ = http.NewResponseController(response.writer).Flush()
 }
 
-// head writes status and headers. The outcome is not known yet while streaming.
-func (response *response) head(final outcome.Outcome) {
+// writeHead writes the status and the headers. The outcome is empty if the answer is
+// written while it arrives, as it is not known yet.
+func (response *response) writeHead(final outcome.Outcome) {
 	header := response.writer.Header()
 	header.Set("Content-Type", response.contentType)
-	header.Set(RequestHeader, response.requestID)
+	header.Set(RequestIDHeader, response.requestID)
 	if final.Kind != "" {
 		header.Set(OutcomeHeader, string(final.Kind))
 		header.Set(ReasonHeader, string(final.Reason))
@@ -105,27 +108,27 @@
 	response.writer.WriteHeader(response.status)
 }
 
-// finish writes the end that the outcome calls for.
+// finish writes the end of the answer, depending on the outcome.
 func (response *response) finish(final effect.Answer) {
 	switch {
 	case final.Stored != nil:
-		response.stored(final.Outcome, *final.Stored)
+		response.writeStored(final.Outcome, *final.Stored)
 	case response.streaming && final.Outcome.Kind == outcome.Answered:
 		response.body = append(response.body, relay.DoneEvent...)
 		response.flush()
 	case response.streaming:
-		response.breakOff(final)
+		response.abort(final)
 	case final.Outcome.Kind == outcome.Answered:
-		response.head(final.Outcome)
+		response.writeHead(final.Outcome)
 		_, _ = response.writer.Write(response.body)
 	default:
 		writeError(response.writer, response.requestID, final.Outcome, final.Outcome.Reason.Sentence(), &final.Record)
 	}
 }
 
-// breakOff ends a streamed answer that is not complete: an error event, no
-// closing mark, and a connection that does not end properly.
-func (response *response) breakOff(final effect.Answer) {
+// abort ends a streamed answer that is not complete: it writes an error event, omits the
+// final event and aborts the connection.
+func (response *response) abort(final effect.Answer) {
 	text, err := json.Marshal(newErrorBody(final.Outcome, final.Outcome.Reason.Sentence(), &final.Record))
 	if err == nil {
 		response.body = relay.AppendEvent(response.body, text)
@@ -134,11 +137,11 @@
 	panic(http.ErrAbortHandler)
 }
 
-// stored writes the answer of the first attempt under an idempotency key, or of
-// a plain service.
-func (response *response) stored(final outcome.Outcome, stored message.StoredAnswer) {
+// writeStored writes a complete answer: that of the first attempt under an idempotency
+// key, or that of a plain service.
+func (response *response) writeStored(final outcome.Outcome, stored message.StoredAnswer) {
 	response.status, response.contentType = stored.Status, stored.ContentType
-	response.head(final)
+	response.writeHead(final)
 	_, _ = response.writer.Write(stored.Body)
 	if relay.IsStream(stored.ContentType) {
 		_, _ = response.writer.Write([]byte(relay.DoneEvent))
@@ -152,23 +155,24 @@
 	}
 }
 
-// refuse answers a request that never reached the decision machines.
+// refuse answers a request that is refused before it reaches the node.
 func (api *API) refuse(writer http.ResponseWriter, arrived node.RequestArrived, cause error) {
 	reason := outcome.BadRequest
-	var found mistake
-	if errors.As(cause, &found) {
-		reason = found.reason
+	var invalid requestError
+	if errors.As(cause, &invalid) {
+		reason = invalid.reason
 	}
-	record := api.record(arrived, outcome.Refused(reason, 0))
-	record.Detail = found.detail
-	record = api.daemon.Refused(record)
+	record := api.refusalRecord(arrived, outcome.Refused(reason, 0))
+	record.Detail = invalid.detail
+	record = api.daemon.RecordRefusal(record)
 	if reason == outcome.BodyTooLarge || reason == outcome.BodyTimeout {
-		writer.Header().Set("Connection", "close") // the rest of the body stays unread
+		writer.Header().Set("Connection", "close") // the rest of the body is not read
 	}
 	writeError(writer, arrived.RequestID, record.Outcome, cause.Error(), &record)
 }
 
-func (api *API) record(arrived node.RequestArrived, refusal outcome.Outcome) outcome.Record {
+// refusalRecord returns the decision record of a request that is refused here.
+func (api *API) refusalRecord(arrived node.RequestArrived, refusal outcome.Outcome) outcome.Record {
 	record := outcome.Record{Request: arrived.RequestID, Target: arrived.Model + arrived.Service, Outcome: refusal}
 	if snapshot := api.daemon.Config(); snapshot != nil {
 		record.ConfigVersion = snapshot.Version()
@@ -182,7 +186,7 @@
 func writeError(writer http.ResponseWriter, requestID string, final outcome.Outcome, text string, record *outcome.Record) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(RequestHeader, requestID)
+	header.Set(RequestIDHeader, requestID)
 	header.Set(OutcomeHeader, string(final.Kind))
 	header.Set(ReasonHeader, string(final.Reason))
 	if final.RetryAfter > 0 {
--- a/internal/serve/callers/callers_test.go
+++ b/internal/serve/callers/callers_test.go
@@ -24,30 +24,31 @@
 
 const apiKey = "clerk-secret"
 
-// fakeDaemon keeps the refusals. It takes in no request unless begin is set.
+// fakeDaemon records refusals. It fails the test when a request is started, unless start
+// is set.
 type fakeDaemon struct {
-	begin    func(arrived node.RequestArrived, ticket *daemon.Ticket)
+	start    func(arrived node.RequestArrived, pending *daemon.PendingRequest)
 	t        testing.TB
 	snapshot *config.Snapshot
 	refused  []outcome.Record
 	ready    bool
 }
 
-func (fake *fakeDaemon) Begin(arrived node.RequestArrived, ticket *daemon.Ticket) {
-	if fake.begin != nil {
-		fake.begin(arrived, ticket)
+func (fake *fakeDaemon) StartRequest(arrived node.RequestArrived, pending *daemon.PendingRequest) {
+	if fake.start != nil {
+		fake.start(arrived, pending)
 		return
 	}
-	fake.t.Errorf("request %s reached the decision machines", arrived.RequestID)
+	fake.t.Errorf("request %s was started", arrived.RequestID)
 }
 
-func (fake *fakeDaemon) Gone(*daemon.Ticket) {}
+func (fake *fakeDaemon) CallerDisconnected(*daemon.PendingRequest) {}
 
 func (fake *fakeDaemon) Ready() bool { return fake.ready }
 
 func (fake *fakeDaemon) Config() *config.Snapshot { return fake.snapshot }
 
-func (fake *fakeDaemon) Refused(record outcome.Record) outcome.Record {
+func (fake *fakeDaemon) RecordRefusal(record outcome.Record) outcome.Record {
 	fake.refused = append(fake.refused, record)
 	return record
 }
@@ -61,7 +62,7 @@
 	return &fakeDaemon{t: t, snapshot: snapshot}
 }
 
-// badRequest is a request that must be refused.
+// badRequest is a request that must be refused, with the expected answer.
 type badRequest struct {
 	name    string
 	method  string // POST when empty
@@ -70,7 +71,7 @@
 	body    string
 	status  int
 	reason  outcome.Reason
-	detail  string // contained in the message
+	detail  string // expected within the message
 }
 
 const goodBody = `{"model":"letters@1"}`
@@ -95,11 +96,11 @@
 	{name: "stream is a string", body: `{"model":"a@1","stream":"yes"}`, status: 400, reason: outcome.BadRequest, detail: "stream: a JSON string: want true or false"},
 	{name: "no model", body: `{}`, status: 400, reason: outcome.BadRequest, detail: "adapter@version"},
 	{name: "model without version", body: `{"model":"letters"}`, status: 400, reason: outcome.BadRequest, detail: "adapter@version"},
-	{name: "key without issue time", headers: map[string]string{callers.KeyHeader: "abc"}, status: 400, reason: outcome.BadRequest, detail: "version 7"},
-	{name: "key too long", headers: map[string]string{callers.KeyHeader: strings.Repeat("k", 300)}, status: 400, reason: outcome.BadRequest, detail: "255"},
-	{name: "bad issue time", headers: map[string]string{callers.KeyHeader: "abc", callers.IssuedHeader: "today"}, status: 400, reason: outcome.BadRequest, detail: "Unix epoch"},
+	{name: "key without issue time", headers: map[string]string{callers.IdempotencyKeyHeader: "abc"}, status: 400, reason: outcome.BadRequest, detail: "version 7"},
+	{name: "key too long", headers: map[string]string{callers.IdempotencyKeyHeader: strings.Repeat("k", 300)}, status: 400, reason: outcome.BadRequest, detail: "255"},
+	{name: "bad issue time", headers: map[string]string{callers.IdempotencyKeyHeader: "abc", callers.IdempotencyIssuedHeader: "today"}, status: 400, reason: outcome.BadRequest, detail: "Unix epoch"},
 	{name: "bad repeatable header", headers: map[string]string{callers.NotRepeatableHeader: "maybe"}, status: 400, reason: outcome.BadRequest, detail: "true or false"},
-	{name: "request id too long", headers: map[string]string{callers.RequestHeader: strings.Repeat("r", 200)}, status: 400, reason: outcome.BadRequest, detail: "128"},
+	{name: "request id too long", headers: map[string]string{callers.RequestIDHeader: strings.Repeat("r", 200)}, status: 400, reason: outcome.BadRequest, detail: "128"},
 }
 
 func (bad badRequest) request(t testing.TB, address string) *http.Request {
@@ -131,7 +132,7 @@
 		t.Run(bad.name, func(t *testing.T) {
 			fake := newFake(t)
 			options := callers.DefaultOptions()
-			options.MaxBody = 1024
+			options.MaxBodyBytes = 1024
 			server := httptest.NewServer(callers.New(fake, options, slog.New(slog.DiscardHandler)))
 			defer server.Close()
 			response, err := http.DefaultClient.Do(bad.request(t, server.URL))
@@ -147,19 +148,20 @@
 			require.Equal(t, bad.status, response.StatusCode, "%s", text)
 			require.Equal(t, "NotRun", response.Header.Get(callers.OutcomeHeader))
 			require.Equal(t, string(bad.reason), response.Header.Get(callers.ReasonHeader))
-			require.NotEmpty(t, response.Header.Get(callers.RequestHeader))
+			require.NotEmpty(t, response.Header.Get(callers.RequestIDHeader))
 			require.Equal(t, string(bad.reason), body.Error.Code)
 			require.Contains(t, body.Error.Message, bad.detail)
 			require.NotEmpty(t, body.Error.Message)
 			require.NotContains(t, string(text), apiKey)
 			require.Len(t, fake.refused, 1)
 			require.Equal(t, bad.reason, fake.refused[0].Outcome.Reason)
-			require.Equal(t, response.Header.Get(callers.RequestHeader), body.Record.Request)
+			require.Equal(t, response.Header.Get(callers.RequestIDHeader), body.Record.Request)
 		})
 	}
 }
 
-// TestSlowBodyIsRefused sends the head of a request and never its body.
+// TestSlowBodyIsRefused sends the headers of a request but not its body. The request must be
+// refused after the timeout.
 func TestSlowBodyIsRefused(t *testing.T) {
 	fake := newFake(t)
 	options := callers.DefaultOptions()
@@ -178,8 +180,9 @@
 	require.Equal(t, "BodyTimeout", response.Header.Get(callers.ReasonHeader))
 }
 
-// TestBalancerIsAnswered asks for readiness without an API key.
-func TestBalancerIsAnswered(t *testing.T) {
+// TestHealthChecksNeedNoAPIKey checks health and readiness without an API key, as a load
+// balancer does.
+func TestHealthChecksNeedNoAPIKey(t *testing.T) {
 	fake := newFake(t)
 	handler := callers.New(fake, callers.DefaultOptions(), slog.New(slog.DiscardHandler))
 	status := func(path string) int {
@@ -193,8 +196,9 @@
 	require.Equal(t, http.StatusOK, status(callers.ReadyPath))
 }
 
-// TestServicePathIsPassedOn looks at what a service would be asked for.
-func TestServicePathIsPassedOn(t *testing.T) {
+// TestServicePathIsForwarded checks the path and query that a service is sent, escaped as
+// the caller sent them.
+func TestServicePathIsForwarded(t *testing.T) {
 	cases := []struct{ path, name, target string }{
 		{"/services/records", "records", "/"},
 		{"/services/records/", "records", "/"},
@@ -206,10 +210,10 @@
 		t.Run(each.path, func(t *testing.T) {
 			fake := newFake(t)
 			var name, target string
-			fake.begin = func(arrived node.RequestArrived, ticket *daemon.Ticket) {
-				name, target = arrived.Service, ticket.Call.Path
-				ticket.Inbox = relay.NewInbox(false)
-				ticket.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
+			fake.start = func(arrived node.RequestArrived, pending *daemon.PendingRequest) {
+				name, target = arrived.Service, pending.Call.Path
+				pending.Inbox = relay.NewInbox(false)
+				pending.Inbox.PutFinal(effect.Answer{Outcome: outcome.Done(), Stored: &message.StoredAnswer{Status: http.StatusCreated}})
 			}
 			handler := callers.New(fake, callers.DefaultOptions(), slog.New(slog.DiscardHandler))
 			request := httptest.NewRequest(http.MethodPost, each.path, nil)
--- a/internal/serve/callers/models.go
+++ b/internal/serve/callers/models.go
@@ -7,7 +7,7 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// modelList is the answer of the models endpoint.
+// modelList is the body of an answer of the models endpoint.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -20,12 +20,12 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the adapter versions that some rule lets the caller use.
-func (api *API) models(writer http.ResponseWriter, request *http.Request) {
+// handleModelList lists the adapter versions that the rules permit the caller to use.
+func (api *API) handleModelList(writer http.ResponseWriter, request *http.Request) {
 	arrived := newArrival(request)
 	snapshot := api.daemon.Config()
 	if snapshot == nil {
-		api.refuse(writer, arrived, mistake{outcome.NoConfiguration, ""})
+		api.refuse(writer, arrived, requestError{outcome.NoConfiguration, ""})
 		return
 	}
 	key, err := api.authorize(request)
@@ -34,8 +34,8 @@
 		return
 	}
 	caller, known := snapshot.CallerByKey(key)
-	if !known { // the configuration has changed in between
-		api.refuse(writer, arrived, mistake{outcome.Unauthorized, ""})
+	if !known { // the configuration has changed since authorize
+		api.refuse(writer, arrived, requestError{outcome.Unauthorized, ""})
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
@@ -48,6 +48,6 @@
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	writer.Header().Set(RequestHeader, arrived.RequestID)
+	writer.Header().Set(RequestIDHeader, arrived.RequestID)
 	_ = json.NewEncoder(writer).Encode(list)
 }
--- a/internal/serve/daemon/daemon.go
+++ b/internal/serve/daemon/daemon.go
@@ -1,11 +1,16 @@
-// Package daemon carries out what the decision machines ask for: it joins a
-// node with connections, engine and service clients, the platform and timers.
+// Package daemon is the runtime of a node. It feeds the node's decision state machines
+// with events from other daemons, engines, services, the platform and timers, and carries
+// out the effects that they return.
 //
-// Events go through a pool of workers, urgent ones first; the reader of a lane
-// takes the next job itself after queueing what it read. Whoever steps holds the
-// node's lock for one step and carries out the effects after letting it go, in
-// the order of the steps. Lock order: node, then outbox, then streams, then the
-// locks of a single inbox, window or connection. No lock but that of the VM list reader is held during I/O.
+// Events are queued as jobs and processed by a pool of workers, urgent jobs first. A
+// goroutine that reads from a peer's connection queues the message that it read and then
+// runs the next job itself. A goroutine that steps the node holds the node's lock during
+// the steps of one job and carries out the effects after releasing it. Effects are carried
+// out in the order of the steps.
+//
+// Locks are taken in this order: node, effect queue, streams, and then the lock of a
+// single inbox, window or connection. No lock except that of the VM list is held during
+// I/O.
 package daemon
 
 import (
@@ -30,7 +35,7 @@
 	"teaselmoor/internal/serve/metrics"
 )
 
-// Options are the parts and limits of a daemon.
+// Options holds the components and limits of a daemon.
 type Options struct {
 	Node     node.Options
 	Now      clock.Source
@@ -39,38 +44,38 @@
 	Platform *platform.Client
 	Timing   link.Timing
 	Log      *slog.Logger
-	// Audit takes in every change and every refusal.
+	// Audit receives every audited change and every refusal.
 	Audit *audit.Trail
-	// Observer counts what the daemon does.
+	// Observer updates the daemon's metrics.
 	Observer *metrics.Observer
-	// Workers is the number of goroutines that step the node.
+	// Workers is the number of goroutines that run queued jobs.
 	Workers int
-	// TickInterval is the span between two ticks of the node.
+	// TickInterval is the time between two Tick events.
 	TickInterval clock.Millis
-	// ListInterval is the span between two reads of the VM list.
-	ListInterval clock.Millis
+	// VMListInterval is the time between two reads of the VM list.
+	VMListInterval clock.Millis
 }
 
-// Daemon is one running daemon.
+// Daemon is a node with everything that it needs to run.
 type Daemon struct {
 	options Options
 	tasks   *task.Group
 	links   *link.Set
 	jobs    *jobQueue
 	streams *streamTable
-	list    listReader
+	vmList  vmListState
 
-	outbox  outbox
-	reading engineSet
-	// snapshot is the configuration in force, for lookups that must not wait
-	// for the node's lock.
+	effectQueue effectQueue
+	reportReads engineSet
+	// snapshot is the configuration in force. Lookups read it here because they must not
+	// wait for the node's lock.
 	snapshot atomic.Pointer[config.Snapshot]
 
 	mutex sync.Mutex // guards node
 	node  *node.Node
 }
 
-// New returns a daemon that does nothing before Run.
+// New returns a daemon, which does nothing until Run is called.
 func New(ctx context.Context, options Options) *Daemon {
 	daemon := &Daemon{
 		options: options,
@@ -83,18 +88,19 @@
 	return daemon
 }
 
-// Inner accepts connections of other daemons.
-func (daemon *Daemon) Inner() http.Handler {
+// PeerHandler returns the handler that accepts the connections of other daemons.
+func (daemon *Daemon) PeerHandler() http.Handler {
 	return daemon.links
 }
 
-// Run works until the context ends and every goroutine has.
+// Run runs the daemon. It returns when the context given to New has ended and all of the
+// daemon's goroutines have returned.
 func (daemon *Daemon) Run() {
 	for range daemon.options.Workers {
-		daemon.tasks.Go("worker", daemon.work)
+		daemon.tasks.Go("worker", daemon.runWorker)
 	}
 	daemon.tasks.Go("ticker", daemon.tick)
-	daemon.tasks.Go("VM list", daemon.readList)
+	daemon.tasks.Go("VM list", daemon.pollVMList)
 	daemon.tasks.Go("job queue closer", func(ctx context.Context) error {
 		<-ctx.Done()
 		daemon.jobs.close()
@@ -107,7 +113,7 @@
 	})
 }
 
-// Config returns the configuration in force, nil before the first.
+// Config returns the configuration in force, or nil if none has been accepted yet.
 func (daemon *Daemon) Config() *config.Snapshot {
 	return daemon.snapshot.Load()
 }
@@ -119,24 +125,24 @@
 	return daemon.node.Ready()
 }
 
-// Status is what a daemon knows, with the peers that it is connected to.
+// Status is the state of a daemon's node, with the age of its configuration and its peers.
 type Status struct {
 	node.Status
 	Ready bool
-	// ConfigAge is the span since the configuration in force was accepted.
+	// ConfigAge is the time since the configuration in force was accepted.
 	ConfigAge clock.Millis
-	// ConfigContactAge is the span since this daemon, or a peer that it heard
-	// from, last had an answer of the configuration service.
+	// ConfigContactAge is the time since the configuration service last answered this
+	// daemon, or a peer that reported it to this daemon.
 	ConfigContactAge clock.Millis
-	// Peers have a live control connection, in order of name.
+	// Peers are the daemons with an open control connection, sorted by name.
 	Peers []ident.DaemonID
 }
 
-// Status describes the daemon, for operators.
+// Status returns the daemon's status, for operators.
 func (daemon *Daemon) Status() Status {
 	peers := daemon.links.Peers()
 	slices.Sort(peers)
-	now, times := daemon.options.Now(), daemon.options.Observer.Config()
+	now, times := daemon.options.Now(), daemon.options.Observer.ConfigTimes()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return Status{
@@ -145,7 +151,7 @@
 	}
 }
 
-// ageOf returns the span since a point in time, 0 when there is none.
+// ageOf returns the time from at until now, or 0 if at is not set.
 func ageOf(at, now clock.Millis) clock.Millis {
 	if at == 0 {
 		return 0
@@ -153,22 +159,22 @@
 	return max(0, now-at)
 }
 
-// Drain refuses new requests and waits until those in progress have ended, or
-// the context has.
+// Drain makes the node refuse new requests, and waits until the requests in progress have
+// ended or the context is done.
 func (daemon *Daemon) Drain(ctx context.Context) {
-	// The node must know before it is asked whether it is idle: until then it
-	// counts as idle whenever no request is open.
+	// The node must process the shutdown before it is asked whether it is idle: until
+	// then it reports that it is idle whenever no request is open.
 	daemon.step(node.Shutdown{})
 	for !daemon.idle() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 func (daemon *Daemon) idle() bool {
 	daemon.mutex.Lock()
@@ -176,18 +182,18 @@
 	return daemon.node.Idle()
 }
 
-func (daemon *Daemon) enqueue(lane jobLane, events ...node.Event) {
+func (daemon *Daemon) enqueue(lane jobPriority, events ...node.Event) {
 	daemon.jobs.push(lane, events)
 }
 
 func (daemon *Daemon) tick(ctx context.Context) error {
-	return every(ctx, daemon.options.TickInterval, func() {
-		daemon.enqueue(promptLane, node.Tick{})
+	return runEvery(ctx, daemon.options.TickInterval, func() {
+		daemon.enqueue(highPriority, node.Tick{})
 	})
 }
 
-// every calls do at once and then at each interval until the context ends.
-func every(ctx context.Context, interval clock.Millis, do func()) error {
+// runEvery calls do immediately and then at every interval until the context ends.
+func runEvery(ctx context.Context, interval clock.Millis, do func()) error {
 	ticker := time.NewTicker(interval.Duration())
 	defer ticker.Stop()
 	for {
@@ -200,7 +206,7 @@
 	}
 }
 
-// Self returns the daemon's name.
+// Self returns the name of this daemon.
 func (daemon *Daemon) Self() ident.DaemonID {
 	return daemon.options.Node.Self
 }
--- a/internal/serve/daemon/daemon_test.go
+++ b/internal/serve/daemon/daemon_test.go
@@ -15,17 +15,17 @@
 	"teaselmoor/internal/serve/metrics"
 )
 
-// TestDrainBeginsAtOnce drains a daemon whose workers have not begun. It must
-// not pass for idle before its node knows that it leaves: it would end ahead of
-// its peers' last messages.
-func TestDrainBeginsAtOnce(t *testing.T) {
+// TestDrainShutsNodeDownFirst drains a daemon whose workers have not been started. If the
+// node were asked whether it is idle before it has processed the shutdown, the daemon would
+// exit before the last messages of its peers arrive.
+func TestDrainShutsNodeDownFirst(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	leaving := daemon.New(t.Context(), daemon.Options{
+	draining := daemon.New(t.Context(), daemon.Options{
 		Node: node.DefaultOptions(), Log: log, Audit: audit.New(audit.Options{}, log),
 		Observer: metrics.NewObserver(metrics.New()), Now: clock.System,
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	leaving.Drain(ctx)
-	require.True(t, leaving.Status().Draining)
+	draining.Drain(ctx)
+	require.True(t, draining.Status().Draining)
 }
--- a/internal/serve/daemon/reads.go
+++ b/internal/serve/daemon/engineset.go
@@ -6,12 +6,12 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// engineSet is a set of engines. Safe for concurrent use.
+// engineSet is a set of engines. It is safe for concurrent use.
 type engineSet struct {
 	members sync.Map // of ident.EngineID
 }
 
-// add reports whether the engine was not a member before.
+// add adds an engine, and reports whether it was not a member before.
 func (set *engineSet) add(engine ident.EngineID) bool {
 	_, known := set.members.LoadOrStore(engine, struct{}{})
 	return !known
--- a/internal/serve/daemon/jobs.go
+++ b/internal/serve/daemon/jobs.go
@@ -6,80 +6,82 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// jobLane separates work that must not wait behind routine requests.
-type jobLane int
+// jobPriority separates jobs that must not wait behind routine requests from the others.
+type jobPriority int
 
 const (
-	promptLane jobLane = iota
-	routineLane
-	laneCount
+	highPriority jobPriority = iota
+	lowPriority
+	priorityCount
 )
 
-// routineFloor is the number of prompt jobs after which a waiting routine job
-// goes next, so that routine work is late but never starved.
-const routineFloor = 16
+// maxConsecutiveHigh is the number of high-priority jobs after which a waiting
+// low-priority job is taken next, so that low-priority jobs are delayed but never starved.
+const maxConsecutiveHigh = 16
 
-// jobQueue feeds the worker pool. Safe for concurrent use.
+// jobQueue holds the jobs for the worker pool. It is safe for concurrent use.
 type jobQueue struct {
-	mutex  sync.Mutex // guards lanes, passed, closed
-	filled *sync.Cond
-	lanes  [laneCount][][]node.Event
-	passed int // prompt jobs taken since the last routine one
-	closed bool
+	mutex           sync.Mutex // guards jobs, consecutiveHigh, closed
+	changed         *sync.Cond
+	jobs            [priorityCount][][]node.Event
+	consecutiveHigh int // high-priority jobs taken since the last low-priority one
+	closed          bool
 }
 
 func newJobQueue() *jobQueue {
 	queue := &jobQueue{}
-	queue.filled = sync.NewCond(&queue.mutex)
+	queue.changed = sync.NewCond(&queue.mutex)
 	return queue
 }
 
-// push adds a job: events that one worker steps in order.
-func (queue *jobQueue) push(lane jobLane, events []node.Event) {
+// push adds a job. A job is a list of events with which one worker steps the node in order.
+func (queue *jobQueue) push(priority jobPriority, events []node.Event) {
 	queue.mutex.Lock()
-	queue.lanes[lane] = append(queue.lanes[lane], events)
+	queue.jobs[priority] = append(queue.jobs[priority], events)
 	queue.mutex.Unlock()
-	queue.filled.Signal()
+	queue.changed.Signal()
 }
 
-// wait waits for a job; it reports false once the queue is closed.
+// wait blocks until there is a job or the queue is closed, and reports whether the queue
+// is open.
 func (queue *jobQueue) wait() bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	for !queue.closed && len(queue.lanes[promptLane]) == 0 && len(queue.lanes[routineLane]) == 0 {
-		queue.filled.Wait()
+	for !queue.closed && len(queue.jobs[highPriority]) == 0 && len(queue.jobs[lowPriority]) == 0 {
+		queue.changed.Wait()
 	}
 	return !queue.closed
 }
 
-// take removes the next job; there may be none left. The caller holds the
-// node's lock, so that the jobs of a lane are stepped in their order.
+// take removes the next job and returns it, or nil if there is none. The caller holds the
+// node's lock, so that jobs of the same priority are processed in order.
 func (queue *jobQueue) take() []node.Event {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	lane, found := queue.nextLane()
+	priority, found := queue.nextPriority()
 	if !found {
 		return nil
 	}
-	job := queue.lanes[lane][0]
-	queue.lanes[lane][0] = nil
-	queue.lanes[lane] = queue.lanes[lane][1:]
+	job := queue.jobs[priority][0]
+	queue.jobs[priority][0] = nil
+	queue.jobs[priority] = queue.jobs[priority][1:]
 	return job
 }
 
-func (queue *jobQueue) nextLane() (jobLane, bool) {
-	hasPrompt, hasRoutine := len(queue.lanes[promptLane]) > 0, len(queue.lanes[routineLane]) > 0
-	if hasPrompt && (!hasRoutine || queue.passed < routineFloor) {
-		queue.passed++
-		return promptLane, true
+// nextPriority returns the priority of the next job, or false if there is no job.
+func (queue *jobQueue) nextPriority() (jobPriority, bool) {
+	hasHigh, hasLow := len(queue.jobs[highPriority]) > 0, len(queue.jobs[lowPriority]) > 0
+	if hasHigh && (!hasLow || queue.consecutiveHigh < maxConsecutiveHigh) {
+		queue.consecutiveHigh++
+		return highPriority, true
 	}
-	queue.passed = 0
-	return routineLane, hasRoutine
+	queue.consecutiveHigh = 0
+	return lowPriority, hasLow
 }
 
 func (queue *jobQueue) close() {
 	queue.mutex.Lock()
 	queue.closed = true
 	queue.mutex.Unlock()
-	queue.filled.Broadcast()
+	queue.changed.Broadcast()
 }
--- a/internal/serve/daemon/peers.go
+++ b/internal/serve/daemon/peers.go
@@ -6,57 +6,59 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// peerHandler takes in what other daemons send. It implements link.Handler.
+// peerHandler handles what other daemons send. It implements link.Handler.
 type peerHandler struct {
 	daemon *Daemon
 }
 
-// Message queues a message as an event.
+// Message queues a message as an event and runs the next job. When an attempt has ended,
+// the node first learns how much of its answer has arrived here.
 func (handler *peerHandler) Message(from ident.DaemonID, received message.Message) {
 	event := node.MessageReceived{From: from, Message: received}
-	lane := laneOf(received.Lane())
+	priority := priorityOf(received.Lane())
 	if ended, isEnd := received.(message.Ended); isEnd {
-		handler.daemon.jobs.push(lane, []node.Event{handler.daemon.received(ended.Stream), event})
+		handler.daemon.jobs.push(priority, []node.Event{handler.daemon.answerReceived(ended.Stream), event})
 	} else {
-		handler.daemon.jobs.push(lane, []node.Event{event})
+		handler.daemon.jobs.push(priority, []node.Event{event})
 	}
-	handler.daemon.workOnce()
+	handler.daemon.runNextJob()
 }
 
-// Head opens an answer.
+// Head handles the status and the content type of an attempt's answer.
 func (handler *peerHandler) Head(from ident.DaemonID, stream ident.StreamID, status int, contentType string) {
-	handler.daemon.putHead(from, stream, status, contentType)
+	handler.daemon.acceptHead(from, stream, status, contentType)
 }
 
-// Chunk adds to an answer.
+// Chunk handles a chunk of an answer. If this daemon does not know the stream, it sends
+// a reset.
 func (handler *peerHandler) Chunk(from ident.DaemonID, stream ident.StreamID, index uint64, payload []byte) {
-	if !handler.daemon.putChunk(stream, index, payload) {
+	if !handler.daemon.deliverChunk(stream, index, payload) {
 		handler.daemon.links.SendReset(from, stream)
 	}
 }
 
-// Reset ends the relay of a run whose answer nobody waits for. Only the stream's
-// own entry may say so.
+// Reset ends the relay of a run whose entry no longer knows the stream. It is ignored
+// unless it comes from the stream's own entry.
 func (handler *peerHandler) Reset(from ident.DaemonID, stream ident.StreamID) {
-	if window, found := handler.daemon.streams.knownWindow(stream); found && stream.Daemon == from {
+	if window, found := handler.daemon.streams.findWindow(stream); found && stream.Daemon == from {
 		window.Close(true)
 	}
 }
 
-// Credit lets a run's relay go on.
+// Credit adds a peer's credit to the window of a run's relay.
 func (handler *peerHandler) Credit(_ ident.DaemonID, stream ident.StreamID, count int) {
-	if window, found := handler.daemon.streams.knownWindow(stream); found {
+	if window, found := handler.daemon.streams.findWindow(stream); found {
 		window.Grant(count)
 	}
 }
 
-// Connected notes a lane's connection.
+// Connected logs that a lane to a peer is connected.
 func (handler *peerHandler) Connected(peer ident.DaemonID, lane message.Lane) {
 	handler.daemon.options.Log.Info("peer lane connected", "Peer", peer, "Lane", lane)
 }
 
-// Lost queues the loss of a lane.
+// Lost ends the relays over a lost lane and queues the loss as an event.
 func (handler *peerHandler) Lost(peer ident.DaemonID, lane message.Lane) {
 	handler.daemon.streams.closeWindows(peer, lane)
-	handler.daemon.enqueue(promptLane, node.PeerLost{Peer: peer, Lane: lane})
+	handler.daemon.enqueue(highPriority, node.PeerLost{Peer: peer, Lane: lane})
 }
--- a/internal/serve/daemon/perform.go
+++ b/internal/serve/daemon/perform.go
@@ -13,8 +13,8 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// perform carries out one effect. It does not block: calls to engines and
-// services get goroutines of their own.
+// perform carries out one effect. It does not block: calls to engines, services and the
+// platform run in goroutines of their own.
 func (daemon *Daemon) perform(next effect.Effect) {
 	switch next := next.(type) {
 	case effect.Send:
@@ -22,7 +22,7 @@
 	case effect.Answer:
 		daemon.answer(next)
 	case effect.ForwardAnswer:
-		daemon.open(next)
+		daemon.forwardAnswer(next)
 	case effect.Rebind:
 		daemon.streams.rebind(next.From, next.To)
 	case effect.StartRun:
@@ -36,7 +36,7 @@
 	case effect.ReadEngine:
 		daemon.tasks.Go("report", func(ctx context.Context) error { daemon.readEngine(ctx, next); return nil })
 	case effect.ReadVMList:
-		daemon.tasks.Go("VM list", func(ctx context.Context) error { daemon.readListOnce(ctx); return nil })
+		daemon.tasks.Go("VM list", func(ctx context.Context) error { daemon.readVMList(ctx); return nil })
 	case effect.CallService:
 		daemon.tasks.Go("service", func(ctx context.Context) error { daemon.callService(ctx, next); return nil })
 	case effect.WatchConfig:
@@ -45,20 +45,20 @@
 		daemon.tasks.Go("configuration part", func(ctx context.Context) error { daemon.readConfigPart(ctx, next); return nil })
 	case effect.AssembleConfig:
 		daemon.tasks.Go("configuration assembly", func(context.Context) error {
-			daemon.enqueue(promptLane, node.Assemble(next))
+			daemon.enqueue(highPriority, node.Assemble(next))
 			return nil
 		})
 	case effect.Audit:
-		daemon.options.Audit.Change(next)
+		daemon.options.Audit.AddChange(next)
 	}
 }
 
-// send passes a message to a peer. A Submit that no connection takes is known
-// not to have left, so the entry is told at once.
+// send sends a message to a peer. A Submit that could not be sent certainly did not reach
+// the peer, so the entry is notified at once that the attempt was refused.
 func (daemon *Daemon) send(next effect.Send) {
 	submit, isSubmit := next.Message.(message.Submit)
 	if isSubmit && submit.Resume {
-		submit.Received = daemon.received(submit.Stream).Chunks
+		submit.Received = daemon.answerReceived(submit.Stream).Chunks
 		next.Message = submit
 	}
 	if daemon.links.Send(next.To, next.Message) || !isSubmit {
@@ -72,26 +72,28 @@
 		daemon.links.Send(submit.Entry, ended)
 		return
 	}
-	daemon.enqueue(laneOf(submit.Lane()), node.MessageReceived{From: next.To, Message: ended})
+	daemon.enqueue(priorityOf(submit.Lane()), node.MessageReceived{From: next.To, Message: ended})
 }
 
-func laneOf(lane message.Lane) jobLane {
+func priorityOf(lane message.Lane) jobPriority {
 	if lane == message.RoutineLane {
-		return routineLane
+		return lowPriority
 	}
-	return promptLane
+	return highPriority
 }
 
+// answer ends a request at its entry: it passes the outcome to the caller, and audits
+// every outcome other than Answered.
 func (daemon *Daemon) answer(next effect.Answer) {
 	if next.Outcome.Kind != outcome.Answered {
-		daemon.options.Audit.Refusal(next.Record)
+		daemon.options.Audit.AddRefusal(next.Record)
 	}
 	daemon.logEnd(next)
-	ticket, found := daemon.streams.takeTicket(next.Stream)
+	pending, found := daemon.streams.removePending(next.Stream)
 	if !found {
 		return
 	}
-	ticket.Inbox.PutFinal(next)
+	pending.Inbox.PutFinal(next)
 }
 
 func (daemon *Daemon) engineAddress(name ident.EngineID) (string, bool) {
@@ -106,36 +108,36 @@
 	return found.Address, true
 }
 
-// run calls the engine, relays the answer and reports its end.
+// run sends a run to the engine, relays the answer and queues the end of the run.
 func (daemon *Daemon) run(ctx context.Context, start effect.StartRun) {
 	result := owner.ResultNotSent
 	sink := daemon.newSink(start)
-	if address, known := daemon.engineAddress(start.Engine); known && daemon.inTime(start.ExpiresAt) {
+	if address, known := daemon.engineAddress(start.Engine); known && daemon.notExpired(start.ExpiresAt) {
 		result = daemon.options.Engines.Run(ctx, address, start, sink)
 	}
 	daemon.logRun(start, result)
 	ended := node.RunEnded{Engine: start.Engine, Result: owner.RunResult{
 		Stream: start.Stream, Result: result, Chunks: sink.index,
 	}}
-	daemon.streams.dropWindow(start.Stream)
-	if sink.window.Reset() {
+	daemon.streams.removeWindow(start.Stream)
+	if sink.window.WasReset() {
 		cancel := message.Cancel{Stream: start.Stream, Engine: start.Engine, Class: start.Request.Class}
-		daemon.enqueue(laneOf(sink.lane), node.MessageReceived{From: start.Entry, Message: cancel})
+		daemon.enqueue(priorityOf(sink.lane), node.MessageReceived{From: start.Entry, Message: cancel})
 	}
 	if start.Entry == daemon.Self() {
-		daemon.enqueue(laneOf(sink.lane), daemon.received(start.Stream), ended)
+		daemon.enqueue(priorityOf(sink.lane), daemon.answerReceived(start.Stream), ended)
 		return
 	}
-	daemon.enqueue(laneOf(sink.lane), ended)
+	daemon.enqueue(priorityOf(sink.lane), ended)
 }
 
-// received says what the entry has of a stream's answer.
-func (daemon *Daemon) received(stream ident.StreamID) node.AnswerReceived {
-	ticket, found := daemon.streams.ticket(stream)
+// answerReceived returns how much of a stream's answer has arrived at this entry.
+func (daemon *Daemon) answerReceived(stream ident.StreamID) node.AnswerReceived {
+	pending, found := daemon.streams.findPending(stream)
 	if !found {
 		return node.AnswerReceived{Stream: stream}
 	}
-	return node.AnswerReceived{Stream: stream, Chunks: ticket.Inbox.Chunks(), Stored: ticket.Inbox.Content()}
+	return node.AnswerReceived{Stream: stream, Chunks: pending.Inbox.Chunks(), Stored: pending.Inbox.Content()}
 }
 
 func (daemon *Daemon) cancelRun(ctx context.Context, cancel effect.CancelRun) {
@@ -145,25 +147,25 @@
 	}
 	result := daemon.options.Engines.Cancel(ctx, address, cancel.Stream, cancel.Fence)
 	if result == owner.ResultCancelled {
-		daemon.enqueue(promptLane, node.RunEnded{
+		daemon.enqueue(highPriority, node.RunEnded{
 			Engine: cancel.Engine, Result: owner.RunResult{Stream: cancel.Stream, Result: result},
 		})
 	}
 }
 
-// inTime reports whether the leave to give an order has not ended. It stands
-// directly before the write, because the process may have been paused since the
-// decision. Zero means no end.
-func (daemon *Daemon) inTime(until clock.Millis) bool {
-	return until == 0 || daemon.options.Now() <= until
+// notExpired reports whether an order may still be sent to an engine. It is called
+// directly before the order is sent, because the process may have been paused since the
+// decision. An expiry time of zero means that the order does not expire.
+func (daemon *Daemon) notExpired(expiresAt clock.Millis) bool {
+	return expiresAt == 0 || daemon.options.Now() <= expiresAt
 }
 
 func (daemon *Daemon) load(ctx context.Context, order effect.Load) {
 	result := engine.LoadFailed
-	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.ExpiresAt) {
+	if address, known := daemon.engineAddress(order.Engine); known && daemon.notExpired(order.ExpiresAt) {
 		result = daemon.options.Engines.Load(ctx, address, order.Adapter, order.Fence)
 	}
-	daemon.enqueue(promptLane, node.LoadEnded{
+	daemon.enqueue(highPriority, node.LoadEnded{
 		Engine: order.Engine, Adapter: order.Adapter,
 		Failed: result != engine.LoadDone, Fenced: result == engine.LoadFenced,
 	})
@@ -171,10 +173,10 @@
 
 func (daemon *Daemon) unload(ctx context.Context, order effect.Unload) {
 	result := engine.LoadFailed
-	if address, known := daemon.engineAddress(order.Engine); known && daemon.inTime(order.ExpiresAt) {
+	if address, known := daemon.engineAddress(order.Engine); known && daemon.notExpired(order.ExpiresAt) {
 		result = daemon.options.Engines.Unload(ctx, address, order.Adapter, order.Fence)
 	}
-	daemon.enqueue(promptLane, node.UnloadEnded{
+	daemon.enqueue(highPriority, node.UnloadEnded{
 		Engine: order.Engine, Adapter: order.Adapter,
 		Failed: result != engine.LoadDone, Fenced: result == engine.LoadFenced,
 	})
@@ -182,25 +184,25 @@
 
 func (daemon *Daemon) readEngine(ctx context.Context, read effect.ReadEngine) {
 	address, known := daemon.engineAddress(read.Engine)
-	if !known || !daemon.reading.add(read.Engine) {
-		return // the former read still waits: a hanging engine has one at most
+	if !known || !daemon.reportReads.add(read.Engine) {
+		return // a read is still in flight: at most one for an engine that does not answer
 	}
-	defer daemon.reading.remove(read.Engine)
-	report, err := daemon.options.Engines.Report(ctx, address)
+	defer daemon.reportReads.remove(read.Engine)
+	report, err := daemon.options.Engines.ReadState(ctx, address)
 	if err != nil {
-		daemon.options.Log.Warn("engine report", "Engine", read.Engine, "Cause", err)
+		daemon.options.Log.Warn("reading the engine report failed", "Engine", read.Engine, "Cause", err)
 		return
 	}
-	daemon.enqueue(promptLane, node.EngineReported{Engine: read.Engine, Report: report, AskedAt: read.At})
+	daemon.enqueue(highPriority, node.EngineReported{Engine: read.Engine, Report: report, AskedAt: read.At})
 }
 
 func (daemon *Daemon) callService(ctx context.Context, next effect.CallService) {
-	ticket, found := daemon.streams.ticket(next.Stream)
+	pending, found := daemon.streams.findPending(next.Stream)
 	if !found {
 		return
 	}
-	call := ticket.Call
+	call := pending.Call
 	call.Address = next.Address
 	stored, ended := daemon.options.Services.Do(ctx, call)
-	daemon.enqueue(promptLane, node.ServiceEnded{Stream: next.Stream, Outcome: ended, Stored: stored})
+	daemon.enqueue(highPriority, node.ServiceEnded{Stream: next.Stream, Outcome: ended, Stored: stored})
 }
--- a/internal/serve/daemon/requests.go
+++ b/internal/serve/daemon/requests.go
@@ -6,28 +6,28 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// Begin takes in a caller's request. Its answer arrives in the ticket's inbox.
-func (daemon *Daemon) Begin(arrived node.RequestArrived, ticket *Ticket) {
-	ticket.Inbox = relay.NewInbox(arrived.Key != "")
-	daemon.exclusive(func() {
+// StartRequest starts a caller's request. The answer is delivered to the inbox of pending.
+func (daemon *Daemon) StartRequest(arrived node.RequestArrived, pending *PendingRequest) {
+	pending.Inbox = relay.NewInbox(arrived.Key != "")
+	daemon.withNode(func() {
 		arrived.Stream = daemon.node.NewStream()
-		daemon.streams.addTicket(arrived.Stream, ticket)
+		daemon.streams.addPending(arrived.Stream, pending)
 		daemon.stepLocked(arrived)
 	})
-	daemon.flush()
+	daemon.performEffects()
 }
 
-// Refused notes a request that was refused before the decision machines saw it.
-// It returns the record with daemon and time filled in.
-func (daemon *Daemon) Refused(record outcome.Record) outcome.Record {
+// RecordRefusal counts and audits a request that was refused before it reached the node.
+// It returns the record with the daemon and the time set.
+func (daemon *Daemon) RecordRefusal(record outcome.Record) outcome.Record {
 	record.Daemon = daemon.Self()
 	record.At = daemon.options.Now()
-	daemon.options.Observer.Refused(record.Outcome)
-	daemon.options.Audit.Refusal(record)
+	daemon.options.Observer.CountRefused(record.Outcome)
+	daemon.options.Audit.AddRefusal(record)
 	return record
 }
 
-// Gone says that a ticket's caller closed its connection.
-func (daemon *Daemon) Gone(ticket *Ticket) {
-	daemon.enqueue(promptLane, node.CallerDisconnected{Stream: daemon.streams.streamOf(ticket)})
+// CallerDisconnected notifies the node that the caller of a request closed its connection.
+func (daemon *Daemon) CallerDisconnected(pending *PendingRequest) {
+	daemon.enqueue(highPriority, node.CallerDisconnected{Stream: daemon.streams.streamOf(pending)})
 }
--- a/internal/serve/daemon/sink.go
+++ b/internal/serve/daemon/sink.go
@@ -12,10 +12,11 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// errEntryGone ends a relay whose entry is no longer connected.
+// errEntryGone ends a relay when there is no connection to the entry.
 var errEntryGone = errors.New("the entry is gone")
 
-// sink relays one run's answer to its entry, within the stream's window.
+// sink relays the answer of one run to its entry, within the stream's flow-control window.
+// It implements engine.Sink.
 type sink struct {
 	daemon *Daemon
 	entry  ident.DaemonID
@@ -29,14 +30,14 @@
 	return &sink{
 		daemon: daemon, entry: start.Entry, stream: start.Stream,
 		lane: message.LaneOf(start.Request.Class), index: start.Received,
-		window: daemon.streams.window(start.Stream, message.LaneOf(start.Request.Class)),
+		window: daemon.streams.ensureWindow(start.Stream, message.LaneOf(start.Request.Class)),
 	}
 }
 
-// Head implements engine.Sink.
+// Head relays the status and the content type of the answer.
 func (sink *sink) Head(status int, contentType string) error {
 	if sink.entry == sink.daemon.Self() {
-		sink.daemon.putHead(sink.entry, sink.stream, status, contentType)
+		sink.daemon.acceptHead(sink.entry, sink.stream, status, contentType)
 		return nil
 	}
 	if !sink.daemon.links.SendHead(sink.entry, sink.lane, sink.stream, status, contentType) {
@@ -45,16 +46,16 @@
 	return nil
 }
 
-// Chunk implements engine.Sink.
+// Chunk waits until the window allows it and relays a chunk of the answer.
 func (sink *sink) Chunk(ctx context.Context, payload []byte) error {
-	if err := sink.window.Take(ctx, len(payload)); err != nil {
+	if err := sink.window.Acquire(ctx, len(payload)); err != nil {
 		return err
 	}
 	index := sink.index
 	sink.index++
-	sink.daemon.options.Observer.Relayed(sink.lane, len(payload))
+	sink.daemon.options.Observer.CountRelayed(sink.lane, len(payload))
 	if sink.entry == sink.daemon.Self() {
-		sink.daemon.putChunk(sink.stream, index, payload)
+		sink.daemon.deliverChunk(sink.stream, index, payload)
 		return nil
 	}
 	if !sink.daemon.links.SendChunk(sink.entry, sink.lane, sink.stream, index, payload) {
@@ -63,41 +64,44 @@
 	return nil
 }
 
-// putHead asks the node whether an attempt's answer may go to the caller. It
-// does so at once, ahead of the chunks that follow on the same connection.
-func (daemon *Daemon) putHead(from ident.DaemonID, stream ident.StreamID, status int, contentType string) {
+// acceptHead asks the node whether an attempt's answer may be forwarded to the caller. It
+// steps the node directly instead of queueing the event, so that the node decides before
+// the chunks that follow on the same connection are handled.
+func (daemon *Daemon) acceptHead(from ident.DaemonID, stream ident.StreamID, status int, contentType string) {
 	daemon.step(node.AnswerStarted{Stream: stream, From: from, Status: status, ContentType: contentType})
 }
 
-// open lets an answer through and says where its credits go.
-func (daemon *Daemon) open(next effect.ForwardAnswer) {
-	ticket, found := daemon.streams.ticket(next.Stream)
+// forwardAnswer starts to forward an attempt's answer to the caller, and sets the daemon
+// that receives the credits.
+func (daemon *Daemon) forwardAnswer(next effect.ForwardAnswer) {
+	pending, found := daemon.streams.findPending(next.Stream)
 	if !found {
 		return
 	}
-	ticket.Inbox.Bind(func(count int) { daemon.grant(next.From, next.Lane, next.Stream, count) })
-	ticket.Inbox.PutHead(next.Status, next.ContentType)
+	pending.Inbox.SetGrant(func(count int) { daemon.sendCredit(next.From, next.Lane, next.Stream, count) })
+	pending.Inbox.PutHead(next.Status, next.ContentType)
 }
 
-// putChunk adds to an answer. It reports false for a stream that has ended or
-// was never here.
-func (daemon *Daemon) putChunk(stream ident.StreamID, index uint64, payload []byte) bool {
-	ticket, found := daemon.streams.ticket(stream)
+// deliverChunk adds a chunk to the inbox of its stream. It reports false if the stream has
+// ended or is not known here.
+func (daemon *Daemon) deliverChunk(stream ident.StreamID, index uint64, payload []byte) bool {
+	pending, found := daemon.streams.findPending(stream)
 	if !found {
-		daemon.options.Observer.LateFrame()
+		daemon.options.Observer.CountLateFrame()
 		return false
 	}
-	ticket.Inbox.PutChunk(index, payload)
+	pending.Inbox.PutChunk(index, payload)
 	return true
 }
 
-// grant gives credit for a stream to the daemon that sends it.
-func (daemon *Daemon) grant(to ident.DaemonID, lane message.Lane, stream ident.StreamID, count int) {
+// sendCredit gives credit for a stream to the daemon that relays its answer, which may be
+// this one.
+func (daemon *Daemon) sendCredit(to ident.DaemonID, lane message.Lane, stream ident.StreamID, count int) {
 	if to != daemon.Self() {
 		daemon.links.SendCredit(to, lane, stream, count)
 		return
 	}
-	if window, found := daemon.streams.knownWindow(stream); found {
+	if window, found := daemon.streams.findWindow(stream); found {
 		window.Grant(count)
 	}
 }
--- a/internal/serve/daemon/step.go
+++ b/internal/serve/daemon/step.go
@@ -11,105 +11,109 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// exitBroken is the exit code after a broken invariant; the command line has the
-// lower ones.
-const exitBroken = 6
+// exitInvariantBroken is the exit code after a broken invariant. The command line uses
+// the lower codes.
+const exitInvariantBroken = 6
 
-// step is one event that the node has taken in, and what it asked for.
-type step struct {
+// stepResult is an event that the node has processed, with the effects that it returned.
+type stepResult struct {
 	now     clock.Millis
 	event   node.Event
 	effects []effect.Effect
 }
 
-// outbox holds steps whose effects are not carried out yet. They are carried
-// out in the order of the steps, whichever worker comes first: a Cancel must not
-// overtake the Submit that it is for. Safe for concurrent use.
-type outbox struct {
+// effectQueue holds steps whose effects have not been carried out yet. Effects are
+// carried out in the order of the steps, whichever worker does it, because a Cancel must
+// not overtake the Submit that it refers to. It is safe for concurrent use.
+type effectQueue struct {
 	mutex   sync.Mutex // guards waiting
-	waiting []step
+	waiting []stepResult
 
-	turn sync.Mutex // held while effects are carried out; taken before mutex
+	performing sync.Mutex // held while effects are carried out; taken before mutex
 }
 
-func (outbox *outbox) add(next step) {
-	outbox.mutex.Lock()
-	defer outbox.mutex.Unlock()
-	outbox.waiting = append(outbox.waiting, next)
+func (queue *effectQueue) add(next stepResult) {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	queue.waiting = append(queue.waiting, next)
 }
 
-func (outbox *outbox) take() []step {
-	outbox.mutex.Lock()
-	defer outbox.mutex.Unlock()
-	taken := outbox.waiting
-	outbox.waiting = nil
+func (queue *effectQueue) take() []stepResult {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	taken := queue.waiting
+	queue.waiting = nil
 	return taken
 }
 
-// flush carries out everything that was added before it was called, and returns
-// when that is done, by this goroutine or another.
-func (outbox *outbox) flush(carry func(step)) {
-	outbox.turn.Lock()
-	defer outbox.turn.Unlock()
-	for _, next := range outbox.take() {
-		carry(next)
+// performAll calls perform for every step in the queue. When it returns, the effects of
+// all steps that were added before the call have been carried out, by this goroutine or
+// by another.
+func (queue *effectQueue) performAll(perform func(stepResult)) {
+	queue.performing.Lock()
+	defer queue.performing.Unlock()
+	for _, next := range queue.take() {
+		perform(next)
 	}
 }
 
-// work steps the node with queued events until the queue closes.
-func (daemon *Daemon) work(context.Context) error {
+// runWorker runs queued jobs until the queue is closed.
+func (daemon *Daemon) runWorker(context.Context) error {
 	for daemon.jobs.wait() {
-		daemon.workOnce()
+		daemon.runNextJob()
 	}
 	return nil
 }
 
-// workOnce steps the node with the next job, if there is one.
-func (daemon *Daemon) workOnce() {
-	daemon.exclusive(func() {
+// runNextJob steps the node with the events of the next job, if there is one, and
+// carries out the effects.
+func (daemon *Daemon) runNextJob() {
+	daemon.withNode(func() {
 		for _, event := range daemon.jobs.take() {
 			daemon.stepLocked(event)
 		}
 	})
-	daemon.flush()
+	daemon.performEffects()
 }
 
-// step feeds one event to the node and returns once its effects are carried out.
+// step steps the node with one event and returns when its effects have been carried out.
 func (daemon *Daemon) step(event node.Event) {
-	daemon.exclusive(func() { daemon.stepLocked(event) })
-	daemon.flush()
+	daemon.withNode(func() { daemon.stepLocked(event) })
+	daemon.performEffects()
 }
 
-// exclusive runs do with the node's lock held.
-func (daemon *Daemon) exclusive(do func()) {
+// withNode calls do with the node's lock held.
+func (daemon *Daemon) withNode(do func()) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	defer daemon.stopOnPanic()
+	defer daemon.exitOnPanic()
 	do()
 }
 
-// stopOnPanic ends the process when an invariant was broken. Callers may run in
-// a handler of an HTTP server, which would recover the panic and go on.
-func (daemon *Daemon) stopOnPanic() {
+// exitOnPanic is deferred and ends the process after a panic, such as that of a broken
+// invariant. Without it, the panic could be recovered by an HTTP server, whose handlers
+// step the node too, and the daemon would continue in an invalid state.
+func (daemon *Daemon) exitOnPanic() {
 	if broken := recover(); broken != nil {
-		daemon.options.Log.Error("invariant broken, the process ends", "Cause", broken, "Stack", string(debug.Stack()))
-		os.Exit(exitBroken)
+		daemon.options.Log.Error("panic while stepping the node or carrying out effects; the process exits", "Cause", broken, "Stack", string(debug.Stack()))
+		os.Exit(exitInvariantBroken)
 	}
 }
 
-// stepLocked steps the node, whose lock is held.
+// stepLocked steps the node with one event and queues the effects. The caller holds the
+// node's lock.
 func (daemon *Daemon) stepLocked(event node.Event) {
 	now := daemon.options.Now()
-	daemon.outbox.add(step{now: now, event: event, effects: daemon.node.Step(now, event)})
+	daemon.effectQueue.add(stepResult{now: now, event: event, effects: daemon.node.Step(now, event)})
 	if snapshot := daemon.node.Config(); snapshot != daemon.snapshot.Load() {
 		daemon.snapshot.Store(snapshot)
 	}
 }
 
-// flush counts steps and carries out their effects.
-func (daemon *Daemon) flush() {
-	defer daemon.stopOnPanic()
-	daemon.outbox.flush(func(next step) {
+// performEffects counts the queued steps and carries out their effects.
+func (daemon *Daemon) performEffects() {
+	defer daemon.exitOnPanic()
+	daemon.effectQueue.performAll(func(next stepResult) {
 		daemon.options.Observer.Step(next.now, next.event, next.effects)
 		for _, each := range next.effects {
 			daemon.perform(each)
--- a/internal/serve/daemon/step_test.go
+++ b/internal/serve/daemon/step_test.go
@@ -18,9 +18,9 @@
 
 const brokenVariable = "TEASELMOOR_TEST_BROKEN"
 
-// TestBrokenInvariantStopsProcess breaks an invariant within a step that a
-// caller's request began. An HTTP server recovers panics of its handlers; the
-// process must end all the same, and say what it saw.
+// TestBrokenInvariantStopsProcess breaks an invariant in a step that is started by a
+// caller's request. Although an HTTP server recovers the panics of its handlers, the process
+// must exit and log which invariant was broken.
 func TestBrokenInvariantStopsProcess(t *testing.T) {
 	if os.Getenv(brokenVariable) != "" {
 		breakInvariant(t)
@@ -35,8 +35,7 @@
 	require.Contains(t, string(out), "two and two are four: five")
 }
 
-// breakInvariant runs in a process of its own. Its recover stands for that of
-// the HTTP server.
+// breakInvariant runs in a process of its own. It recovers panics as the HTTP server does.
 func breakInvariant(t *testing.T) {
 	defer func() { _ = recover() }()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -48,5 +47,5 @@
 			return 0
 		},
 	})
-	broken.Begin(node.RequestArrived{}, &daemon.Ticket{})
+	broken.StartRequest(node.RequestArrived{}, &daemon.PendingRequest{})
 }
--- a/internal/serve/daemon/streams.go
+++ b/internal/serve/daemon/streams.go
@@ -9,24 +9,25 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// Ticket is a caller's request in progress at its entry.
-type Ticket struct {
+// PendingRequest is a caller's request in progress at its entry, the daemon that received
+// it.
+type PendingRequest struct {
 	Inbox *relay.Inbox
-	// Call is what a plain service is sent; unset for model requests.
+	// Call is the request to a plain service. It is not set for model requests.
 	Call service.Call
 
-	stream ident.StreamID // present attempt; guarded by streamTable.mutex
+	stream ident.StreamID // current attempt; guarded by streamTable.mutex
 }
 
-// streamTable finds what belongs to a stream: tickets at the entry, windows and
-// chunk counts at the owner. Safe for concurrent use.
+// streamTable looks up what belongs to a stream: the pending request at the entry, and
+// the flow-control window at the owner of the engine. It is safe for concurrent use.
 type streamTable struct {
-	mutex   sync.RWMutex // guards tickets, windows and Ticket.stream
-	tickets map[ident.StreamID]*Ticket
+	mutex   sync.RWMutex // guards pending, windows and PendingRequest.stream
+	pending map[ident.StreamID]*PendingRequest
 	windows map[ident.StreamID]laneWindow
 }
 
-// laneWindow is a stream's window and the lane that its answer travels on.
+// laneWindow is a stream's window and the lane over which its answer is sent.
 type laneWindow struct {
 	*relay.Window
 	lane message.Lane
@@ -34,55 +35,55 @@
 
 func newStreamTable() *streamTable {
 	return &streamTable{
-		tickets: map[ident.StreamID]*Ticket{},
+		pending: map[ident.StreamID]*PendingRequest{},
 		windows: map[ident.StreamID]laneWindow{},
 	}
 }
 
-func (table *streamTable) addTicket(stream ident.StreamID, ticket *Ticket) {
+func (table *streamTable) addPending(stream ident.StreamID, pending *PendingRequest) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	ticket.stream = stream
-	table.tickets[stream] = ticket
+	pending.stream = stream
+	table.pending[stream] = pending
 }
 
-func (table *streamTable) ticket(stream ident.StreamID) (*Ticket, bool) {
+func (table *streamTable) findPending(stream ident.StreamID) (*PendingRequest, bool) {
 	table.mutex.RLock()
 	defer table.mutex.RUnlock()
-	ticket, found := table.tickets[stream]
-	return ticket, found
+	pending, found := table.pending[stream]
+	return pending, found
 }
 
-// streamOf returns the present attempt of a ticket.
-func (table *streamTable) streamOf(ticket *Ticket) ident.StreamID {
+// streamOf returns the stream of the current attempt of a request.
+func (table *streamTable) streamOf(pending *PendingRequest) ident.StreamID {
 	table.mutex.RLock()
 	defer table.mutex.RUnlock()
-	return ticket.stream
+	return pending.stream
 }
 
-// rebind moves a ticket to another attempt.
+// rebind moves a request to the stream of another attempt.
 func (table *streamTable) rebind(from, to ident.StreamID) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	ticket, found := table.tickets[from]
+	pending, found := table.pending[from]
 	if !found {
 		return
 	}
-	delete(table.tickets, from)
-	ticket.stream = to
-	table.tickets[to] = ticket
+	delete(table.pending, from)
+	pending.stream = to
+	table.pending[to] = pending
 }
 
-func (table *streamTable) takeTicket(stream ident.StreamID) (*Ticket, bool) {
+func (table *streamTable) removePending(stream ident.StreamID) (*PendingRequest, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	ticket, found := table.tickets[stream]
-	delete(table.tickets, stream)
-	return ticket, found
+	pending, found := table.pending[stream]
+	delete(table.pending, stream)
+	return pending, found
 }
 
-// window returns the stream's window, new when there is none.
-func (table *streamTable) window(stream ident.StreamID, lane message.Lane) *relay.Window {
+// ensureWindow returns the stream's window, and creates it if there is none.
+func (table *streamTable) ensureWindow(stream ident.StreamID, lane message.Lane) *relay.Window {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	window, found := table.windows[stream]
@@ -93,14 +94,15 @@
 	return window.Window
 }
 
-func (table *streamTable) knownWindow(stream ident.StreamID) (*relay.Window, bool) {
+func (table *streamTable) findWindow(stream ident.StreamID) (*relay.Window, bool) {
 	table.mutex.RLock()
 	defer table.mutex.RUnlock()
 	window, found := table.windows[stream]
 	return window.Window, found
 }
 
-// closeWindows ends the relays to an entry whose lane broke: no credit will come.
+// closeWindows ends the relays to an entry over a lost lane, on which no credit can arrive
+// any more.
 func (table *streamTable) closeWindows(entry ident.DaemonID, lane message.Lane) {
 	table.mutex.RLock()
 	defer table.mutex.RUnlock()
@@ -111,7 +113,7 @@
 	}
 }
 
-func (table *streamTable) dropWindow(stream ident.StreamID) {
+func (table *streamTable) removeWindow(stream ident.StreamID) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	delete(table.windows, stream)
