--- a/internal/serve/daemon/trace.go
+++ b/internal/serve/daemon/trace.go
@@ -8,26 +8,26 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// The lines below follow a request through the daemons: Request is the caller's
-// id, Stream that of an attempt, which engines know as the run id. They are made
-// at level Debug only, because there are several for each request.
+// The log lines of this file trace a request through the daemons: Request is the request
+// id that the caller sees, and Stream the id of an attempt, which engines know as the run
+// id. They have level Debug because there are several for each request.
 
-func (daemon *Daemon) debugs() bool {
+func (daemon *Daemon) debugEnabled() bool {
 	return daemon.options.Log.Enabled(context.Background(), slog.LevelDebug)
 }
 
-// logEnd notes the end of a request at its entry.
+// logEnd logs the end of a request at its entry.
 func (daemon *Daemon) logEnd(ended effect.Answer) {
-	if !daemon.debugs() {
+	if !daemon.debugEnabled() {
 		return
 	}
 	daemon.options.Log.Debug("request ended", "Request", ended.Record.Request, "Stream", ended.Stream.String(),
 		"Outcome", ended.Outcome.Kind, "Reason", ended.Outcome.Reason)
 }
 
-// logRun notes the end of an engine call at the engine's owner.
+// logRun logs the end of an engine call at the engine's owner.
 func (daemon *Daemon) logRun(start effect.StartRun, result owner.Result) {
-	if !daemon.debugs() {
+	if !daemon.debugEnabled() {
 		return
 	}
 	daemon.options.Log.Debug("run ended", "Request", start.Request.ID, "Stream", start.Stream.String(),
--- a/internal/serve/daemon/watch.go
+++ b/internal/serve/daemon/watch.go
@@ -11,71 +11,72 @@
 	"teaselmoor/internal/inner/link"
 )
 
-// ConfigKey is the value under which the manifest of the configuration is published.
+// ConfigKey is the key under which the configuration's manifest is published.
 const ConfigKey = "teaselmoor"
 
-// watchConfig reads the manifest as the node asked.
+// watchConfig waits for a new manifest as requested by the node, and queues the result.
 func (daemon *Daemon) watchConfig(ctx context.Context, watch effect.WatchConfig) {
 	var result rollout.WatchResult
 	value, changed, err := daemon.options.Platform.Watch(ctx, ConfigKey, watch.After, watch.Wait)
 	if err != nil {
 		result.Cause = err.Error()
-		daemon.options.Log.Warn("configuration watch", "Cause", err)
+		daemon.options.Log.Warn("reading the configuration manifest failed", "Cause", err)
 	} else {
 		result = rollout.WatchResult{Version: value.Version, Body: value.Body, Changed: changed}
 	}
-	daemon.enqueue(promptLane, node.ConfigWatched{Result: result})
+	daemon.enqueue(highPriority, node.ConfigWatched{Result: result})
 }
 
-// readConfigPart reads one part of a configuration.
+// readConfigPart reads one part of a configuration and queues the result.
 func (daemon *Daemon) readConfigPart(ctx context.Context, read effect.ReadConfigPart) {
 	value, err := daemon.options.Platform.Read(ctx, read.Name)
 	if err != nil {
-		daemon.options.Log.Warn("configuration part", "Part", read.Name, "Cause", err)
+		daemon.options.Log.Warn("reading a configuration part failed", "Part", read.Name, "Cause", err)
 	}
-	daemon.enqueue(promptLane, node.ConfigPartRead{Name: read.Name, Body: value.Body, Failed: err != nil})
+	daemon.enqueue(highPriority, node.ConfigPartRead{Name: read.Name, Body: value.Body, Failed: err != nil})
 }
 
-// readList reads the VM list at each interval.
-func (daemon *Daemon) readList(ctx context.Context) error {
-	return every(ctx, daemon.options.ListInterval, func() { daemon.readListOnce(ctx) })
+// pollVMList reads the VM list at every interval.
+func (daemon *Daemon) pollVMList(ctx context.Context) error {
+	return runEvery(ctx, daemon.options.VMListInterval, func() { daemon.readVMList(ctx) })
 }
 
-// readListOnce reads the VM list. Its age counts from before the call, since the
-// list may have changed while the answer was on its way.
-func (daemon *Daemon) readListOnce(ctx context.Context) {
+// readVMList reads the VM list and queues the result. The age of the list is counted from
+// before the call, since the list may have changed after the answer was sent.
+func (daemon *Daemon) readVMList(ctx context.Context) {
 	askedAt := daemon.options.Now()
-	daemon.list.mutex.Lock()
-	defer daemon.list.mutex.Unlock()
-	reading, err := daemon.options.Platform.VMs(ctx, daemon.list.tag)
+	daemon.vmList.mutex.Lock()
+	defer daemon.vmList.mutex.Unlock()
+	reading, err := daemon.options.Platform.ReadVMList(ctx, daemon.vmList.tag)
 	if err != nil {
-		daemon.options.Log.Warn("VM list", "Cause", err)
+		daemon.options.Log.Warn("reading the VM list failed", "Cause", err)
 		return
 	}
-	daemon.list.tag = reading.Tag
+	daemon.vmList.tag = reading.ETag
 	if reading.Changed {
-		daemon.list.view = members.NewView(reading.List, askedAt)
-		daemon.connect(daemon.list.view)
+		daemon.vmList.view = members.NewView(reading.List, askedAt)
+		daemon.connectPeers(daemon.vmList.view)
 	} else {
-		daemon.list.view = daemon.list.view.Renewed(askedAt)
+		daemon.vmList.view = daemon.vmList.view.WithReadAt(askedAt)
 	}
-	daemon.enqueue(promptLane, node.VMListRead{View: daemon.list.view})
+	daemon.enqueue(highPriority, node.VMListRead{View: daemon.vmList.view})
 }
 
-// listReader is the last reading of the VM list. Its mutex is held during a
-// read, so that two reads never overtake each other; nothing else waits for it.
-type listReader struct {
+// vmListState is the VM list as it was last read. Its mutex is held during a read, so that
+// the result of one read is never overwritten by that of an earlier one. Only reads of
+// the list wait for it.
+type vmListState struct {
 	mutex sync.Mutex // guards tag, view
 	tag   string
 	view  *members.View
 }
 
-// connect makes the listed daemons of the own region this daemon's peers, and
-// its contacts in other regions.
-func (daemon *Daemon) connect(view *members.View) {
+// connectPeers makes these daemons the peers of this daemon: the listed daemons of its
+// own region, and its contacts in other regions.
+func (daemon *Daemon) connectPeers(view *members.View) {
 	region := daemon.options.Node.Region
-	names := view.Present(func(vm *members.VM) bool { return vm.Region == region })
-	names = append(names, rollout.Contacts(view, daemon.Self(), region)...)
+	names := view.ListedDaemons(func(vm *members.VM) bool { return vm.Region == region })
+	names = append(names, rollout.CrossRegionPeers(view, daemon.Self(), region)...)
 	var peers []link.Peer
 	for _, name := range names {
 		vm, found := view.Daemon(name)
--- a/internal/serve/explain/explain.go
+++ b/internal/serve/explain/explain.go
@@ -1,10 +1,10 @@
-// Package explain renders the decision record of a refused request as sentences
-// for one of three audiences. It uses nothing but the record, because VMs keep
-// nothing and the daemon that decided may be gone.
+// Package explain renders the decision record of a refused request as text for one of three
+// audiences. It uses nothing but the record, because VMs have no persistent storage and the
+// daemon that made the decision may no longer exist.
 //
-// A member reads what happened and what to do. An employer, who runs the calling
-// systems, reads in addition which rule applied and whether to call again. A
-// regulator reads everything that the decision rested on.
+// For a member, the text states what happened and what to do. For an employer, who runs the
+// calling systems, it also states which rule applied and whether the request may be run more
+// than once. For a regulator, it states everything on which the decision was based.
 package explain
 
 import (
@@ -17,17 +17,17 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Audience is who an explanation is for.
+// Audience is the kind of reader for whom an explanation is written.
 type Audience string
 
-// Audiences, from the least detail to the most.
+// The audiences, in order of increasing detail.
 const (
 	Member    Audience = "member"
 	Employer  Audience = "employer"
 	Regulator Audience = "regulator"
 )
 
-// ParseAudience reads the name of an audience.
+// ParseAudience parses the name of an audience.
 func ParseAudience(text string) (Audience, error) {
 	switch audience := Audience(text); audience {
 	case Member, Employer, Regulator:
@@ -36,14 +36,14 @@
 	return "", errors.Errorf("audience %q: want member, employer or regulator", text)
 }
 
-// Render explains a record as paragraphs of plain text.
+// Render returns the explanation of a record in paragraphs of plain text.
 func Render(record outcome.Record, audience Audience) string {
-	paragraphs := []string{what(record), ran(record), next(record)}
+	paragraphs := []string{describeRequest(record), describeExecution(record), describeNextStep(record)}
 	if audience != Member {
-		paragraphs = append(paragraphs, rule(record), repeatable(record))
+		paragraphs = append(paragraphs, describeRule(record), describeRepeatability(record))
 	}
 	if audience == Regulator {
-		paragraphs = append(paragraphs, basis(record), home(record), candidates(record), attempts(record), code(record))
+		paragraphs = append(paragraphs, describeDecision(record), describeHome(record), describeCandidates(record), describeAttempts(record), describeCode(record))
 	}
 	var written []string
 	for _, paragraph := range paragraphs {
@@ -56,12 +56,13 @@
 
 const timeLayout = "2 January 2006 at 15:04:05 UTC"
 
-func at(millis clock.Millis) string {
+func formatTime(millis clock.Millis) string {
 	return millis.Time().Format(timeLayout)
 }
 
-func what(record outcome.Record) string {
-	text := fmt.Sprintf("On %s, request %s", at(record.At), record.Request)
+// describeRequest states the time of the request, what it addressed and how it ended.
+func describeRequest(record outcome.Record) string {
+	text := fmt.Sprintf("On %s, request %s", formatTime(record.At), record.Request)
 	if record.Target != "" {
 		text += " to " + record.Target
 	}
@@ -79,20 +80,22 @@
 	return text
 }
 
-// aboutKey are the reasons for which an earlier attempt under the same
-// idempotency key may have run: "not run" is then said of this attempt only.
-var aboutKey = map[outcome.Reason]bool{
+// earlierAttemptPossible contains the reasons with which an earlier attempt under the same
+// idempotency key may have run. With these, the text states only of this attempt that it was
+// not run.
+var earlierAttemptPossible = map[outcome.Reason]bool{
 	outcome.KeyConflict: true, outcome.KeyInProgress: true, outcome.KeyNotVouched: true, outcome.HomeUnreachable: true,
 	outcome.HomeFull: true,
 }
 
-func ran(record outcome.Record) string {
+// describeExecution states whether the request was run.
+func describeExecution(record outcome.Record) string {
 	if record.Outcome.Reason == outcome.AnswerNotKept {
 		return "The first attempt ran and was answered. The request was not run again."
 	}
 	switch record.Outcome.Kind {
 	case outcome.NotRun:
-		if aboutKey[record.Outcome.Reason] {
+		if earlierAttemptPossible[record.Outcome.Reason] {
 			return "This attempt was not run, and nothing was changed by it. An earlier attempt under the same " +
 				"idempotency key may have run; this answer does not say."
 		}
@@ -103,10 +106,11 @@
 	return ""
 }
 
-func next(record outcome.Record) string {
+// describeNextStep states whether and how to send the request again.
+func describeNextStep(record outcome.Record) string {
 	switch {
 	case record.Outcome.Retryable():
-		return fmt.Sprintf("The request may be sent again after %s.", span(record.Outcome.RetryAfter))
+		return fmt.Sprintf("The request may be sent again after %s.", formatDuration(record.Outcome.RetryAfter))
 	case record.Outcome.Kind == outcome.Unknown && !record.Repeatable:
 		return "Before the request is sent again, its effect should be looked up where it would be registered."
 	case record.Outcome.Kind == outcome.Unknown:
@@ -121,7 +125,9 @@
 	return ""
 }
 
-func rule(record outcome.Record) string {
+// describeRule states the caller, the rule that was applied, and the class and deadline of
+// the request.
+func describeRule(record outcome.Record) string {
 	caller := "The caller could not be identified"
 	if record.Caller != "" {
 		caller = "The caller was " + record.Caller
@@ -134,12 +140,13 @@
 	}
 	text := fmt.Sprintf("%s; rule %q was applied. The request was treated as %s.", caller, record.Rule, strings.ToLower(record.Class))
 	if record.Deadline != 0 {
-		text += fmt.Sprintf(" Its answer had to begin by %s.", at(record.Deadline))
+		text += fmt.Sprintf(" Its answer had to begin by %s.", formatTime(record.Deadline))
 	}
 	return text
 }
 
-func repeatable(record outcome.Record) string {
+// describeRepeatability states whether the request may be run more than once.
+func describeRepeatability(record outcome.Record) string {
 	if record.Rule == "" {
 		return ""
 	}
@@ -149,7 +156,8 @@
 	return "By the rule or the caller's wish, the request must not be run more than once."
 }
 
-func basis(record outcome.Record) string {
+// describeDecision states which daemon decided, and under which configuration.
+func describeDecision(record outcome.Record) string {
 	if record.ConfigVersion == 0 {
 		return fmt.Sprintf("The decision was made by daemon %s, which had no configuration.", record.Daemon)
 	}
@@ -157,21 +165,21 @@
 		record.Daemon, record.ConfigVersion)
 }
 
-// verdicts explain why an engine was chosen or passed over.
-var verdicts = map[outcome.Verdict]string{
-	outcome.Chosen:       "was chosen",
-	outcome.RankedLower:  "could have run the request, but another ranked higher",
-	outcome.EngineAway:   "was leaving service",
-	outcome.EngineSilent: "had not been heard of recently",
-	outcome.OwnerUnknown: "had no known owner",
-	outcome.Quarantined:  "was quarantined",
-	outcome.TriedBefore:  "had failed in an earlier attempt",
-	outcome.LoadsFail:    "had failed to load the adapter",
-	outcome.LoadsAdapter: "was asked to load the adapter",
+// verdictTexts states for each verdict why an engine was or was not chosen.
+var verdictTexts = map[outcome.Verdict]string{
+	outcome.Chosen:        "was chosen",
+	outcome.RankedLower:   "could have run the request, but another ranked higher",
+	outcome.EngineLeaving: "was leaving service",
+	outcome.EngineSilent:  "had not been heard of recently",
+	outcome.OwnerUnknown:  "had no known owner",
+	outcome.Quarantined:   "was quarantined",
+	outcome.TriedBefore:   "had failed in an earlier attempt",
+	outcome.LoadsFail:     "had failed to load the adapter",
+	outcome.LoadsAdapter:  "was asked to load the adapter",
 }
 
-// home tells who kept the record of the idempotency key.
-func home(record outcome.Record) string {
+// describeHome states which daemon kept the record of the idempotency key.
+func describeHome(record outcome.Record) string {
 	switch {
 	case record.Home == "":
 		return ""
@@ -181,37 +189,39 @@
 	return fmt.Sprintf("Leave to run it under its idempotency key was given by daemon %s; no second daemon held the record then.", record.Home)
 }
 
-func candidates(record outcome.Record) string {
+// describeCandidates lists the engines that were considered, with their verdicts.
+func describeCandidates(record outcome.Record) string {
 	if len(record.Candidates) == 0 {
 		return "No engine was considered."
 	}
 	lines := []string{"These engines were considered at the last placement:"}
 	for _, candidate := range record.Candidates {
-		verdict, known := verdicts[candidate.Verdict]
+		verdict, known := verdictTexts[candidate.Verdict]
 		if !known {
 			verdict = "was judged " + string(candidate.Verdict)
 		}
 		line := fmt.Sprintf("- %s %s", candidate.Engine, verdict)
 		if candidate.Age > 0 {
-			line += fmt.Sprintf(" (knowledge %s old)", span(candidate.Age))
+			line += fmt.Sprintf(" (knowledge %s old)", formatDuration(candidate.Age))
 		}
 		lines = append(lines, line+".")
 	}
 	return strings.Join(lines, "\n")
 }
 
-func attempts(record outcome.Record) string {
+// describeAttempts lists the attempts to run the request.
+func describeAttempts(record outcome.Record) string {
 	if len(record.Attempts) == 0 {
 		return "No attempt was made."
 	}
 	lines := []string{"These attempts were made:"}
 	for _, attempt := range record.Attempts {
-		lines = append(lines, "- "+attemptLine(attempt))
+		lines = append(lines, "- "+describeAttempt(attempt))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func attemptLine(attempt outcome.Attempt) string {
+func describeAttempt(attempt outcome.Attempt) string {
 	where := "at a service"
 	if attempt.Engine != "" {
 		where = fmt.Sprintf("at server %s", attempt.Engine)
@@ -230,15 +240,16 @@
 	if attempt.Stream != "" {
 		where += fmt.Sprintf(" (run %s)", attempt.Stream)
 	}
-	return fmt.Sprintf("%s, %s: %s; %s", at(attempt.At), where, sent, ended)
+	return fmt.Sprintf("%s, %s: %s; %s", formatTime(attempt.At), where, sent, ended)
 }
 
-func code(record outcome.Record) string {
+// describeCode states the outcome and the reason code.
+func describeCode(record outcome.Record) string {
 	return fmt.Sprintf("Outcome %s, reason code %s.", record.Outcome.Kind, record.Outcome.Reason)
 }
 
-// span writes a span of time in words.
-func span(millis clock.Millis) string {
+// formatDuration returns a duration in words, rounded up to its unit.
+func formatDuration(millis clock.Millis) string {
 	switch {
 	case millis < clock.Second:
 		return plural(int64(millis), "millisecond")
--- a/internal/serve/explain/explain_test.go
+++ b/internal/serve/explain/explain_test.go
@@ -38,14 +38,14 @@
 `, explain.Render(refusedRecord(), explain.Member))
 }
 
-func TestEmployerReadsTheRule(t *testing.T) {
+func TestEmployerTextHasRule(t *testing.T) {
 	text := explain.Render(refusedRecord(), explain.Employer)
 	require.Contains(t, text, `The caller was payroll-astur; rule "notices" was applied. The request was treated as routine.`)
 	require.Contains(t, text, "may be run more than once")
 	require.NotContains(t, text, "runner-1")
 }
 
-func TestRegulatorReadsEverything(t *testing.T) {
+func TestRegulatorTextHasAllDetails(t *testing.T) {
 	text := explain.Render(refusedRecord(), explain.Regulator)
 	for _, want := range []string{
 		"daemon entry-2 under version 12", "runner-1 had not been heard of recently (knowledge 12 seconds old)",
@@ -57,31 +57,32 @@
 	}
 }
 
-func TestUnknownIsNotCalledNotRun(t *testing.T) {
+func TestUnknownIsNotReportedAsNotRun(t *testing.T) {
 	record := refusedRecord()
-	record.Outcome, record.Repeatable = outcome.Lost(outcome.EngineLost), false
+	record.Outcome, record.Repeatable = outcome.MayHaveRun(outcome.EngineLost), false
 	text := explain.Render(record, explain.Member)
 	require.Contains(t, text, "It is not known whether the request ran.")
 	require.NotContains(t, text, "not run anywhere")
 	require.Contains(t, text, "looked up")
 }
 
-func TestAnsweredBefore(t *testing.T) {
+func TestAnswerNotKept(t *testing.T) {
 	record := refusedRecord()
-	record.Outcome, record.Repeatable = outcome.Lost(outcome.AnswerNotKept), false
+	record.Outcome, record.Repeatable = outcome.MayHaveRun(outcome.AnswerNotKept), false
 	text := explain.Render(record, explain.Member)
 	require.Contains(t, text, "The first attempt ran and was answered.")
 	require.NotContains(t, text, "not known whether")
 }
 
-func TestHomeIsNamed(t *testing.T) {
+func TestHomeIsNamedForRegulator(t *testing.T) {
 	record := refusedRecord()
 	record.Home, record.HomeCopied = "entry-4", true
 	require.Contains(t, explain.Render(record, explain.Regulator), "given by daemon entry-4, and a second daemon held the record")
 	require.NotContains(t, explain.Render(record, explain.Employer), "entry-4")
 }
 
-// TestEveryReasonHasASentence renders each code of the closed list.
+// TestEveryReasonHasASentence checks that the explanation of each reason code contains the
+// sentence of the reason.
 func TestEveryReasonHasASentence(t *testing.T) {
 	for _, reason := range outcome.Reasons() {
 		record := outcome.Record{Request: "r", Outcome: outcome.Refused(reason, 0)}
@@ -111,9 +112,9 @@
 	}
 }
 
-// TestKeyReasonsSpeakOfThisAttempt holds the sentences against what a home can
-// know: an earlier attempt may have run.
-func TestKeyReasonsSpeakOfThisAttempt(t *testing.T) {
+// TestKeyReasonsMentionEarlierAttempt checks that no explanation claims that the request was
+// not run at all if the key's home cannot know that: an earlier attempt may have run.
+func TestKeyReasonsMentionEarlierAttempt(t *testing.T) {
 	for _, reason := range []outcome.Reason{outcome.KeyConflict, outcome.KeyInProgress, outcome.KeyNotVouched, outcome.HomeUnreachable, outcome.HomeFull} {
 		record := outcome.Record{Request: "r", Outcome: outcome.Refused(reason, 0)}
 		text := explain.Render(record, explain.Member)
--- a/internal/serve/explain/parse.go
+++ b/internal/serve/explain/parse.go
@@ -8,9 +8,8 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Parse reads a record from a JSON text that carries one: the error body that
-// the caller got, an event of the audit trail or a line of the log, or the
-// record by itself.
+// Parse reads a decision record from JSON text. The text may be the record itself, an error
+// body as received by a caller, an event of the audit trail, or a line of the log.
 func Parse(text []byte) (outcome.Record, error) {
 	var carrier struct{ Record *outcome.Record }
 	if err := json.Unmarshal(text, &carrier); err != nil {
--- a/internal/serve/health/health_test.go
+++ b/internal/serve/health/health_test.go
@@ -10,7 +10,7 @@
 	"teaselmoor/internal/serve/health"
 )
 
-func ask(t testing.TB, handler http.HandlerFunc) *httptest.ResponseRecorder {
+func get(t testing.TB, handler http.HandlerFunc) *httptest.ResponseRecorder {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	handler(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody))
@@ -20,11 +20,11 @@
 func TestReadyFollowsTheDaemon(t *testing.T) {
 	isReady := false
 	handler := health.Ready(func() bool { return isReady })
-	require.Equal(t, http.StatusServiceUnavailable, ask(t, handler).Code)
+	require.Equal(t, http.StatusServiceUnavailable, get(t, handler).Code)
 	isReady = true
-	require.Equal(t, http.StatusOK, ask(t, handler).Code)
+	require.Equal(t, http.StatusOK, get(t, handler).Code)
 }
 
-func TestLiveWheneverItAnswers(t *testing.T) {
-	require.Equal(t, http.StatusOK, ask(t, health.Live).Code)
+func TestLiveAlwaysSucceeds(t *testing.T) {
+	require.Equal(t, http.StatusOK, get(t, health.Live).Code)
 }
--- a/internal/serve/operators/audit.go
+++ b/internal/serve/operators/audit.go
@@ -13,23 +13,23 @@
 	"teaselmoor/internal/decide/effect"
 )
 
-// Parameters of the audit call.
+// Query parameters of AuditPath.
 const (
-	AfterParameter  = "After"       // sequence
-	SinceParameter  = "SinceMillis" // milliseconds since the Unix epoch
+	AfterParameter  = "After"       // sequence number of an event; only later ones are returned
+	SinceParameter  = "SinceMillis" // time in milliseconds since the Unix epoch
 	KindParameter   = "Kind"
 	ObjectParameter = "Object"
 	LimitParameter  = "Limit"
-	WaitParameter   = "WaitMillis" // span to wait for the first event
+	WaitParameter   = "WaitMillis" // maximum time to wait for the first event
 )
 
 const (
 	maxWait  = clock.Minute
-	maxLimit = 1000 // events of one answer
+	maxLimit = 1000 // events in one answer
 )
 
-// Query writes a filter as the parameters of the audit call.
-func Query(filter audit.Filter, wait clock.Millis) url.Values {
+// AuditQuery returns the query parameters of AuditPath for a filter and a maximum wait.
+func AuditQuery(filter audit.Filter, wait clock.Millis) url.Values {
 	return url.Values{
 		AfterParameter:  {strconv.FormatUint(filter.After, 10)},
 		SinceParameter:  {strconv.FormatInt(int64(filter.Since), 10)},
@@ -40,9 +40,10 @@
 	}
 }
 
-// audit returns a part of the trail; with a wait it is a long poll.
-func (api *API) audit(writer http.ResponseWriter, request *http.Request) {
-	filter, wait, err := readQuery(request.URL.Query())
+// handleAudit returns the events of the audit trail that match the filter. With a wait, it
+// is a long poll.
+func (api *API) handleAudit(writer http.ResponseWriter, request *http.Request) {
+	filter, wait, err := parseAuditQuery(request.URL.Query())
 	if err != nil {
 		writeJSON(writer, http.StatusBadRequest, errorBody{Error: err.Error()})
 		return
@@ -56,7 +57,8 @@
 	writeJSON(writer, http.StatusOK, api.trail.Wait(ctx, filter))
 }
 
-func readQuery(query url.Values) (audit.Filter, clock.Millis, error) {
+// parseAuditQuery reads the filter and the maximum wait from the query parameters.
+func parseAuditQuery(query url.Values) (audit.Filter, clock.Millis, error) {
 	numbers := map[string]int64{}
 	for _, name := range []string{AfterParameter, SinceParameter, LimitParameter, WaitParameter} {
 		text := query.Get(name)
@@ -80,12 +82,12 @@
 	return filter, clock.Millis(numbers[WaitParameter]), nil
 }
 
-// record returns the decision record of a refused request.
-func (api *API) record(writer http.ResponseWriter, request *http.Request) {
-	name := request.PathValue("request")
-	record, found := api.trail.Record(name)
+// handleRecord returns the decision record of a refused request.
+func (api *API) handleRecord(writer http.ResponseWriter, request *http.Request) {
+	requestID := request.PathValue("request")
+	record, found := api.trail.FindRecord(requestID)
 	if !found {
-		writeJSON(writer, http.StatusNotFound, errorBody{Error: "no record of a refusal of request " + name + " is held here"})
+		writeJSON(writer, http.StatusNotFound, errorBody{Error: "no record of a refusal of request " + requestID + " is held here"})
 		return
 	}
 	writeJSON(writer, http.StatusOK, record)
--- a/internal/serve/operators/operators.go
+++ b/internal/serve/operators/operators.go
@@ -1,6 +1,6 @@
-// Package operators is the API for operators: health, readiness, status, the
-// audit trail, decision records and metrics. It only reads; no call acts on
-// anything, because operators act through the published configuration.
+// Package operators implements the API for operators: health, readiness, status, the audit
+// trail, decision records, metrics and profiles. The API is read-only, because operators
+// make changes through the published configuration.
 package operators
 
 import (
@@ -21,42 +21,42 @@
 	ReadyPath   = "/ready"
 	StatusPath  = "/status"
 	AuditPath   = "/audit"
-	RecordsPath = "/records/" // and a request id
+	RecordsPath = "/records/" // followed by a request id
 	MetricsPath = "/metrics"
 	ProfilePath = "/debug/pprof/"
 )
 
-// Options say what the API offers.
+// Options selects the optional parts of the API.
 type Options struct {
-	// Profiling serves profiles of the process.
+	// Profiling enables the profiles of the process at ProfilePath.
 	Profiling bool
 }
 
-// Daemon is what the API shows.
+// Daemon is the part of a daemon that the API uses.
 type Daemon interface {
 	Ready() bool
 	Status() daemon.Status
 }
 
-// API serves operators.
+// API serves the requests of operators.
 type API struct {
 	daemon  Daemon
 	trail   *audit.Trail
 	metrics *metrics.Metrics
-	// observer holds what the daemon counts into the metrics.
+	// observer updates the daemon's metrics and holds the gauges of its steps.
 	observer *metrics.Observer
 }
 
-// New returns the API's handler.
+// New returns the handler of the API.
 func New(serving Daemon, trail *audit.Trail, counted *metrics.Metrics, observer *metrics.Observer, options Options) http.Handler {
 	api := &API{daemon: serving, trail: trail, metrics: counted, observer: observer}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+HealthPath, health.Live)
 	mux.HandleFunc("GET "+ReadyPath, health.Ready(api.daemon.Ready))
-	mux.HandleFunc("GET "+StatusPath, api.status)
-	mux.HandleFunc("GET "+AuditPath, api.audit)
-	mux.HandleFunc("GET "+RecordsPath+"{request}", api.record)
-	mux.HandleFunc("GET "+MetricsPath, api.counters)
+	mux.HandleFunc("GET "+StatusPath, api.handleStatus)
+	mux.HandleFunc("GET "+AuditPath, api.handleAudit)
+	mux.HandleFunc("GET "+RecordsPath+"{request}", api.handleRecord)
+	mux.HandleFunc("GET "+MetricsPath, api.handleMetrics)
 	if options.Profiling {
 		addProfiles(mux)
 	}
@@ -71,13 +71,13 @@
 	mux.HandleFunc(ProfilePath+"trace", pprof.Trace)
 }
 
-func (api *API) status(writer http.ResponseWriter, _ *http.Request) {
+func (api *API) handleStatus(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, api.daemon.Status())
 }
 
-func (api *API) counters(writer http.ResponseWriter, _ *http.Request) {
+func (api *API) handleMetrics(writer http.ResponseWriter, _ *http.Request) {
 	status := api.daemon.Status()
-	gauges := metrics.StatusGauges(status.Status, metrics.Standing{
+	gauges := metrics.StatusGauges(status.Status, metrics.RuntimeStatus{
 		Ready: status.Ready, Peers: len(status.Peers),
 		ConfigAge: status.ConfigAge, ConfigContactAge: status.ConfigContactAge,
 		LinesDropped: api.trail.Dropped(),
@@ -87,7 +87,7 @@
 	_ = api.metrics.Write(writer, gauges)
 }
 
-// errorBody is the answer to a call that failed.
+// errorBody is the body of an error answer.
 type errorBody struct {
 	Error string
 }
--- a/internal/serve/operators/operators_test.go
+++ b/internal/serve/operators/operators_test.go
@@ -17,7 +17,7 @@
 	"teaselmoor/internal/serve/operators"
 )
 
-// fakeDaemon shows a status.
+// fakeDaemon returns a fixed status.
 type fakeDaemon struct{ status daemon.Status }
 
 func (fake *fakeDaemon) Ready() bool           { return fake.status.Ready }
@@ -48,7 +48,9 @@
 	require.Contains(t, get(api, operators.MetricsPath).Body.String(), "teaselmoor_ready 1\n")
 }
 
-func TestStatusHasNamesOfItsOwn(t *testing.T) {
+// TestStatusSurvivesJSON checks that no field of the status is lost in JSON because its name
+// clashes with one of an embedded struct.
+func TestStatusSurvivesJSON(t *testing.T) {
 	fake := &fakeDaemon{status: daemon.Status{Status: node.Status{Daemon: "entry-1", ConfigVersion: 4}, ConfigAge: 7}}
 	var status daemon.Status
 	require.NoError(t, json.Unmarshal(get(newAPI(fake, newTrail()), operators.StatusPath).Body.Bytes(), &status))
@@ -61,8 +63,8 @@
 	for _, bad := range []string{"After=x", "After=-1", "Limit=many", "WaitMillis=1s", "SinceMillis=today"} {
 		require.Equal(t, http.StatusBadRequest, get(api, operators.AuditPath+"?"+bad).Code, bad)
 	}
-	trail.Change(effect.Audit{Kind: effect.AdapterLoaded, Object: "runner-1"})
-	trail.Change(effect.Audit{Kind: effect.LoadFailed, Object: "runner-2"})
+	trail.AddChange(effect.Audit{Kind: effect.AdapterLoaded, Object: "runner-1"})
+	trail.AddChange(effect.Audit{Kind: effect.LoadFailed, Object: "runner-2"})
 	for query, want := range map[string]int{"": 2, "?Kind=LoadFailed": 1, "?Object=runner": 2, "?After=1": 1, "?Limit=1": 1, "?WaitMillis=1&After=2": 0} {
 		var page audit.Page
 		require.NoError(t, json.Unmarshal(get(api, operators.AuditPath+query).Body.Bytes(), &page))
@@ -70,8 +72,8 @@
 	}
 }
 
-// TestNothingCanBeChanged sends every method that could act.
-func TestNothingCanBeChanged(t *testing.T) {
+// TestAPIIsReadOnly sends requests with every method that could make a change.
+func TestAPIIsReadOnly(t *testing.T) {
 	api := newAPI(&fakeDaemon{}, newTrail())
 	for _, path := range []string{operators.HealthPath, operators.StatusPath, operators.AuditPath, operators.RecordsPath + "x"} {
 		for _, method := range []string{http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodPatch} {
--- a/internal/serve/relay/inbox.go
+++ b/internal/serve/relay/inbox.go
@@ -8,54 +8,57 @@
 	"teaselmoor/internal/decide/message"
 )
 
-// Item is one part of an answer on its way to the caller. Exactly one field
-// group is set: a head, a payload, or the final answer.
+// Item is a part of an answer. Either Status and ContentType are set, or Payload, or Final.
 type Item struct {
-	// Status and ContentType form the head.
+	// Status and ContentType are the head of the answer.
 	Status      int
 	ContentType string
-	Payload     []byte
-	Final       *effect.Answer
+	// Payload is one chunk of the answer.
+	Payload []byte
+	// Final ends the answer.
+	Final *effect.Answer
 }
 
-// Inbox holds what has arrived for one request and was not yet read by its
-// caller's handler. The sender's window bounds it. Safe for concurrent use.
+// Inbox buffers the answer to one request between its arrival at the entry and its reading
+// by the HTTP handler that serves the caller. Its size is bounded by the sender's window.
+// It is safe for concurrent use.
 type Inbox struct {
-	mutex    sync.Mutex // guards all but ready
+	mutex    sync.Mutex // guards all fields except ready
 	items    []Item
-	chunks   uint64
-	started  bool
-	consumed int
-	closed   bool
+	chunks   uint64 // accepted chunks, including those already read
+	started  bool   // the head has arrived
+	consumed int    // bytes for which no credit has been granted yet
+	closed   bool   // the final item has been added
 	grant    func(count int)
-	ready    chan struct{} // holds a token while items is not empty
-	kept     *message.StoredAnswer
+	ready    chan struct{} // has a value when items may have been added
+	content  *message.StoredAnswer
 }
 
-// NewInbox returns an empty inbox. With keep it holds on to the whole content,
-// for the record of an idempotency key.
-func NewInbox(keep bool) *Inbox {
+// NewInbox returns an empty inbox. With keepContent it keeps a copy of the whole answer, for
+// the record of an idempotency key.
+func NewInbox(keepContent bool) *Inbox {
 	inbox := &Inbox{ready: make(chan struct{}, 1)}
-	if keep {
-		inbox.kept = &message.StoredAnswer{}
+	if keepContent {
+		inbox.content = &message.StoredAnswer{}
 	}
 	return inbox
 }
 
-// Content returns a copy of what has arrived, or nil when it is not kept or
-// nothing arrived.
+// Content returns a copy of what has arrived of the answer, or nil if the content is not kept or
+// nothing has arrived.
 func (inbox *Inbox) Content() *message.StoredAnswer {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
-	if inbox.kept == nil || !inbox.started {
+	if inbox.content == nil || !inbox.started {
 		return nil
 	}
-	content := *inbox.kept
+	content := *inbox.content
 	return &content
 }
 
-// Bind sets where credits go; it changes when an attempt moves to another owner.
-func (inbox *Inbox) Bind(grant func(count int)) {
+// SetGrant sets the function that grants credits to the sender. The sender changes when an
+// attempt moves to another owner.
+func (inbox *Inbox) SetGrant(grant func(count int)) {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
 	inbox.grant = grant
@@ -68,14 +71,15 @@
 	return inbox.started
 }
 
-// Chunks returns the number of chunks taken in.
+// Chunks returns the number of chunks that have been accepted.
 func (inbox *Inbox) Chunks() uint64 {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
 	return inbox.chunks
 }
 
-// PutHead adds the head; a second one, after a resume, is dropped.
+// PutHead adds the head of the answer. A second head, as it arrives after a resume, is
+// dropped.
 func (inbox *Inbox) PutHead(status int, contentType string) {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
@@ -83,15 +87,15 @@
 		return
 	}
 	inbox.started = true
-	if inbox.kept != nil {
-		inbox.kept.Status, inbox.kept.ContentType = status, contentType
+	if inbox.content != nil {
+		inbox.content.Status, inbox.content.ContentType = status, contentType
 	}
-	inbox.put(Item{Status: status, ContentType: contentType})
+	inbox.addItem(Item{Status: status, ContentType: contentType})
 }
 
-// PutChunk adds a chunk if it is the next one, and reports whether it was:
-// after a resume chunks may come twice, and those of an attempt whose head was
-// not let through never count.
+// PutChunk adds a chunk if it is the next one, and reports whether it was added. After a
+// resume, chunks may arrive twice. The chunks of an attempt whose head was not forwarded
+// are never added.
 func (inbox *Inbox) PutChunk(index uint64, payload []byte) bool {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
@@ -99,12 +103,12 @@
 		return false
 	}
 	inbox.chunks++
-	inbox.keep(payload)
-	inbox.put(Item{Payload: payload})
+	inbox.appendContent(payload)
+	inbox.addItem(Item{Payload: payload})
 	return true
 }
 
-// PutFinal adds the end; nothing is taken in after it.
+// PutFinal adds the end of the answer. Nothing is accepted after it.
 func (inbox *Inbox) PutFinal(answer effect.Answer) {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
@@ -112,23 +116,23 @@
 		return
 	}
 	inbox.closed = true
-	inbox.put(Item{Final: &answer})
+	inbox.addItem(Item{Final: &answer})
 }
 
-// keep adds a chunk to the kept content, in the form of the caller's wire: a
-// streamed answer as its events, another as it is.
-func (inbox *Inbox) keep(payload []byte) {
-	if inbox.kept == nil {
+// appendContent adds a chunk to the kept content as the caller receives it: for a streamed
+// answer as a server-sent event, otherwise unchanged.
+func (inbox *Inbox) appendContent(payload []byte) {
+	if inbox.content == nil {
 		return
 	}
-	if !IsStream(inbox.kept.ContentType) {
-		inbox.kept.Body = append(inbox.kept.Body, payload...)
+	if !IsStream(inbox.content.ContentType) {
+		inbox.content.Body = append(inbox.content.Body, payload...)
 		return
 	}
-	inbox.kept.Body = AppendEvent(inbox.kept.Body, payload)
+	inbox.content.Body = AppendEvent(inbox.content.Body, payload)
 }
 
-func (inbox *Inbox) put(item Item) {
+func (inbox *Inbox) addItem(item Item) {
 	inbox.items = append(inbox.items, item)
 	select {
 	case inbox.ready <- struct{}{}:
@@ -136,10 +140,10 @@
 	}
 }
 
-// Next waits for items and returns all that have arrived, in order.
+// Next waits until there are items, and returns all items in order of arrival.
 func (inbox *Inbox) Next(ctx context.Context) ([]Item, error) {
 	for {
-		if items := inbox.take(); len(items) > 0 {
+		if items := inbox.takeItems(); len(items) > 0 {
 			return items, nil
 		}
 		select {
@@ -150,7 +154,7 @@
 	}
 }
 
-func (inbox *Inbox) take() []Item {
+func (inbox *Inbox) takeItems() []Item {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
 	items := inbox.items
@@ -158,13 +162,13 @@
 	return items
 }
 
-// Consumed tells the inbox that the caller has been written that many bytes,
-// and gives credit back in steps.
+// Consumed is called after count bytes have been written to the caller. It grants credit
+// for consumed bytes once there are at least minCreditBytes of them.
 func (inbox *Inbox) Consumed(count int) {
 	inbox.mutex.Lock()
 	inbox.consumed += count
 	due := 0
-	if inbox.consumed >= creditStep {
+	if inbox.consumed >= minCreditBytes {
 		due, inbox.consumed = inbox.consumed, 0
 	}
 	grant := inbox.grant
--- a/internal/serve/relay/window.go
+++ b/internal/serve/relay/window.go
@@ -1,6 +1,6 @@
-// Package relay moves the answers of streams with flow control per stream: the
-// side that talks to the engine holds a window, the side that talks to the
-// caller an inbox, and credits flow back as the caller reads.
+// Package relay implements flow control for the answers that are relayed between daemons,
+// separately for each stream. The owner of the engine sends within a Window. The entry
+// buffers the answer in an Inbox and returns credits as the caller reads.
 package relay
 
 import (
@@ -10,46 +10,47 @@
 	"github.com/pkg/errors"
 )
 
-// WindowBytes is what a stream may have in flight beyond what its caller read.
+// WindowBytes is the number of bytes that may be in flight on a stream, which are those
+// sent but not yet consumed by the caller.
 const WindowBytes = 256 << 10
 
-// creditStep is the number of consumed bytes that are given back at once.
-const creditStep = WindowBytes / 4
+// minCreditBytes is the minimum number of bytes that are granted in one credit.
+const minCreditBytes = WindowBytes / 4
 
-// Window is the sending side's allowance of one stream. Safe for concurrent use.
+// Window limits what the sender of a stream may send. It is safe for concurrent use.
 type Window struct {
-	mutex  sync.Mutex // guards all but more
-	free   int
-	closed bool
-	reset  bool
-	more   chan struct{} // holds a token after a grant or the close
+	mutex   sync.Mutex // guards all fields except changed
+	free    int        // bytes; negative after a chunk larger than the free bytes
+	closed  bool
+	reset   bool          // closed by a reset from the entry
+	changed chan struct{} // has a value after a grant or the close
 }
 
-// ErrClosed ends a relay that no credit will ever reach.
-var ErrClosed = errors.New("the stream's entry is gone")
+// ErrClosed is returned for a closed window, which can receive no more credit.
+var ErrClosed = errors.New("relay window closed: the entry ended the stream or its connection was lost")
 
-// NewWindow returns a full window.
+// NewWindow returns a window with WindowBytes free bytes.
 func NewWindow() *Window {
-	return &Window{free: WindowBytes, more: make(chan struct{}, 1)}
+	return &Window{free: WindowBytes, changed: make(chan struct{}, 1)}
 }
 
-// Take waits until the window is open and takes count bytes. A chunk larger
-// than what is free passes and leaves the window in debt, so that no chunk size
-// can block a stream for good.
-func (window *Window) Take(ctx context.Context, count int) error {
+// Acquire waits until the window has free bytes and uses count of them. A chunk larger than
+// the free bytes is admitted and makes their number negative, so that a large chunk cannot
+// block a stream forever.
+func (window *Window) Acquire(ctx context.Context, count int) error {
 	for {
-		if taken, err := window.tryTake(count); taken || err != nil {
+		if taken, err := window.tryAcquire(count); taken || err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-window.more:
+		case <-window.changed:
 		}
 	}
 }
 
-func (window *Window) tryTake(count int) (bool, error) {
+func (window *Window) tryAcquire(count int) (bool, error) {
 	window.mutex.Lock()
 	defer window.mutex.Unlock()
 	if window.closed {
@@ -62,8 +63,8 @@
 	return true, nil
 }
 
-// Close ends the window: Take fails from now on. With reset, the entry has said
-// that it knows nothing of the stream any more.
+// Close closes the window: Acquire fails from now on. Reset is set if the entry has
+// reported that it no longer knows the stream.
 func (window *Window) Close(reset bool) {
 	window.mutex.Lock()
 	window.closed = true
@@ -72,14 +73,14 @@
 	window.signal()
 }
 
-// Reset reports whether the entry has disowned the stream.
-func (window *Window) Reset() bool {
+// WasReset reports whether the window was closed by a reset from the entry.
+func (window *Window) WasReset() bool {
 	window.mutex.Lock()
 	defer window.mutex.Unlock()
 	return window.reset
 }
 
-// Grant gives bytes back.
+// Grant adds count bytes of credit to the window.
 func (window *Window) Grant(count int) {
 	window.mutex.Lock()
 	window.free += count
@@ -89,7 +90,7 @@
 
 func (window *Window) signal() {
 	select {
-	case window.more <- struct{}{}:
+	case window.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/serve/relay/window_test.go
+++ b/internal/serve/relay/window_test.go
@@ -9,19 +9,19 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// TestWindowBoundsSender lets a sender run against a reader that reads nothing,
-// then one that reads: what is in flight never exceeds the window by more than
-// the chunk that passed last.
+// TestWindowBoundsSender runs a sender against a reader that first reads nothing and then
+// reads everything. The bytes in flight must never exceed the window by more than one
+// chunk.
 func TestWindowBoundsSender(t *testing.T) {
 	const chunk = 1000
 	window, inbox := relay.NewWindow(), relay.NewInbox(false)
-	inbox.Bind(window.Grant)
+	inbox.SetGrant(window.Grant)
 	inbox.PutHead(200, "text/event-stream")
 	idle, cancel := context.WithCancel(t.Context())
 	cancel()
 	inFlight, sent := 0, uint64(0)
 	send := func() {
-		for window.Take(idle, chunk) == nil {
+		for window.Acquire(idle, chunk) == nil {
 			require.True(t, inbox.PutChunk(sent, make([]byte, chunk)))
 			sent++
 			inFlight += chunk
@@ -40,22 +40,23 @@
 		inbox.Consumed(read)
 		before := sent
 		send()
-		require.Greater(t, sent, before, "credit lets the sender go on")
+		require.Greater(t, sent, before, "credit allows the sender to continue")
 	}
 }
 
-// TestWindowClosed ends a sender that waits for credit that never comes.
+// TestWindowClosed closes the window while a sender waits for credit.
 func TestWindowClosed(t *testing.T) {
 	window := relay.NewWindow()
-	require.NoError(t, window.Take(t.Context(), relay.WindowBytes))
+	require.NoError(t, window.Acquire(t.Context(), relay.WindowBytes))
 	ended := make(chan error, 1)
-	go func() { ended <- window.Take(t.Context(), 1) }()
+	go func() { ended <- window.Acquire(t.Context(), 1) }()
 	window.Close(true)
 	require.ErrorIs(t, <-ended, relay.ErrClosed)
-	require.True(t, window.Reset())
+	require.True(t, window.WasReset())
 }
 
-// TestInboxDropsLateChunks takes in each chunk once and nothing after the end.
+// TestInboxDropsLateChunks checks that an inbox accepts no chunk before the head, each chunk
+// once, and only the next one.
 func TestInboxDropsLateChunks(t *testing.T) {
 	inbox := relay.NewInbox(false)
 	require.False(t, inbox.PutChunk(0, []byte("a")), "before the head")
--- a/internal/standin/command/demo.go
+++ b/internal/standin/command/demo.go
@@ -192,7 +192,7 @@
 	request.Header.Set("Authorization", "Bearer "+step.apiKey)
 	request.Header.Set("Content-Type", "application/json")
 	if step.keyed {
-		request.Header.Set(callers.KeyHeader, uuid.Must(uuid.NewV7()).String())
+		request.Header.Set(callers.IdempotencyKeyHeader, uuid.Must(uuid.NewV7()).String())
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
