--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -47,9 +47,9 @@
 	return time.UnixMilli(int64(millis)).UTC()
 }
 
-// Steady returns a source that reads the monotonic clock, so that differences between its
+// Monotonic returns a source that reads the monotonic clock, so that differences between its
 // times stay right when the wall clock is set. It starts at the wall clock's time.
-func Steady() Source {
+func Monotonic() Source {
 	start := time.Now()
 	startMillis := Millis(start.UnixMilli())
 	return func() Millis { return startMillis + FromDuration(time.Since(start)) }
--- a/internal/base/lifecycle/lifecycle.go
+++ b/internal/base/lifecycle/lifecycle.go
@@ -75,9 +75,9 @@
 	return next, ok
 }
 
-// Must sets *state to the next state. It panics if the event is not allowed in *state,
+// MustApply sets *state to the next state. It panics if the event is not allowed in *state,
 // because callers have checked that it is.
-func (table *Table[State, Event]) Must(state *State, event Event) {
+func (table *Table[State, Event]) MustApply(state *State, event Event) {
 	next, ok := table.next[*state][event]
 	if !ok {
 		panic(fmt.Sprintf("lifecycle %s: event %s is not allowed in state %s", table.name, event, *state))
--- a/internal/base/logpipe/logpipe.go
+++ b/internal/base/logpipe/logpipe.go
@@ -62,10 +62,10 @@
 // the reader of the log does not read.
 var ErrTimeout = errors.New("queued log lines were not written within the timeout and are lost")
 
-// Finish waits for the result of Run, whose context is done, on the channel written.
+// Wait waits for the result of Run, whose context is done, on the channel written.
 // The wait ends after the timeout even if the reader of the log does not read, because
 // the process must end within its grace period.
-func Finish(written <-chan error, timeout clock.Millis) error {
+func Wait(written <-chan error, timeout clock.Millis) error {
 	select {
 	case err := <-written:
 		return err
--- a/internal/base/logpipe/logpipe_test.go
+++ b/internal/base/logpipe/logpipe_test.go
@@ -58,9 +58,9 @@
 	_, err := pipe.Write([]byte("line\n"))
 	require.NoError(t, err)
 	cancel()
-	require.ErrorIs(t, logpipe.Finish(runResult, 10), logpipe.ErrTimeout)
+	require.ErrorIs(t, logpipe.Wait(runResult, 10), logpipe.ErrTimeout)
 	require.NoError(t, reader.Close())
-	require.ErrorIs(t, logpipe.Finish(runResult, 60_000), io.ErrClosedPipe)
+	require.ErrorIs(t, logpipe.Wait(runResult, 60_000), io.ErrClosedPipe)
 }
 
 // BenchmarkLine measures the cost of logging one line, including the JSON encoding.
--- a/internal/inner/link/conn.go
+++ b/internal/inner/link/conn.go
@@ -133,7 +133,7 @@
 func (conn *conn) readLoop(handler Handler) error {
 	conn.socket.SetReadLimit(maxMessageBytes)
 	extendDeadline := func() error {
-		return conn.socket.SetReadDeadline(time.Now().Add(conn.timing().Silence.Duration()))
+		return conn.socket.SetReadDeadline(time.Now().Add(conn.timing().SilenceTimeout.Duration()))
 	}
 	conn.socket.SetPongHandler(func(string) error { return extendDeadline() })
 	conn.socket.SetPingHandler(func(data string) error {
@@ -157,7 +157,7 @@
 // writeLoop writes pending frames and pings until the connection fails or the context is
 // done.
 func (conn *conn) writeLoop(ctx context.Context) error {
-	ping := time.NewTimer(conn.timing().Ping.Duration())
+	ping := time.NewTimer(conn.timing().PingInterval.Duration())
 	defer ping.Stop()
 	spare := &bytes.Buffer{}
 	for {
@@ -166,14 +166,14 @@
 			conn.shutDown(spare)
 			return nil
 		case <-ping.C:
-			ping.Reset(conn.timing().Ping.Duration())
-			err := conn.socket.WriteControl(websocket.PingMessage, nil, time.Now().Add(conn.timing().Silence.Duration()))
+			ping.Reset(conn.timing().PingInterval.Duration())
+			err := conn.socket.WriteControl(websocket.PingMessage, nil, time.Now().Add(conn.timing().SilenceTimeout.Duration()))
 			if err != nil {
 				return errors.Wrap(err, "ping")
 			}
 		case <-conn.wake:
 			batch := conn.takePending(spare)
-			if err := conn.writeBatch(batch, conn.timing().Silence); err != nil {
+			if err := conn.writeBatch(batch, conn.timing().SilenceTimeout); err != nil {
 				return err
 			}
 			spare = recycle(batch)
--- a/internal/inner/link/link_test.go
+++ b/internal/inner/link/link_test.go
@@ -76,7 +76,7 @@
 func newEndpoint(t *testing.T, name ident.DaemonID) *endpoint {
 	t.Helper()
 	endpoint := &endpoint{recorder: newRecorder(), tasks: task.New(context.Background()), reaped: make(chan struct{})}
-	timing := link.Timing{Ping: 50 * clock.Millisecond, Silence: 500 * clock.Millisecond, Redial: 20 * clock.Millisecond}
+	timing := link.Timing{PingInterval: 50 * clock.Millisecond, SilenceTimeout: 500 * clock.Millisecond, RedialInterval: 20 * clock.Millisecond}
 	endpoint.set = link.New(endpoint.tasks, name, endpoint.recorder, timing, slog.New(slog.DiscardHandler))
 	endpoint.tasks.Go("until stopped", func(ctx context.Context) error { <-ctx.Done(); return nil })
 	go func() {
@@ -107,7 +107,7 @@
 		proxy.Wait()
 		server.Close()
 	})
-	dialing.set.Connect([]link.Peer{{Name: "b", Address: proxy.Address()}})
+	dialing.set.SetPeers([]link.Peer{{Name: "b", Address: proxy.Address()}})
 	for lane := range message.LaneCount {
 		probe := ident.StreamID{Daemon: "probe", Sequence: uint64(lane)}
 		waitUntil(t, func() bool {
@@ -162,6 +162,6 @@
 	timing := link.DefaultTiming()
 	require.Equal(t, timing, timing.Scaled(18), "the timing of the settings must not change with seven daemons")
 	large := timing.Scaled(231)
-	require.LessOrEqual(t, float64(231)/large.Ping.Seconds(), 20.0)
-	require.GreaterOrEqual(t, large.Silence, 3*large.Ping)
+	require.LessOrEqual(t, float64(231)/large.PingInterval.Seconds(), 20.0)
+	require.GreaterOrEqual(t, large.SilenceTimeout, 3*large.PingInterval)
 }
--- a/internal/inner/link/set.go
+++ b/internal/inner/link/set.go
@@ -52,18 +52,18 @@
 
 // Timing contains the intervals and timeouts of the inner protocol.
 type Timing struct {
-	// Ping is the interval between two pings on a connection.
-	Ping clock.Millis
-	// Silence is the time without any message, ping or pong after which a connection counts
+	// PingInterval is the interval between two pings on a connection.
+	PingInterval clock.Millis
+	// SilenceTimeout is the time without any message, ping or pong after which a connection counts
 	// as lost.
-	Silence clock.Millis
-	// Redial is the time between two attempts to connect.
-	Redial clock.Millis
+	SilenceTimeout clock.Millis
+	// RedialInterval is the time between two attempts to connect.
+	RedialInterval clock.Millis
 }
 
 // DefaultTiming returns the timing used if the settings do not set it.
 func DefaultTiming() Timing {
-	return Timing{Ping: clock.Second, Silence: 3 * clock.Second, Redial: 250 * clock.Millisecond}
+	return Timing{PingInterval: clock.Second, SilenceTimeout: 3 * clock.Second, RedialInterval: 250 * clock.Millisecond}
 }
 
 // minPingSpacing is the minimum average time between two pings of a daemon, over all its
@@ -78,8 +78,8 @@
 
 // Scaled returns the timing for the given number of connections.
 func (timing Timing) Scaled(connections int) Timing {
-	timing.Ping = max(timing.Ping, minPingSpacing*clock.Millis(connections))
-	timing.Silence = max(timing.Silence, minPingsPerTimeout*timing.Ping)
+	timing.PingInterval = max(timing.PingInterval, minPingSpacing*clock.Millis(connections))
+	timing.SilenceTimeout = max(timing.SilenceTimeout, minPingsPerTimeout*timing.PingInterval)
 	return timing
 }
 
@@ -121,10 +121,10 @@
 	}
 }
 
-// Connect replaces the list of peers. It dials the peers whose names sort after that of
+// SetPeers replaces the list of peers. It dials the peers whose names sort after that of
 // this daemon. It closes the connections that it dialed to peers that are no longer listed
 // or whose address has changed.
-func (set *Set) Connect(peers []Peer) {
+func (set *Set) SetPeers(peers []Peer) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	wanted := make(map[ident.DaemonID]string, len(peers))
@@ -161,7 +161,7 @@
 	query := url.Values{"From": {string(set.self)}, "Lane": {strconv.Itoa(int(lane))}}
 	target := fmt.Sprintf("ws://%s%s?%s", peer.Address, Path, query.Encode())
 	dialer := websocket.Dialer{
-		HandshakeTimeout: set.timing.Silence.Duration(), ReadBufferSize: bufferSize, WriteBufferSize: bufferSize,
+		HandshakeTimeout: set.timing.SilenceTimeout.Duration(), ReadBufferSize: bufferSize, WriteBufferSize: bufferSize,
 	}
 	for ctx.Err() == nil {
 		socket, response, err := dialer.DialContext(ctx, target, nil)
@@ -173,7 +173,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(set.timing.Redial.Duration()):
+		case <-time.After(set.timing.RedialInterval.Duration()):
 		}
 	}
 }
@@ -274,8 +274,8 @@
 	})
 }
 
-// Peers returns the daemons whose control lane is connected.
-func (set *Set) Peers() []ident.DaemonID {
+// ConnectedPeers returns the daemons whose control lane is connected.
+func (set *Set) ConnectedPeers() []ident.DaemonID {
 	set.mutex.RLock()
 	defer set.mutex.RUnlock()
 	peers := make([]ident.DaemonID, 0, len(set.conns)/int(message.LaneCount))
