--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,4 +1,5 @@
-// Command replay measures the decisions under load on virtual time.
+// Command replay runs request traces through the daemons' decision code in virtual
+// time and reports measurements.
 package main
 
 import (
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -1,5 +1,5 @@
-// Command standins runs stand-ins of the systems that teaselmoor serves and
-// reads: for trying it out and for tests.
+// Command standins runs simple replacements of the systems that teaselmoor works
+// with, such as the platform and the model engines, for trials and tests.
 package main
 
 import (
--- a/cmd/teaselmoor-gateway/main.go
+++ b/cmd/teaselmoor-gateway/main.go
@@ -1,4 +1,5 @@
-// Command teaselmoor-gateway serves callers on the users' platform.
+// Command teaselmoor-gateway runs the gateway daemon, which forwards callers'
+// requests to backend servers, on the users' platform.
 package main
 
 import (
--- a/cmd/teaselmoor/main.go
+++ b/cmd/teaselmoor/main.go
@@ -1,4 +1,5 @@
-// Command teaselmoor serves LoRA adapters on shared model engines.
+// Command teaselmoor runs a daemon that serves LoRA adapters on shared model
+// engines, and has the commands with which operators inspect daemons.
 package main
 
 import (
--- a/internal/serve/command/audit.go
+++ b/internal/serve/command/audit.go
@@ -16,7 +16,7 @@
 	"teaselmoor/internal/serve/operators"
 )
 
-// followWait is the span of one long poll.
+// followWait is how long a daemon may hold back the answer to one long poll.
 const followWait = 20 * clock.Second
 
 func auditCommand() *cli.Command {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	since, err := readSince(invocation.String("since"), clock.System())
+	since, err := parseSince(invocation.String("since"), clock.System())
 	if err != nil {
 		return err
 	}
@@ -50,20 +50,21 @@
 	ctx, stop := signal.NotifyContext(invocation.Context, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	invocation.Context = ctx
-	err = copyAudit(invocation, address, &filter)
+	err = printStoredEvents(invocation, address, &filter)
 	if err == nil && invocation.Bool("follow") {
 		err = followAudit(invocation, address, filter)
 	}
 	if ctx.Err() != nil {
-		return nil // being interrupted is the usual end
+		return nil // the user interrupted the command
 	}
 	return err
 }
 
-// copyAudit prints what the daemon holds and moves the filter past it.
-func copyAudit(invocation *cli.Context, address string, filter *audit.Filter) error {
+// printStoredEvents prints the events that the daemon holds in memory, page by page. It
+// sets filter.After to the end of the last page.
+func printStoredEvents(invocation *cli.Context, address string, filter *audit.Filter) error {
 	for {
-		page, err := readAudit(invocation, address, *filter, 0)
+		page, err := fetchAudit(invocation, address, *filter, 0)
 		if err != nil {
 			return err
 		}
@@ -75,10 +76,10 @@
 	}
 }
 
-// followAudit prints further events until the context ends.
+// followAudit prints new events until the context is cancelled or a call fails.
 func followAudit(invocation *cli.Context, address string, filter audit.Filter) error {
 	for {
-		page, err := readAudit(invocation, address, filter, followWait)
+		page, err := fetchAudit(invocation, address, filter, followWait)
 		if err != nil {
 			return err
 		}
@@ -87,18 +88,21 @@
 	}
 }
 
-func readAudit(invocation *cli.Context, address string, filter audit.Filter, wait clock.Millis) (audit.Page, error) {
+// fetchAudit reads a page of events. With a wait, an answer without events may
+// take that long.
+func fetchAudit(invocation *cli.Context, address string, filter audit.Filter, wait clock.Millis) (audit.Page, error) {
 	var page audit.Page
 	path := operators.AuditPath + "?" + operators.AuditQuery(filter, wait).Encode()
 	return page, fetch(invocation.Context, address, path, wait.Duration(), &page)
 }
 
-func readSince(text string, now clock.Millis) (clock.Millis, error) {
+// parseSince parses the -since flag: a point in time, or a duration before now.
+func parseSince(text string, now clock.Millis) (clock.Millis, error) {
 	if text == "" {
 		return 0, nil
 	}
-	if span, err := time.ParseDuration(text); err == nil && span >= 0 {
-		return now - clock.FromDuration(span), nil
+	if duration, err := time.ParseDuration(text); err == nil && duration >= 0 {
+		return now - clock.FromDuration(duration), nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -107,6 +111,8 @@
 	return clock.Millis(at.UnixMilli()), nil
 }
 
+// printEvents prints a page of events, which was read with filter.After set to
+// after.
 func printEvents(invocation *cli.Context, page audit.Page, after uint64) {
 	asJSON := invocation.Bool("json")
 	if page.Missed && !asJSON && after > 0 {
--- a/internal/serve/command/check.go
+++ b/internal/serve/command/check.go
@@ -20,10 +20,11 @@
 	Text string
 }
 
-// checkReport is what the check command found.
+// checkReport is the JSON output of the check command.
 type checkReport struct {
 	Mistakes []fileMistake
-	// Change is what the configuration does, when the present one was given.
+	// Change lists the effects of publishing the configuration. It is nil unless the
+	// configuration in force was given too and each of the two is valid by itself.
 	Change *compare.Report `json:",omitempty"`
 }
 
@@ -62,7 +63,7 @@
 			return err
 		}
 	} else {
-		report.writeLine(invocation)
+		report.print(invocation)
 	}
 	if len(report.Mistakes) > 0 {
 		return withCode(ExitMistakes, errors.Errorf("%d mistakes", len(report.Mistakes)))
@@ -93,6 +94,8 @@
 	return nil
 }
 
+// checkChange checks the configuration in a file and, if presentPath is not empty,
+// compares it with the configuration in force.
 func (report *checkReport) checkChange(path, presentPath string) error {
 	if path == "" {
 		return nil
@@ -117,8 +120,8 @@
 	return nil
 }
 
-// readConfig returns the configuration in a file, with the file's text. It is
-// nil when the file holds mistakes.
+// readConfig returns the configuration in a file, with the file's text. If the file
+// has mistakes, it adds them to the report and returns a nil configuration.
 func (report *checkReport) readConfig(path string) (*config.Snapshot, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -137,8 +140,8 @@
 	return snapshot, text, err
 }
 
-// mistakesOf lists the problems in an error; one that lists none is a mistake of
-// the whole file.
+// mistakesOf converts the problems that an error lists to mistakes. An error that
+// lists no problems becomes one mistake without a line.
 func mistakesOf(err error) document.Mistakes {
 	var problems config.Problems
 	if !errors.As(err, &problems) {
@@ -151,14 +154,15 @@
 	return mistakes
 }
 
-func (report *checkReport) writeLine(invocation *cli.Context) {
+// print writes the mistakes and the effects of the change as text.
+func (report *checkReport) print(invocation *cli.Context) {
 	for _, mistake := range report.Mistakes {
-		found := document.Mistake{Key: mistake.Key, Text: mistake.Text}
+		text := document.Mistake{Key: mistake.Key, Text: mistake.Text}
 		if mistake.Line > 0 {
-			writeLine(invocation, "%s:%d: %s", mistake.File, mistake.Line, found)
+			writeLine(invocation, "%s:%d: %s", mistake.File, mistake.Line, text)
 			continue
 		}
-		writeLine(invocation, "%s: %s", mistake.File, found)
+		writeLine(invocation, "%s: %s", mistake.File, text)
 	}
 	if len(report.Mistakes) == 0 {
 		writeLine(invocation, "no mistakes found")
@@ -168,8 +172,8 @@
 	}
 }
 
-// titles say what each kind of effect means.
-var titles = map[compare.Kind]string{
+// effectTitles describes each kind of effect in the output.
+var effectTitles = map[compare.Kind]string{
 	compare.Refused:     "were permitted and would be refused",
 	compare.Permitted:   "were refused and would be permitted",
 	compare.Moved:       "would run on other engines or addresses",
@@ -187,7 +191,7 @@
 		writeLine(invocation, "  nothing changes for any request")
 	}
 	for _, effect := range change.Effects {
-		writeLine(invocation, "  %d %s, for example:", effect.Count, titles[effect.Kind])
+		writeLine(invocation, "  %d %s, for example:", effect.Count, effectTitles[effect.Kind])
 		for _, example := range effect.Examples {
 			writeLine(invocation, "    %s %s: %s -> %s", example.Caller, example.Target, orNone(example.Before), orNone(example.After))
 		}
--- a/internal/serve/command/check_test.go
+++ b/internal/serve/command/check_test.go
@@ -14,6 +14,7 @@
 	"teaselmoor/internal/serve/command"
 )
 
+// readExample returns the example configuration of a deployment.
 func readExample(t testing.TB, deployment string) string {
 	t.Helper()
 	text, err := os.ReadFile(examples + deployment + "/configuration.yaml")
@@ -25,8 +26,8 @@
 	good := readExample(t, "cantabrica")
 	lines := strings.Split(good, "\n")
 	path := writeFile(t, strings.Replace(good, "Class: Urgent", "Class: Soon", 1))
-	ended := run(t, "", "check", "-configuration", path)
-	require.Equal(t, command.ExitMistakes, ended.code)
+	result := run(t, "", "check", "-configuration", path)
+	require.Equal(t, command.ExitMistakes, result.code)
 	at := 0
 	for i, line := range lines {
 		if strings.Contains(line, "Class: Urgent") {
@@ -34,41 +35,42 @@
 			break
 		}
 	}
-	require.Contains(t, ended.out, path+":"+strconv.Itoa(at)+": Rules[0].Class: class \"Soon\": want Urgent or Routine")
-	require.Contains(t, ended.err, "1 mistakes")
+	require.Contains(t, result.out, path+":"+strconv.Itoa(at)+": Rules[0].Class: class \"Soon\": want Urgent or Routine")
+	require.Contains(t, result.err, "1 mistakes")
 }
 
-func TestCheckShowsWhatAChangeDoes(t *testing.T) {
+func TestCheckShowsEffectsOfChange(t *testing.T) {
 	present := examples + "cantabrica/configuration.yaml"
 	next := strings.Replace(readExample(t, "cantabrica"), "Version: 1\n", "Version: 2\n", 1)
 	next = strings.Replace(next, "Callers: Role in (HROfficer, EnrolmentDesk)\n", "Callers: Role=HROfficer\n", 1)
-	ended := run(t, "", "check", "-configuration", writeFile(t, next), "-present", present)
-	require.Equal(t, command.ExitDone, ended.code, ended.out)
-	require.Contains(t, ended.out, "version 1 to 2, over 55 pairs")
-	require.Contains(t, ended.out, "1 were permitted and would be refused")
-	require.Contains(t, ended.out, "enrolment-desk register: rule registrations -> no rule matches")
+	result := run(t, "", "check", "-configuration", writeFile(t, next), "-present", present)
+	require.Equal(t, command.ExitDone, result.code, result.out)
+	require.Contains(t, result.out, "version 1 to 2, over 55 pairs")
+	require.Contains(t, result.out, "1 were permitted and would be refused")
+	require.Contains(t, result.out, "enrolment-desk register: rule registrations -> no rule matches")
 
-	ended = run(t, "", "check", "-json", "-configuration", present, "-present", present)
-	require.Equal(t, command.ExitMistakes, ended.code)
+	result = run(t, "", "check", "-json", "-configuration", present, "-present", present)
+	require.Equal(t, command.ExitMistakes, result.code)
 	var report struct {
 		Mistakes []struct{ File, Key string }
 		Change   struct{ Requests int }
 	}
-	require.NoError(t, json.Unmarshal([]byte(ended.out), &report))
+	require.NoError(t, json.Unmarshal([]byte(result.out), &report))
 	require.Equal(t, "Version", report.Mistakes[0].Key)
 	require.Equal(t, 55, report.Change.Requests)
 }
 
-// TestPublishPackIsAssembled reads back what the command wrote.
-func TestPublishPackIsAssembled(t *testing.T) {
+// TestPublishPack assembles the files that publish-pack wrote, and checks that the
+// command writes nothing for a configuration with mistakes.
+func TestPublishPack(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "pack")
-	ended := run(t, "", "publish-pack", "-json", "-configuration", examples+"ramcharan/configuration.yaml", "-out", directory)
-	require.Equal(t, command.ExitDone, ended.code, ended.err)
+	result := run(t, "", "publish-pack", "-json", "-configuration", examples+"ramcharan/configuration.yaml", "-out", directory)
+	require.Equal(t, command.ExitDone, result.code, result.err)
 	var report struct {
 		Parts    []string
 		Manifest string
 	}
-	require.NoError(t, json.Unmarshal([]byte(ended.out), &report))
+	require.NoError(t, json.Unmarshal([]byte(result.out), &report))
 	text, err := os.ReadFile(report.Manifest)
 	require.NoError(t, err)
 	manifest, err := config.ParseManifest(text)
@@ -84,21 +86,22 @@
 	require.Empty(t, config.Validate(assembled))
 
 	bad := writeFile(t, "Version: 0\n")
-	ended = run(t, "", "publish-pack", "-configuration", bad, "-out", filepath.Join(directory, "none"))
-	require.Equal(t, command.ExitMistakes, ended.code)
-	require.Contains(t, ended.out, bad+":1: Version: must be above 0")
+	result = run(t, "", "publish-pack", "-configuration", bad, "-out", filepath.Join(directory, "none"))
+	require.Equal(t, command.ExitMistakes, result.code)
+	require.Contains(t, result.out, bad+":1: Version: must be above 0")
 	require.NoDirExists(t, filepath.Join(directory, "none"))
 }
 
-// TestCheckRefusesWhatCannotFollow moves a caller to another region.
-func TestCheckRefusesWhatCannotFollow(t *testing.T) {
+// TestCheckRefusesForbiddenChange checks a configuration that moves a caller to
+// another region, which config.CheckSuccessor does not allow.
+func TestCheckRefusesForbiddenChange(t *testing.T) {
 	present := readExample(t, "ramcharan")
 	present = strings.Replace(present, "- Name: office\n", "- Name: office\n  Region: trinidad\n", 1)
 	next := strings.Replace(present, "  Region: trinidad\n  KeyHash", "  KeyHash", 1)
 	next = strings.Replace(next, "Version: 1\n", "Version: 2\n", 1)
 	path := writeFile(t, next)
-	ended := run(t, "", "check", "-configuration", path, "-present", writeFile(t, present))
-	require.Equal(t, command.ExitMistakes, ended.code, ended.out)
-	require.Contains(t, ended.out, `Callers[2].Region: caller "office" is kept in region "trinidad"`)
-	require.Contains(t, ended.out, "version 1 to 2")
+	result := run(t, "", "check", "-configuration", path, "-present", writeFile(t, present))
+	require.Equal(t, command.ExitMistakes, result.code, result.out)
+	require.Contains(t, result.out, `Callers[2].Region: caller "office" is kept in region "trinidad"`)
+	require.Contains(t, result.out, "version 1 to 2")
 }
--- a/internal/serve/command/command.go
+++ b/internal/serve/command/command.go
@@ -1,7 +1,7 @@
-// Package command is the command line of teaselmoor. Commands read, check and
-// write files, or read from one daemon's operator address; none acts on a
-// daemon or an engine, because operators act through the configuration that they
-// publish.
+// Package command is the command line of teaselmoor. Apart from serve, which runs
+// a daemon, its commands read, check and write files, or read from one daemon or
+// gateway. None of them changes the state of a daemon, a gateway or an engine:
+// operators make changes by publishing a configuration.
 package command
 
 import (
@@ -17,15 +17,15 @@
 // Exit codes of the program.
 const (
 	ExitDone        = 0
-	ExitFailed      = 1 // something failed that is none of the below
-	ExitUsage       = 2 // an unknown command or flag, or one missing
-	ExitMistakes    = 3 // a checked file holds mistakes
-	ExitUnreachable = 4 // the daemon asked did not answer
-	ExitNotFound    = 5 // what was asked for does not exist
-	// A daemon that a broken invariant stopped exits with 6.
+	ExitFailed      = 1 // any failure without a code of its own
+	ExitUsage       = 2 // an unknown command or flag, or a missing one
+	ExitMistakes    = 3 // a file that was read has mistakes
+	ExitUnreachable = 4 // the daemon or gateway did not answer
+	ExitNotFound    = 5 // the requested object does not exist
+	// A daemon that stops because an invariant was violated exits with 6.
 )
 
-// exitError is an error with the exit code that it calls for.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -37,6 +37,7 @@
 // Unwrap returns the error without its exit code.
 func (failed *exitError) Unwrap() error { return failed.err }
 
+// withCode adds an exit code to an error. It returns nil when err is nil.
 func withCode(code int, err error) error {
 	if err == nil {
 		return nil
@@ -44,8 +45,8 @@
 	return &exitError{code: code, err: err}
 }
 
-// ExitCode returns the exit code for the error of a run.
-func ExitCode(err error) int {
+// exitCode returns the exit code for the error that Run got from the application.
+func exitCode(err error) int {
 	var failed *exitError
 	switch {
 	case err == nil:
@@ -65,9 +66,9 @@
 		HideVersion:          true,
 		EnableBashCompletion: true,
 		Suggest:              true,
-		Action:               withoutCommand,
+		Action:               runWithoutCommand,
 		OnUsageError:         usageError,
-		ExitErrHandler:       func(*cli.Context, error) {}, // main exits
+		ExitErrHandler:       func(*cli.Context, error) {}, // main exits with the code that Run returns
 		Commands: withUsageErrors(
 			serveCommand(), checkCommand(), publishPackCommand(),
 			statusCommand(), auditCommand(), explainCommand(),
@@ -76,8 +77,8 @@
 	}
 }
 
-// Run runs the program with the given arguments and streams and returns its
-// exit code.
+// Run runs the command line in arguments, whose first element is the name of the
+// program, and returns the exit code.
 func Run(ctx context.Context, arguments []string, in io.Reader, out, errOut io.Writer) int {
 	app := New()
 	app.Reader, app.Writer, app.ErrWriter = in, out, errOut
@@ -85,10 +86,12 @@
 	if err != nil {
 		_, _ = fmt.Fprintln(errOut, "teaselmoor:", err)
 	}
-	return ExitCode(err)
+	return exitCode(err)
 }
 
-func withoutCommand(invocation *cli.Context) error {
+// runWithoutCommand shows the help when no command is given. Any argument is then
+// the name of an unknown command.
+func runWithoutCommand(invocation *cli.Context) error {
 	if name := invocation.Args().First(); name != "" {
 		return withCode(ExitUsage, errors.Errorf("unknown command %q; teaselmoor help lists them", name))
 	}
@@ -99,6 +102,7 @@
 	return withCode(ExitUsage, err)
 }
 
+// withUsageErrors makes wrong flags of the commands exit with ExitUsage.
 func withUsageErrors(commands ...*cli.Command) []*cli.Command {
 	for _, command := range commands {
 		command.OnUsageError = usageError
@@ -106,8 +110,8 @@
 	return commands
 }
 
-// need returns a flag that must be given.
-func need(invocation *cli.Context, name string) (string, error) {
+// requiredFlag returns the value of a flag, or a usage error when it is empty.
+func requiredFlag(invocation *cli.Context, name string) (string, error) {
 	value := invocation.String(name)
 	if value == "" {
 		return "", withCode(ExitUsage, errors.Errorf("flag -%s must be given", name))
@@ -122,10 +126,11 @@
 func writeJSON(invocation *cli.Context, value any) error {
 	encoder := json.NewEncoder(invocation.App.Writer)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(value), "write")
+	return errors.Wrap(encoder.Encode(value), "write output")
 }
 
-// writeLine writes a line. A reader that has gone away is not an error.
+// writeLine writes a line of output. It ignores errors, so that the command does
+// not fail when the reader of a pipe ends early.
 func writeLine(invocation *cli.Context, format string, arguments ...any) {
 	_, _ = fmt.Fprintf(invocation.App.Writer, format+"\n", arguments...)
 }
--- a/internal/serve/command/command_test.go
+++ b/internal/serve/command/command_test.go
@@ -15,13 +15,14 @@
 	"teaselmoor/internal/serve/command"
 )
 
-// result is how a run of the program ended.
+// result is the exit code and the output of a run of the program.
 type result struct {
 	code int
 	out  string
 	err  string
 }
 
+// run runs the program with the given standard input and arguments.
 func run(t testing.TB, in string, arguments ...string) result {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -64,34 +65,35 @@
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			ended := run(t, "", each.arguments...)
-			require.Equal(t, each.code, ended.code, ended.err)
-			require.Contains(t, ended.err, each.err)
+			result := run(t, "", each.arguments...)
+			require.Equal(t, each.code, result.code, result.err)
+			require.Contains(t, result.err, each.err)
 		})
 	}
 }
 
-func TestServeNamesEveryMistake(t *testing.T) {
-	ended := run(t, "", "serve", "-settings", writeFile(t, "Name: a\nRegoin: b\n"))
-	require.Equal(t, command.ExitMistakes, ended.code)
-	require.Contains(t, ended.err, "line 2: Regoin: unknown key")
-	require.Contains(t, ended.err, "line 1: DataCentre: must not be empty")
+func TestServeReportsEveryMistake(t *testing.T) {
+	result := run(t, "", "serve", "-settings", writeFile(t, "Name: a\nRegoin: b\n"))
+	require.Equal(t, command.ExitMistakes, result.code)
+	require.Contains(t, result.err, "line 2: Regoin: unknown key")
+	require.Contains(t, result.err, "line 1: DataCentre: must not be empty")
 }
 
 func TestExamplesAreValid(t *testing.T) {
 	for _, deployment := range deployments {
 		t.Run(deployment, func(t *testing.T) {
-			ended := run(t, "", "check", "-settings", examples+deployment+"/settings.yaml",
+			result := run(t, "", "check", "-settings", examples+deployment+"/settings.yaml",
 				"-configuration", examples+deployment+"/configuration.yaml")
-			require.Equal(t, command.ExitDone, ended.code, ended.out)
+			require.Equal(t, command.ExitDone, result.code, result.out)
 		})
 	}
 }
 
-// TestExamplesKeepThePriorities decides requests by the shipped configurations.
-func TestExamplesKeepThePriorities(t *testing.T) {
+// TestExampleDecisions checks which rule, class and repeatability the example
+// configurations give to requests.
+func TestExampleDecisions(t *testing.T) {
 	cases := []struct {
-		deployment, caller, target string // of a service when it has no @
+		deployment, caller, target string // a service if it has no @
 		rule                       string // empty: refused
 		class                      config.Class
 		repeatable                 bool
@@ -119,6 +121,8 @@
 	}
 }
 
+// decide returns the decision of a deployment's example configuration for a request
+// of a caller to an adapter or service, and whether the request is permitted.
 func decide(t testing.TB, deployment, callerName, target string) (config.Decision, bool) {
 	t.Helper()
 	text, err := os.ReadFile(examples + deployment + "/configuration.yaml")
@@ -139,22 +143,22 @@
 	return snapshot.DecideService(caller, service)
 }
 
-func TestSettingsTemplateIsRead(t *testing.T) {
-	ended := run(t, "", "settings")
-	require.Equal(t, command.ExitDone, ended.code)
-	require.Contains(t, ended.out, "MaxBodyBytes: 4194304")
+func TestSettingsCommand(t *testing.T) {
+	result := run(t, "", "settings")
+	require.Equal(t, command.ExitDone, result.code)
+	require.Contains(t, result.out, "MaxBodyBytes: 4194304")
 	var entries []settings.Entry
 	require.NoError(t, json.Unmarshal([]byte(run(t, "", "settings", "-json").out), &entries))
 	require.Equal(t, "Name", entries[0].Key)
 }
 
-func TestCompletionNamesCommands(t *testing.T) {
-	former := os.Args // the library looks there for the word before
-	defer func() { os.Args = former }()
+func TestCompletion(t *testing.T) {
+	original := os.Args // the cli library reads the previous word from os.Args
+	defer func() { os.Args = original }()
 	os.Args = []string{"teaselmoor", "--generate-bash-completion"}
-	ended := run(t, "", "--generate-bash-completion")
+	result := run(t, "", "--generate-bash-completion")
 	for _, name := range []string{"serve", "check", "publish-pack", "status", "audit", "explain", "settings", "version"} {
-		require.Contains(t, ended.out, name)
+		require.Contains(t, result.out, name)
 	}
 	require.Contains(t, run(t, "", "completion", "bash").out, "complete ")
 }
--- a/internal/serve/command/completion.go
+++ b/internal/serve/command/completion.go
@@ -5,8 +5,8 @@
 	"github.com/urfave/cli/v2"
 )
 
-// completions are the scripts by shell. Each asks the program itself for the
-// words that may follow.
+// completions holds the completion script of each shell. The scripts call the
+// program itself to list the possible next words.
 var completions = map[string]string{
 	"bash": `_teaselmoor() {
     local words
--- a/internal/serve/command/daemon_test.go
+++ b/internal/serve/command/daemon_test.go
@@ -18,36 +18,38 @@
 	"teaselmoor/internal/standin/site"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// startDaemon runs one daemon on a site and returns it once it is ready.
+// startDaemon runs one daemon on a site of stand-ins until the test ends. It
+// returns the site when the daemon is ready.
 func startDaemon(t testing.TB) *site.Site {
 	t.Helper()
-	standIns, endStandIns := context.WithCancel(context.Background())
+	standIns, stopStandIns := context.WithCancel(context.Background())
 	options := site.DefaultOptions()
 	options.Daemons = 1
-	running, err := site.New(standIns, options)
+	testSite, err := site.New(standIns, options)
 	require.NoError(t, err)
-	daemons, endDaemons := context.WithCancel(context.Background())
+	daemons, stopDaemons := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- program.Serve(daemons, running.Settings[0], slog.New(slog.DiscardHandler)) }()
+	go func() { ended <- program.Serve(daemons, testSite.Settings[0], slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
-		endDaemons()
+		stopDaemons()
 		require.NoError(t, <-ended)
-		endStandIns()
-		running.Wait()
+		stopStandIns()
+		testSite.Wait()
 	})
 	require.Eventually(t, func() bool {
-		return strings.Contains(run(t, "", "status", "-daemon", running.Settings[0].OperatorAddress).out, ": ready")
-	}, patience, 10*time.Millisecond)
-	return running
+		return strings.Contains(run(t, "", "status", "-daemon", testSite.Settings[0].OperatorAddress).out, ": ready")
+	}, waitTimeout, 10*time.Millisecond)
+	return testSite
 }
 
-// refuse sends a request that is refused and returns its id and error body.
-func refuse(t testing.TB, running *site.Site) (string, string) {
+// sendRefused sends a request that the daemon refuses, and returns its id and the
+// body of the answer.
+func sendRefused(t testing.TB, testSite *site.Site) (string, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost,
-		"http://"+running.Settings[0].CallerAddress+callers.CompletionsPath, strings.NewReader(`{"model":"nothing@1"}`))
+		"http://"+testSite.Settings[0].CallerAddress+callers.CompletionsPath, strings.NewReader(`{"model":"nothing@1"}`))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
 	response, err := http.DefaultClient.Do(request)
@@ -59,11 +61,12 @@
 	return response.Header.Get(callers.RequestIDHeader), body.String()
 }
 
-// TestDaemonIsRead reads a daemon with each reading command.
-func TestDaemonIsRead(t *testing.T) {
-	running := startDaemon(t)
-	address := running.Settings[0].OperatorAddress
-	request, body := refuse(t, running)
+// TestReadCommands runs the commands that read from a daemon: status, audit and
+// explain.
+func TestReadCommands(t *testing.T) {
+	testSite := startDaemon(t)
+	address := testSite.Settings[0].OperatorAddress
+	request, body := sendRefused(t, testSite)
 
 	status := run(t, "", "status", "-daemon", address)
 	require.Contains(t, status.out, "configuration version 1")
@@ -88,25 +91,26 @@
 	require.Equal(t, command.ExitMistakes, run(t, "{}", "explain").code)
 }
 
-// TestAuditFollows waits for an event that comes after the command has begun.
-func TestAuditFollows(t *testing.T) {
-	running := startDaemon(t)
+// TestAuditFollow checks that audit -follow prints an event that happens after the
+// command has started.
+func TestAuditFollow(t *testing.T) {
+	testSite := startDaemon(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	lines := make(chan string, 1)
 	codes := make(chan int, 1)
 	go func() {
 		codes <- command.Run(ctx, []string{
-			"teaselmoor", "audit", "-follow", "-kind", "RequestRefused", "-daemon", running.Settings[0].OperatorAddress,
+			"teaselmoor", "audit", "-follow", "-kind", "RequestRefused", "-daemon", testSite.Settings[0].OperatorAddress,
 		}, strings.NewReader(""), lineWriter(lines), &bytes.Buffer{})
 	}()
-	request, _ := refuse(t, running)
+	request, _ := sendRefused(t, testSite)
 	require.Contains(t, <-lines, request)
 	stop()
 	require.Equal(t, command.ExitDone, <-codes)
 }
 
-// lineWriter passes on each line written.
+// lineWriter sends each line that is written to a channel.
 type lineWriter chan string
 
 func (lines lineWriter) Write(text []byte) (int, error) {
--- a/internal/serve/command/docs_test.go
+++ b/internal/serve/command/docs_test.go
@@ -16,8 +16,8 @@
 
 const docs = "../../../docs/"
 
-// tableRows returns the first column of every table row of a page.
-func tableRows(t testing.TB, page string) string {
+// firstColumns returns the first column of all tables of a page, one row a line.
+func firstColumns(t testing.TB, page string) string {
 	t.Helper()
 	text, err := os.ReadFile(docs + page)
 	require.NoError(t, err)
@@ -30,9 +30,10 @@
 	return rows.String()
 }
 
-// TestOperationsPageIsComplete looks for a row for each code and metric.
+// TestOperationsPageIsComplete checks that the page has a row for each reason code
+// and each metric.
 func TestOperationsPageIsComplete(t *testing.T) {
-	rows := tableRows(t, "OPERATIONS.md")
+	rows := firstColumns(t, "OPERATIONS.md")
 	for _, reason := range outcome.Reasons() {
 		require.Regexp(t, `\b`+string(reason)+`\b`, rows, "reason code")
 	}
@@ -43,8 +44,9 @@
 
 var linkTarget = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 
-// TestLinksLead follows every link between the project's own pages.
-func TestLinksLead(t *testing.T) {
+// TestLinksResolve checks that every link between the project's own pages leads to
+// a file.
+func TestLinksResolve(t *testing.T) {
 	pages, err := filepath.Glob(docs + "*.md")
 	require.NoError(t, err)
 	for _, page := range append(pages, docs+"../README.md") {
@@ -57,7 +59,7 @@
 	}
 }
 
-// TestDocumentedCommandsExist looks up each command that a page shows.
+// TestDocumentedCommandsExist checks that the commands that the pages show exist.
 func TestDocumentedCommandsExist(t *testing.T) {
 	known := map[string]bool{"help": true}
 	for _, each := range command.New().Commands {
@@ -67,19 +69,20 @@
 	for _, page := range []string{"OPERATIONS.md", "CONFIGURATION.md", "SETTINGS.md", "DEVELOPERS.md", "../README.md"} {
 		text, err := os.ReadFile(docs + page)
 		require.NoError(t, err)
-		for _, found := range shown.FindAllStringSubmatch(string(text), -1) {
-			require.True(t, known[found[1]], "%s: teaselmoor %s", page, found[1])
+		for _, match := range shown.FindAllStringSubmatch(string(text), -1) {
+			require.True(t, known[match[1]], "%s: teaselmoor %s", page, match[1])
 		}
 	}
 }
 
-// TestLayoutIsComplete looks for each area of the source on the developers' page.
+// TestLayoutIsComplete checks that the developers' page mentions each directory
+// under internal.
 func TestLayoutIsComplete(t *testing.T) {
 	text, err := os.ReadFile(docs + "DEVELOPERS.md")
 	require.NoError(t, err)
-	areas, err := os.ReadDir("../..")
+	directories, err := os.ReadDir("../..")
 	require.NoError(t, err)
-	for _, area := range areas {
-		require.Contains(t, string(text), "internal/"+area.Name()+"/")
+	for _, directory := range directories {
+		require.Contains(t, string(text), "internal/"+directory.Name()+"/")
 	}
 }
--- a/internal/serve/command/explain.go
+++ b/internal/serve/command/explain.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// explanation is the JSON form of the command's answer.
+// explanation is the JSON output of the explain command.
 type explanation struct {
 	Audience explain.Audience
 	Text     string
@@ -55,23 +55,25 @@
 		return writeJSON(invocation, explanation{Audience: audience, Text: text, Record: record})
 	}
 	_, err = fmt.Fprint(invocation.App.Writer, text)
-	return errors.Wrap(err, "write")
+	return errors.Wrap(err, "write output")
 }
 
+// readRecord reads the decision record from the source that the flags and
+// arguments name: a daemon, a log, a file or standard input.
 func readRecord(invocation *cli.Context) (outcome.Record, error) {
 	request := invocation.String("request")
 	if request != "" && !invocation.Bool("log") {
 		return fetchRecord(invocation, request)
 	}
-	given, err := openText(invocation)
+	input, err := openInput(invocation)
 	if err != nil {
 		return outcome.Record{}, err
 	}
-	defer func() { _ = given.Close() }()
+	defer func() { _ = input.Close() }()
 	if invocation.Bool("log") {
-		return recordFromLog(invocation, given)
+		return recordFromLog(invocation, input)
 	}
-	text, err := io.ReadAll(given)
+	text, err := io.ReadAll(input)
 	if err != nil {
 		return outcome.Record{}, errors.Wrap(err, "read decision record")
 	}
@@ -79,19 +81,21 @@
 	return record, withCode(ExitMistakes, err)
 }
 
-// openText opens the file that is named, or standard input where none is.
-func openText(invocation *cli.Context) (io.ReadCloser, error) {
+// openInput opens the file in the first argument, or standard input when there is
+// no argument or it is -.
+func openInput(invocation *cli.Context) (io.ReadCloser, error) {
 	path := invocation.Args().First()
 	if path == "" || path == "-" {
 		return io.NopCloser(invocation.App.Reader), nil
 	}
 	file, err := os.Open(path)
-	return file, errors.Wrap(err, "read")
+	return file, errors.Wrap(err, "open input")
 }
 
-// recordFromLog puts the record of a request together from a log.
+// recordFromLog builds the decision record of a request from the log lines of
+// gateways.
 func recordFromLog(invocation *cli.Context, log io.Reader) (outcome.Record, error) {
-	request, err := need(invocation, "request")
+	request, err := requiredFlag(invocation, "request")
 	if err != nil {
 		return outcome.Record{}, err
 	}
@@ -102,6 +106,7 @@
 	return record, withCode(ExitMistakes, err)
 }
 
+// fetchRecord reads the decision record of a request from a daemon.
 func fetchRecord(invocation *cli.Context, request string) (outcome.Record, error) {
 	address, err := operatorAddress(invocation)
 	if err != nil {
--- a/internal/serve/command/gateway_test.go
+++ b/internal/serve/command/gateway_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestExplainFromALog(t *testing.T) {
+func TestExplainFromLog(t *testing.T) {
 	log := `17.1 d1 {"time":"2026-06-10T17:35:37.464Z","msg":"request ended","Request":"r1","Status":503,"Reason":"NoServer","Daemon":"d1","Config":3,"RetryAfterMillis":500}` + "\n"
 	got := run(t, log, "explain", "-log", "-request", "r1", "-audience", "regulator")
 	require.Equal(t, command.ExitDone, got.code, got.err)
--- a/internal/serve/command/gatewaystatus.go
+++ b/internal/serve/command/gatewaystatus.go
@@ -18,63 +18,66 @@
 	"teaselmoor/internal/base/clock"
 )
 
-// metricsPath is where a gateway serves its metrics.
+// metricsPath is the path of a gateway's metrics.
 const metricsPath = "/metrics"
 
 func gatewayFlag() cli.Flag {
 	return &cli.StringFlag{Name: "gateway", Usage: "ask the gateway with the metrics address `IP:PORT`"}
 }
 
-// figures are a gateway's metrics by name.
-type figures map[string]*dto.MetricFamily
+// gatewayMetrics holds the metrics that a gateway serves, by name.
+type gatewayMetrics map[string]*dto.MetricFamily
 
-// showGateway prints what a gateway believes and how its requests end.
-func showGateway(invocation *cli.Context, address string) error {
+// showGatewayStatus prints the state of a gateway and the counts of its requests,
+// as read from its metrics.
+func showGatewayStatus(invocation *cli.Context, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return withCode(ExitUsage, errors.Errorf("-gateway %q: want an IP number and port", address))
 	}
-	read, err := fetchFigures(invocation.Context, address)
+	metrics, err := fetchGatewayMetrics(invocation.Context, address)
 	if err != nil {
 		return err
 	}
 	if invocation.Bool("json") {
-		return writeJSON(invocation, read)
+		return writeJSON(invocation, metrics)
 	}
-	read.print(invocation)
+	metrics.print(invocation)
 	return nil
 }
 
-func fetchFigures(ctx context.Context, address string) (figures, error) {
+// fetchGatewayMetrics reads and parses the metrics of a gateway.
+func fetchGatewayMetrics(ctx context.Context, address string) (gatewayMetrics, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+metricsPath, nil)
 	if err != nil {
-		return nil, withCode(ExitUsage, errors.Wrap(err, "ask the gateway"))
+		return nil, withCode(ExitUsage, errors.Wrap(err, "call the gateway"))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, withCode(ExitUnreachable, errors.Wrap(err, "ask the gateway"))
+		return nil, withCode(ExitUnreachable, errors.Wrap(err, "call the gateway"))
 	}
 	defer func() { _ = response.Body.Close() }()
 	parser := expfmt.NewTextParser(model.UTF8Validation)
-	read, err := parser.TextToMetricFamilies(io.LimitReader(response.Body, maxAnswer))
-	return read, errors.Wrap(err, "read the gateway's metrics")
+	families, err := parser.TextToMetricFamilies(io.LimitReader(response.Body, maxAnswer))
+	return families, errors.Wrap(err, "read the gateway's metrics")
 }
 
-// value returns a figure without labels, 0 where the gateway does not serve it.
-func (figures figures) value(name string) float64 {
-	family, ok := figures[name]
+// value returns the value of a metric without labels, or 0 if the gateway does not
+// serve it.
+func (metrics gatewayMetrics) value(name string) float64 {
+	family, ok := metrics[name]
 	if !ok || len(family.GetMetric()) == 0 {
 		return 0
 	}
 	return family.GetMetric()[0].GetUntyped().GetValue()
 }
 
-func (figures figures) print(invocation *cli.Context) {
-	count := func(name string) int64 { return int64(figures.value(name)) }
+func (metrics gatewayMetrics) print(invocation *cli.Context) {
+	count := func(name string) int64 { return int64(metrics.value(name)) }
 	store := "the store answers"
-	if away := count("teaselmoor_store_away_millis"); away > 0 {
-		store = fmt.Sprintf("the store has not answered for %s", age(clock.Millis(away)))
+	if unreachable := count("teaselmoor_store_away_millis"); unreachable > 0 {
+		store = fmt.Sprintf("the store has not answered for %s", formatAge(clock.Millis(unreachable)))
 	}
 	writeLine(invocation, "configuration version %d, store read up to revision %d; %s",
 		count("teaselmoor_config_version"), count("teaselmoor_store_revision"), store)
@@ -84,27 +87,28 @@
 		count("teaselmoor_adapters_loading"), count("teaselmoor_adapters_queued"), count("teaselmoor_requests_in_progress"))
 	writeLine(invocation, "%d orders given, %d connections to servers opened, %d log lines dropped",
 		count("teaselmoor_orders_total"), count("teaselmoor_server_connections_opened_total"), count("teaselmoor_log_lines_dropped_total"))
-	figures.printLabelled(invocation, "requests ended:", "teaselmoor_requests_total", "service", "status", "reason")
-	figures.printLabelled(invocation, "latency to the first byte, in milliseconds:", "teaselmoor_latency_millis", "service", "quantile")
-	figures.printLabelled(invocation, "longest gap between events of a stream, in milliseconds:", "teaselmoor_stream_gap_millis", "service", "quantile")
+	metrics.printLabelled(invocation, "requests ended:", "teaselmoor_requests_total", "service", "status", "reason")
+	metrics.printLabelled(invocation, "latency to the first byte, in milliseconds:", "teaselmoor_latency_millis", "service", "quantile")
+	metrics.printLabelled(invocation, "longest gap between events of a stream, in milliseconds:", "teaselmoor_stream_gap_millis", "service", "quantile")
 	for _, each := range []struct{ title, name string }{
 		{"units a second that accounts use:", "teaselmoor_account_rate"},
 		{"their limits:", "teaselmoor_account_limit"},
 		{"units that they have left now:", "teaselmoor_account_left"},
 	} {
-		figures.printLabelled(invocation, each.title, each.name, "account")
+		metrics.printLabelled(invocation, each.title, each.name, "account")
 	}
-	figures.printLabelled(invocation, "repeats left of the retry budget:", "teaselmoor_retry_budget_left", "service")
+	metrics.printLabelled(invocation, "repeats left of the retry budget:", "teaselmoor_retry_budget_left", "service")
 }
 
-// printLabelled prints the figures of one name as a table, a column a label.
-func (figures figures) printLabelled(invocation *cli.Context, title, name string, labels ...string) {
+// printLabelled prints the series of a metric as a table: a column for each label
+// and one for the value.
+func (metrics gatewayMetrics) printLabelled(invocation *cli.Context, title, name string, labels ...string) {
 	writeLine(invocation, "\n%s", title)
 	var rows [][]any
-	for _, metric := range figures[name].GetMetric() {
+	for _, metric := range metrics[name].GetMetric() {
 		var row []any
 		for _, label := range labels {
-			row = append(row, labelOf(metric, label))
+			row = append(row, labelValue(metric, label))
 		}
 		rows = append(rows, append(row, metric.GetUntyped().GetValue()))
 	}
@@ -116,7 +120,8 @@
 	table.flush()
 }
 
-func labelOf(metric *dto.Metric, name string) string {
+// labelValue returns the value of a label, or "" if the metric does not have it.
+func labelValue(metric *dto.Metric, name string) string {
 	for _, pair := range metric.GetLabel() {
 		if pair.GetName() == name {
 			return pair.GetValue()
--- a/internal/serve/command/publishpack.go
+++ b/internal/serve/command/publishpack.go
@@ -11,15 +11,16 @@
 	"teaselmoor/internal/serve/daemon"
 )
 
-// packReport is what the publish-pack command wrote.
+// packReport is the JSON output of the publish-pack command.
 type packReport struct {
 	Version uint64
-	// Parts are files to publish first, in any order, each under its own name.
+	// Parts are the paths of the files to publish first, in any order. The key of
+	// each is its file name.
 	Parts []string
-	// Manifest is the file to publish last, under the key Key.
+	// Manifest is the path of the file to publish last, under the key Key.
 	Manifest string
 	Key      string
-	Bytes    int // of all parts
+	Bytes    int // total size of the parts
 }
 
 func publishPackCommand() *cli.Command {
@@ -36,22 +37,22 @@
 }
 
 func publishPack(invocation *cli.Context) error {
-	path, err := need(invocation, "configuration")
+	path, err := requiredFlag(invocation, "configuration")
 	if err != nil {
 		return err
 	}
-	directory, err := need(invocation, "out")
+	directory, err := requiredFlag(invocation, "out")
 	if err != nil {
 		return err
 	}
-	checked := checkReport{}
-	snapshot, _, err := checked.readConfig(path)
+	checkResult := checkReport{}
+	snapshot, _, err := checkResult.readConfig(path)
 	if err != nil {
 		return err
 	}
 	if snapshot == nil {
-		checked.writeLine(invocation)
-		return withCode(ExitMistakes, errors.Errorf("%d mistakes; nothing was written", len(checked.Mistakes)))
+		checkResult.print(invocation)
+		return withCode(ExitMistakes, errors.Errorf("%d mistakes; nothing was written", len(checkResult.Mistakes)))
 	}
 	report, err := writePack(snapshot.Config, directory)
 	if err != nil {
@@ -71,15 +72,15 @@
 	fileMode      = 0o644
 )
 
-// writePack writes the parts first, so that a manifest never names a file that
-// is not there.
+// writePack writes the parts and then the manifest, so that a manifest never names
+// a file that does not exist.
 func writePack(document config.Config, directory string) (packReport, error) {
 	manifest, parts, err := config.Pack(document)
 	if err != nil {
 		return packReport{}, err
 	}
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return packReport{}, errors.Wrap(err, "make directory")
+		return packReport{}, errors.Wrap(err, "create directory")
 	}
 	report := packReport{Version: manifest.Version, Key: daemon.ConfigKey, Manifest: filepath.Join(directory, daemon.ConfigKey)}
 	for _, part := range parts {
--- a/internal/serve/command/serve.go
+++ b/internal/serve/command/serve.go
@@ -21,25 +21,26 @@
 			&cli.StringFlag{Name: "settings", Usage: "read settings from `FILE`"},
 		},
 		Action: func(invocation *cli.Context) error {
-			path, err := need(invocation, "settings")
+			path, err := requiredFlag(invocation, "settings")
 			if err != nil {
 				return err
 			}
 			loaded, err := settings.Load(path)
 			if err != nil {
-				return mistakesError(err)
+				return withMistakesCode(err)
 			}
 			ctx, stop := signal.NotifyContext(invocation.Context, syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			// the settings' level is applied by the program
+			// the handler accepts every level; program.Serve applies the level in the settings
 			handler := slog.NewJSONHandler(invocation.App.Writer, &slog.HandlerOptions{Level: slog.LevelDebug})
 			return program.Serve(ctx, loaded, slog.New(handler))
 		},
 	}
 }
 
-// mistakesError gives the exit code for mistakes to an error that lists some.
-func mistakesError(err error) error {
+// withMistakesCode adds ExitMistakes to an error that lists mistakes in a file.
+// Other errors stay as they are.
+func withMistakesCode(err error) error {
 	var mistakes document.Mistakes
 	if errors.As(err, &mistakes) {
 		return withCode(ExitMistakes, err)
--- a/internal/serve/command/status.go
+++ b/internal/serve/command/status.go
@@ -19,7 +19,7 @@
 		Flags: []cli.Flag{daemonFlag(), gatewayFlag(), jsonFlag()},
 		Action: func(invocation *cli.Context) error {
 			if gateway := invocation.String("gateway"); gateway != "" {
-				return showGateway(invocation, gateway)
+				return showGatewayStatus(invocation, gateway)
 			}
 			address, err := operatorAddress(invocation)
 			if err != nil {
@@ -48,8 +48,8 @@
 	}
 	writeLine(invocation, "daemon %s in %s, %s: %s", status.Daemon, status.DataCentre, status.Region, state)
 	writeLine(invocation, "configuration version %d, accepted %s ago; the service last answered %s ago",
-		status.ConfigVersion, age(status.ConfigAge), age(status.ConfigContactAge))
-	writeLine(invocation, "VM list version %d, read %s ago", status.VMListVersion, age(status.VMListAge))
+		status.ConfigVersion, formatAge(status.ConfigAge), formatAge(status.ConfigContactAge))
+	writeLine(invocation, "VM list version %d, read %s ago", status.VMListVersion, formatAge(status.VMListAge))
 	peers := make([]string, 0, len(status.Peers))
 	for _, peer := range status.Peers {
 		peers = append(peers, string(peer))
@@ -68,7 +68,7 @@
 	for _, member := range status.Members {
 		heard, state := "never", "silent so far"
 		if member.Heard {
-			heard, state = age(member.Age)+" ago", "heard"
+			heard, state = formatAge(member.Age)+" ago", "heard"
 		}
 		switch {
 		case member.Leaving:
@@ -90,8 +90,8 @@
 		for _, adapter := range owned.Resident {
 			adapters = append(adapters, adapter.String())
 		}
-		table.row(owned.Engine, owned.Fence, owned.Queued, owned.Running, owned.LoadsWaiting, age(owned.ReportAge),
-			quarantine(owned.Quarantined), strings.Join(adapters, " "))
+		table.row(owned.Engine, owned.Fence, owned.Queued, owned.Running, owned.LoadsWaiting, formatAge(owned.ReportAge),
+			quarantineState(owned.Quarantined), strings.Join(adapters, " "))
 	}
 	table.flush()
 }
@@ -102,23 +102,23 @@
 	table.row("ENGINE", "OWNER", "QUEUED", "RUNNING", "ADAPTERS", "STATE", "AGE")
 	for _, known := range status.Known {
 		table.row(known.State.Engine, known.State.Owner, known.State.Queued, known.State.Running,
-			len(known.State.Resident), quarantine(known.State.Quarantined), age(known.Age))
+			len(known.State.Resident), quarantineState(known.State.Quarantined), formatAge(known.Age))
 	}
 	table.flush()
 }
 
-func quarantine(quarantined bool) string {
+func quarantineState(quarantined bool) string {
 	if quarantined {
 		return "quarantined"
 	}
 	return "in service"
 }
 
-func age(span clock.Millis) string {
-	return span.Duration().String()
+func formatAge(age clock.Millis) string {
+	return age.Duration().String()
 }
 
-// table writes aligned columns.
+// table writes rows of cells in aligned columns.
 type table struct {
 	writer *tabwriter.Writer
 }
--- a/internal/serve/command/version.go
+++ b/internal/serve/command/version.go
@@ -6,7 +6,7 @@
 	"github.com/urfave/cli/v2"
 )
 
-// buildVersion is what the program knows of its own build.
+// buildVersion is the JSON output of the version command.
 type buildVersion struct {
 	Version  string
 	Revision string
--- a/internal/serve/daemon/requests.go
+++ b/internal/serve/daemon/requests.go
@@ -22,8 +22,8 @@
 func (daemon *Daemon) RecordRefusal(record outcome.Record) outcome.Record {
 	record.Daemon = daemon.Self()
 	record.At = daemon.options.Now()
-	daemon.options.Observer.Refused(record.Outcome)
-	daemon.options.Audit.Refusal(record)
+	daemon.options.Observer.CountRefused(record.Outcome)
+	daemon.options.Audit.AddRefusal(record)
 	return record
 }
 
--- a/internal/serve/daemon/sink.go
+++ b/internal/serve/daemon/sink.go
@@ -53,7 +53,7 @@
 	}
 	index := sink.index
 	sink.index++
-	sink.daemon.options.Observer.Relayed(sink.lane, len(payload))
+	sink.daemon.options.Observer.CountRelayed(sink.lane, len(payload))
 	if sink.entry == sink.daemon.Self() {
 		sink.daemon.deliverChunk(sink.stream, index, payload)
 		return nil
@@ -87,7 +87,7 @@
 func (daemon *Daemon) deliverChunk(stream ident.StreamID, index uint64, payload []byte) bool {
 	pending, found := daemon.streams.findPending(stream)
 	if !found {
-		daemon.options.Observer.LateFrame()
+		daemon.options.Observer.CountLateFrame()
 		return false
 	}
 	pending.Inbox.PutChunk(index, payload)
--- a/internal/serve/metrics/gauges.go
+++ b/internal/serve/metrics/gauges.go
@@ -12,18 +12,20 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// Gauge is a value as it is at the time of reading.
+// Gauge is one sample of a series that is read when the metrics are requested. Its
+// family may also be a counter whose total is kept elsewhere.
 type Gauge struct {
 	family family
 	labels []label
 	value  float64
 }
 
+// gauge returns a family of gauges.
 func gauge(name, help string) family {
 	return family{name, help, gaugeKind}
 }
 
-// Families of gauges.
+// Families whose values are read when the metrics are requested.
 var (
 	ready         = gauge("teaselmoor_ready", "1 while the daemon is ready for callers.")
 	draining      = gauge("teaselmoor_draining", "1 while the daemon is shutting down.")
@@ -50,43 +52,47 @@
 	goroutines    = gauge("teaselmoor_goroutines", "Goroutines of the process.")
 	heapBytes     = gauge("teaselmoor_heap_bytes", "Bytes of the heap in use.")
 	processorTime = family{"teaselmoor_processor_milliseconds_total", "Processor time that the process has used.", counterKind}
-	gaugesOrder   = []family{
+	gaugeFamilies = []family{
 		ready, draining, inProgress, keys, configVersion, configAge, contactAge, listVersion, listAge, peers, ownedEngines, queued, running, loadsWaiting, resident, reportAge, quarantined, steps, stepRuns, stepCapacity, stateAge, linesDropped, goroutines, heapBytes, processorTime,
 	}
 )
 
-// Standing is what the runtime knows beside the node's status.
-type Standing struct {
+// RuntimeStatus is the part of a daemon's state that its runtime knows and the node's
+// status does not contain.
+type RuntimeStatus struct {
 	Ready            bool
 	Peers            int
 	ConfigAge        clock.Millis
 	ConfigContactAge clock.Millis
-	// LinesDropped counts the lines of the audit trail that were not written.
+	// LinesDropped is the number of audit lines that were not written.
 	LinesDropped uint64
 }
 
-// StatusGauges describes a daemon's status.
-func StatusGauges(status node.Status, standing Standing) []Gauge {
-	one := func(of family, value float64) Gauge { return Gauge{family: of, value: value} }
+// StatusGauges returns the gauges of a daemon's state and of the engines that it
+// owns.
+func StatusGauges(status node.Status, runtimeStatus RuntimeStatus) []Gauge {
+	one := func(family family, value float64) Gauge { return Gauge{family: family, value: value} }
 	gauges := []Gauge{
-		one(ready, flag(standing.Ready)),
-		one(draining, flag(status.Draining)),
+		one(ready, boolValue(runtimeStatus.Ready)),
+		one(draining, boolValue(status.Draining)),
 		one(inProgress, float64(status.Requests)),
 		one(keys, float64(status.Keys)),
 		one(configVersion, float64(status.ConfigVersion)),
-		one(configAge, float64(standing.ConfigAge)),
-		one(contactAge, float64(standing.ConfigContactAge)),
+		one(configAge, float64(runtimeStatus.ConfigAge)),
+		one(contactAge, float64(runtimeStatus.ConfigContactAge)),
 		one(listVersion, float64(status.VMListVersion)),
 		one(listAge, float64(status.VMListAge)),
-		one(peers, float64(standing.Peers)),
+		one(peers, float64(runtimeStatus.Peers)),
 		one(ownedEngines, float64(len(status.Owned))),
-		one(stateAge, oldest(status)),
-		one(linesDropped, float64(standing.LinesDropped)),
+		one(stateAge, oldestStateAge(status)),
+		one(linesDropped, float64(runtimeStatus.LinesDropped)),
 	}
 	return append(gauges, engineGauges(status.Owned)...)
 }
 
-func oldest(status node.Status) float64 {
+// oldestStateAge returns the age of the oldest state that the daemon knows of an
+// engine.
+func oldestStateAge(status node.Status) float64 {
 	age := 0.0
 	for _, known := range status.Known {
 		age = max(age, float64(known.Age))
@@ -94,7 +100,8 @@
 	return age
 }
 
-// engineGauges lists each family's series together, as the format asks.
+// engineGauges returns the gauges of owned engines. The samples of a family are
+// next to each other, as the exposition format requires.
 func engineGauges(owned []message.EngineState) []Gauge {
 	columns := []struct {
 		family family
@@ -105,7 +112,7 @@
 		{loadsWaiting, func(state message.EngineState) float64 { return float64(state.LoadsWaiting) }},
 		{resident, func(state message.EngineState) float64 { return float64(len(state.Resident)) }},
 		{reportAge, func(state message.EngineState) float64 { return float64(state.ReportAge) }},
-		{quarantined, func(state message.EngineState) float64 { return flag(state.Quarantined) }},
+		{quarantined, func(state message.EngineState) float64 { return boolValue(state.Quarantined) }},
 	}
 	var gauges []Gauge
 	for _, column := range columns {
@@ -118,7 +125,8 @@
 	return gauges
 }
 
-// StepGauges describes how the steps of owned engines are shared.
+// StepGauges returns how many steps the owned engines have run and how many runs
+// shared them, as the engines last reported.
 func (observer *Observer) StepGauges() []Gauge {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
@@ -141,7 +149,8 @@
 	return gauges
 }
 
-// ProcessGauges describes the process.
+// ProcessGauges returns the gauges of the process: goroutines, heap and processor
+// time.
 func ProcessGauges() []Gauge {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -152,7 +161,8 @@
 	}
 }
 
-// processorMillis returns the processor time used, 0 when it cannot be read.
+// processorMillis returns the processor time of the process, or 0 if it cannot be
+// read.
 func processorMillis() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -161,7 +171,7 @@
 	return float64((usage.Utime.Nano() + usage.Stime.Nano()) / 1_000_000)
 }
 
-func flag(set bool) float64 {
+func boolValue(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/internal/serve/metrics/metrics.go
+++ b/internal/serve/metrics/metrics.go
@@ -1,10 +1,11 @@
-// Package metrics counts what a daemon does, from the events that its decision
-// machines take in and the effects that they return; the machines themselves
-// observe nothing. The counters are go-metrics counters in a registry, and Write
-// puts them out in the text exposition format that common collectors read.
+// Package metrics counts what a daemon does. It derives the counters from the events
+// that the daemon's decision code receives and the effects that it returns, so that
+// the decision code itself contains no metrics. The counters are go-metrics counters
+// in a registry, and Write writes them in the text exposition format that common
+// collectors read.
 //
-// Spans are histograms with fixed buckets in milliseconds, so that a collector
-// can add the daemons of a fleet together, which quantiles do not allow.
+// Durations are histograms with fixed buckets in milliseconds, so that a collector
+// can aggregate the daemons of a fleet, which quantiles do not allow.
 package metrics
 
 import (
@@ -15,11 +16,11 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// family is a set of series that differ in their labels.
+// family is a metric: a set of series with the same name and different labels.
 type family struct {
 	name string
 	help string
-	kind string
+	kind string // counterKind, gaugeKind or histogramKind
 }
 
 // Kinds of family in the exposition format.
@@ -29,27 +30,29 @@
 	histogramKind = "histogram"
 )
 
-// Families of counters, in the order in which they are written.
+// Families of counters and histograms. counterFamilies is the order in which they
+// are written.
 var (
-	requests      = family{"teaselmoor_requests_total", "Requests ended at this entry, by class, outcome and reason.", counterKind}
-	requestSpan   = family{"teaselmoor_request_milliseconds", "Span from arrival to the end of the answer, by class and outcome.", histogramKind}
-	firstChunk    = family{"teaselmoor_first_chunk_milliseconds", "Span from arrival to the begin of the answer, by class.", histogramKind}
-	loadStall     = family{"teaselmoor_load_stall_milliseconds", "Span that a request waited for its adapter to load, by class.", histogramKind}
-	loads         = family{"teaselmoor_loads_total", "Adapter loads that this owner ordered, by result.", counterKind}
-	changes       = family{"teaselmoor_changes_total", "Audited changes, by kind.", counterKind}
-	messages      = family{"teaselmoor_messages_total", "Messages between daemons, by direction and lane.", counterKind}
-	relayed       = family{"teaselmoor_relayed_bytes_total", "Bytes of answers relayed by this owner, by lane.", counterKind}
-	lateFrames    = family{"teaselmoor_late_frames_total", "Frames dropped because their stream had ended or moved.", counterKind}
-	familiesOrder = []family{requests, requestSpan, firstChunk, loadStall, loads, changes, messages, relayed, lateFrames}
+	requests        = family{"teaselmoor_requests_total", "Requests ended at this entry, by class, outcome and reason.", counterKind}
+	requestDuration = family{"teaselmoor_request_milliseconds", "Span from arrival to the end of the answer, by class and outcome.", histogramKind}
+	firstChunk      = family{"teaselmoor_first_chunk_milliseconds", "Span from arrival to the begin of the answer, by class.", histogramKind}
+	loadStall       = family{"teaselmoor_load_stall_milliseconds", "Span that a request waited for its adapter to load, by class.", histogramKind}
+	loads           = family{"teaselmoor_loads_total", "Adapter loads that this owner ordered, by result.", counterKind}
+	changes         = family{"teaselmoor_changes_total", "Audited changes, by kind.", counterKind}
+	messages        = family{"teaselmoor_messages_total", "Messages between daemons, by direction and lane.", counterKind}
+	relayed         = family{"teaselmoor_relayed_bytes_total", "Bytes of answers relayed by this owner, by lane.", counterKind}
+	lateFrames      = family{"teaselmoor_late_frames_total", "Frames dropped because their stream had ended or moved.", counterKind}
+	counterFamilies = []family{requests, requestDuration, firstChunk, loadStall, loads, changes, messages, relayed, lateFrames}
 )
 
-// Names lists every metric, for the page that explains them.
+// Names returns the names of all metrics. A test compares them with the page that
+// documents them.
 func Names() []string {
 	var names []string
-	for _, each := range familiesOrder {
+	for _, each := range counterFamilies {
 		names = append(names, each.name)
 	}
-	for _, each := range gaugesOrder {
+	for _, each := range gaugeFamilies {
 		names = append(names, each.name)
 	}
 	return names
@@ -58,29 +61,29 @@
 // bounds are the upper bounds of the buckets of a histogram, in milliseconds.
 var bounds = []int64{1, 2, 5, 10, 20, 50, 100, 200, 380, 500, 1000, 2000, 5000, 10_000, 20_000, 60_000}
 
-// Metrics holds the counters of one daemon. Safe for concurrent use.
+// Metrics holds the counters of one daemon. It is safe for concurrent use.
 type Metrics struct {
 	registry gometrics.Registry
 
-	mutex    sync.RWMutex // guards all below
-	counters map[seriesKey]gometrics.Counter
-	spans    map[seriesKey]*span
-	byName   map[string]gometrics.Counter
-	order    map[string][]string // full names of a family's series, as created
+	mutex      sync.RWMutex // guards all below
+	counters   map[seriesKey]gometrics.Counter
+	histograms map[seriesKey]*histogram
+	byName     map[string]gometrics.Counter // by the full name of the series
+	order      map[string][]string          // full names of the series by family, in order of creation
 }
 
-// New returns counters that have counted nothing.
+// New returns metrics without any series.
 func New() *Metrics {
 	return &Metrics{
-		registry: gometrics.NewRegistry(),
-		counters: map[seriesKey]gometrics.Counter{},
-		spans:    map[seriesKey]*span{},
-		byName:   map[string]gometrics.Counter{},
-		order:    map[string][]string{},
+		registry:   gometrics.NewRegistry(),
+		counters:   map[seriesKey]gometrics.Counter{},
+		histograms: map[seriesKey]*histogram{},
+		byName:     map[string]gometrics.Counter{},
+		order:      map[string][]string{},
 	}
 }
 
-// Registry gives the counters to other go-metrics reporters.
+// Registry returns the registry of the counters, for other go-metrics reporters.
 func (metrics *Metrics) Registry() gometrics.Registry {
 	return metrics.registry
 }
@@ -91,8 +94,8 @@
 	value string
 }
 
-// series is the full name of a series: name{label="value",...}.
-func series(name string, labels ...label) string {
+// seriesName returns the full name of a series: name{label="value",...}.
+func seriesName(name string, labels ...label) string {
 	if len(labels) == 0 {
 		return name
 	}
@@ -103,27 +106,29 @@
 	return name + "{" + strings.Join(parts, ",") + "}"
 }
 
-// maxLabels is the largest number of labels of a series.
+// maxLabels is the maximum number of labels of a series, without the label le of
+// histogram buckets.
 const maxLabels = 3
 
-// seriesKey finds a series without building its name. A family's series have the
-// same labels, so that their values suffice.
+// seriesKey identifies a series, so that it can be found without building its full
+// name. The label names are left out, as all series of a family have the same ones.
 type seriesKey struct {
 	family string
 	values [maxLabels]string
 }
 
-func keyOf(of family, labels []label) seriesKey {
-	key := seriesKey{family: of.name}
+func keyOf(family family, labels []label) seriesKey {
+	key := seriesKey{family: family.name}
 	for i, each := range labels {
 		key.values[i] = each.value
 	}
 	return key
 }
 
-// counter returns a family's counter with the given labels, new at first use.
-func (metrics *Metrics) counter(of family, labels ...label) gometrics.Counter {
-	key := keyOf(of, labels)
+// counter returns a family's counter with the given labels. It creates the counter
+// at first use.
+func (metrics *Metrics) counter(family family, labels ...label) gometrics.Counter {
+	key := keyOf(family, labels)
 	metrics.mutex.RLock()
 	found := metrics.counters[key]
 	metrics.mutex.RUnlock()
@@ -132,54 +137,57 @@
 	}
 	metrics.mutex.Lock()
 	defer metrics.mutex.Unlock()
-	added := metrics.addCounter(of, series(of.name, labels...))
+	added := metrics.addCounter(family, seriesName(family.name, labels...))
 	metrics.counters[key] = added
 	return added
 }
 
-// addCounter returns the counter with a full name. The caller holds the lock.
-func (metrics *Metrics) addCounter(of family, name string) gometrics.Counter {
+// addCounter returns the counter with a full name, which it creates if necessary.
+// The caller must hold the lock.
+func (metrics *Metrics) addCounter(family family, name string) gometrics.Counter {
 	if found := metrics.byName[name]; found != nil {
 		return found
 	}
 	added := gometrics.NewRegisteredCounter(name, metrics.registry)
 	metrics.byName[name] = added
-	metrics.order[of.name] = append(metrics.order[of.name], name)
+	metrics.order[family.name] = append(metrics.order[family.name], name)
 	return added
 }
 
-// span is a histogram of spans in milliseconds.
-type span struct {
-	buckets []gometrics.Counter // cumulative, by index of bounds, the last for +Inf
+// histogram counts durations in milliseconds by bucket.
+type histogram struct {
+	buckets []gometrics.Counter // cumulative, in the order of bounds; the last one is +Inf
 	sum     gometrics.Counter
 	count   gometrics.Counter
 }
 
-// span returns a family's histogram with the given labels, new at first use.
-func (metrics *Metrics) span(of family, labels ...label) *span {
-	key := keyOf(of, labels)
+// histogram returns a family's histogram with the given labels. It creates the
+// histogram at first use.
+func (metrics *Metrics) histogram(family family, labels ...label) *histogram {
+	key := keyOf(family, labels)
 	metrics.mutex.RLock()
-	found := metrics.spans[key]
+	found := metrics.histograms[key]
 	metrics.mutex.RUnlock()
 	if found != nil {
 		return found
 	}
 	metrics.mutex.Lock()
 	defer metrics.mutex.Unlock()
-	if found := metrics.spans[key]; found != nil {
+	if found := metrics.histograms[key]; found != nil {
 		return found
 	}
-	added := &span{}
+	added := &histogram{}
 	for i := 0; i <= len(bounds); i++ {
 		bucket := append(append([]label{}, labels...), label{"le", boundName(i)})
-		added.buckets = append(added.buckets, metrics.addCounter(of, series(of.name+"_bucket", bucket...)))
+		added.buckets = append(added.buckets, metrics.addCounter(family, seriesName(family.name+"_bucket", bucket...)))
 	}
-	added.sum = metrics.addCounter(of, series(of.name+"_sum", labels...))
-	added.count = metrics.addCounter(of, series(of.name+"_count", labels...))
-	metrics.spans[key] = added
+	added.sum = metrics.addCounter(family, seriesName(family.name+"_sum", labels...))
+	added.count = metrics.addCounter(family, seriesName(family.name+"_count", labels...))
+	metrics.histograms[key] = added
 	return added
 }
 
+// boundName returns the value of the label le of a bucket.
 func boundName(index int) string {
 	if index == len(bounds) {
 		return "+Inf"
@@ -187,13 +195,13 @@
 	return fmt.Sprint(bounds[index])
 }
 
-// add counts one span.
-func (span *span) add(millis int64) {
-	for i, bucket := range span.buckets {
+// record counts one duration.
+func (histogram *histogram) record(millis int64) {
+	for i, bucket := range histogram.buckets {
 		if i == len(bounds) || millis <= bounds[i] {
 			bucket.Inc(1)
 		}
 	}
-	span.sum.Inc(millis)
-	span.count.Inc(1)
+	histogram.sum.Inc(millis)
+	histogram.count.Inc(1)
 }
--- a/internal/serve/metrics/metrics_test.go
+++ b/internal/serve/metrics/metrics_test.go
@@ -19,10 +19,11 @@
 	"teaselmoor/internal/serve/metrics"
 )
 
-func text(t *testing.T, counted *metrics.Metrics, gauges ...metrics.Gauge) string {
+// text returns the metrics in the text exposition format.
+func text(t *testing.T, counters *metrics.Metrics, gauges ...metrics.Gauge) string {
 	t.Helper()
 	var out bytes.Buffer
-	require.NoError(t, counted.Write(&out, gauges))
+	require.NoError(t, counters.Write(&out, gauges))
 	return out.String()
 }
 
@@ -31,15 +32,15 @@
 }
 
 func TestRequestAcrossTwoAttempts(t *testing.T) {
-	counted := metrics.New()
-	observer := metrics.NewObserver(counted)
+	counters := metrics.New()
+	observer := metrics.NewObserver(counters)
 	observer.Step(1000, node.RequestArrived{Stream: stream(1)}, nil)
 	observer.Step(1010, node.Tick{}, []effect.Effect{effect.Rebind{From: stream(1), To: stream(2)}})
 	observer.Step(1040, node.Tick{}, []effect.Effect{effect.ForwardAnswer{Stream: stream(2)}})
 	observer.Step(1300, node.Tick{}, []effect.Effect{effect.Answer{
 		Stream: stream(2), Outcome: outcome.Done(), Record: outcome.Record{Class: "Urgent"},
 	}})
-	written := text(t, counted)
+	written := text(t, counters)
 	require.Contains(t, written, `teaselmoor_requests_total{class="Urgent",outcome="Answered",reason="Complete"} 1`)
 	require.Contains(t, written, `teaselmoor_first_chunk_milliseconds_bucket{class="Urgent",le="20"} 0`)
 	require.Contains(t, written, `teaselmoor_first_chunk_milliseconds_bucket{class="Urgent",le="50"} 1`)
@@ -57,22 +58,22 @@
 	submit := func(sequence uint64) node.Event {
 		return node.MessageReceived{Message: message.Submit{Stream: stream(sequence)}}
 	}
-	counted := metrics.New()
-	observer := metrics.NewObserver(counted)
+	counters := metrics.New()
+	observer := metrics.NewObserver(counters)
 	observer.Step(1000, submit(1), nil)
 	observer.Step(1500, node.LoadEnded{Engine: "runner-1", Adapter: adapter}, start(1))
-	observer.Step(1600, submit(2), start(2)) // the adapter is resident: no stall
-	written := text(t, counted)
+	observer.Step(1600, submit(2), start(2)) // the adapter is loaded already, so there is no stall
+	written := text(t, counters)
 	require.Contains(t, written, `teaselmoor_load_stall_milliseconds_sum{class="Routine"} 500`)
 	require.Contains(t, written, `teaselmoor_load_stall_milliseconds_count{class="Routine"} 2`)
 	require.Contains(t, written, `teaselmoor_loads_total{result="done"} 1`)
 }
 
-func TestEachFamilyHasOneHead(t *testing.T) {
-	counted := metrics.New()
-	metrics.NewObserver(counted)
+func TestFamilyHasOneHeader(t *testing.T) {
+	counters := metrics.New()
+	metrics.NewObserver(counters)
 	status := node.Status{Owned: []message.EngineState{{Engine: "runner-1", Queued: 3}, {Engine: "runner-2"}}, VMListAge: 2 * clock.Second}
-	written := text(t, counted, append(metrics.StatusGauges(status, metrics.Standing{Ready: true, Peers: 6}), metrics.ProcessGauges()...)...)
+	written := text(t, counters, append(metrics.StatusGauges(status, metrics.RuntimeStatus{Ready: true, Peers: 6}), metrics.ProcessGauges()...)...)
 	seen := map[string]bool{}
 	for _, line := range strings.Split(written, "\n") {
 		if strings.HasPrefix(line, "# TYPE ") {
@@ -87,30 +88,32 @@
 
 func TestConfigTimes(t *testing.T) {
 	observer := metrics.NewObserver(metrics.New())
-	require.Zero(t, observer.Config())
+	require.Zero(t, observer.ConfigTimes())
 	observer.Step(10, node.ConfigWatched{Result: rollout.WatchResult{Cause: "refused"}}, nil)
-	require.Zero(t, observer.Config().ContactAt)
+	require.Zero(t, observer.ConfigTimes().ContactAt)
 	observer.Step(20, node.ConfigWatched{}, []effect.Effect{effect.Audit{Kind: effect.ConfigAccepted}})
-	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 20}, observer.Config())
+	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 20}, observer.ConfigTimes())
 	observer.Step(30, node.MessageReceived{Message: message.ConfigOffer{Contact: true}}, nil)
 	observer.Step(40, node.MessageReceived{Message: message.ConfigOffer{}}, nil)
-	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 30}, observer.Config())
+	require.Equal(t, metrics.ConfigTimes{AcceptedAt: 20, ContactAt: 30}, observer.ConfigTimes())
 }
 
-// BenchmarkObserver counts one answered request at its entry.
+// BenchmarkObserver measures the cost of one answered request at its entry.
 func BenchmarkObserver(b *testing.B) {
 	observer := metrics.NewObserver(metrics.New())
-	opened := []effect.Effect{effect.ForwardAnswer{Stream: stream(1)}}
+	answered := []effect.Effect{effect.ForwardAnswer{Stream: stream(1)}}
 	ended := []effect.Effect{effect.Answer{Stream: stream(1), Outcome: outcome.Done(), Record: outcome.Record{Class: "Urgent"}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		observer.Step(1000, node.RequestArrived{Stream: stream(1)}, nil)
-		observer.Step(1010, node.Tick{}, opened)
+		observer.Step(1010, node.Tick{}, answered)
 		observer.Step(1300, node.Tick{}, ended)
 	}
 }
 
-func TestStepsFollowTheOwner(t *testing.T) {
+// TestStepGaugesOfOwner checks that the step gauges of an engine are dropped when
+// the daemon no longer owns it.
+func TestStepGaugesOfOwner(t *testing.T) {
 	observer := metrics.NewObserver(metrics.New())
 	reported := node.EngineReported{Engine: "runner-1", Report: owner.Report{Steps: owner.Steps{Count: 10, Runs: 40, Capacity: 8}}}
 	observer.Step(10, reported, nil)
--- a/internal/serve/metrics/observe.go
+++ b/internal/serve/metrics/observe.go
@@ -14,50 +14,51 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// Bounds of what is remembered for the measure of load stalls. A map that
-// reaches its bound is emptied: some stalls then go uncounted.
+// Limits on the entries kept to measure load stalls. A map that reaches its limit
+// is cleared, so that some stalls are not counted.
 const (
-	maxLoadEnds = 16384
-	maxWaiting  = 65536
+	maxLoadEnds = 16384 // adapter loads
+	maxWaiting  = 65536 // requests
 )
 
-// Observer derives the counters from a node's events and effects. Safe for
-// concurrent use.
+// Observer updates the counters of a daemon from its node's events and effects. It
+// is safe for concurrent use.
 type Observer struct {
 	metrics *Metrics
 	relayed [message.LaneCount]gometrics.Counter
 	late    gometrics.Counter
 
 	mutex    sync.Mutex // guards all below
-	inFlight map[ident.StreamID]flight
-	waiting  map[ident.StreamID]clock.Millis // submission of a request at its owner
-	loadEnds map[loadKey]clock.Millis
+	inFlight map[ident.StreamID]inFlightRequest
+	waiting  map[ident.StreamID]clock.Millis // when requests of other daemons were submitted to this owner
+	loadEnds map[loadKey]clock.Millis        // when adapters were last loaded
 	config   ConfigTimes
 	steps    map[ident.EngineID]owner.Steps // of owned engines, as last reported
 }
 
-// ConfigTimes tells how fresh a daemon's configuration is.
+// ConfigTimes holds the times that tell how fresh a daemon's configuration is.
 type ConfigTimes struct {
 	// AcceptedAt is when the configuration in force was accepted.
 	AcceptedAt clock.Millis
-	// ContactAt is when this daemon, or a peer that it heard from, last had an
-	// answer of the configuration service.
+	// ContactAt is when this daemon last received an answer of the configuration
+	// service, or a peer's message that the peer had received one.
 	ContactAt clock.Millis
 }
 
-// Config returns the times of the configuration; 0 means never.
-func (observer *Observer) Config() ConfigTimes {
+// ConfigTimes returns the times of the configuration. A time of 0 means never.
+func (observer *Observer) ConfigTimes() ConfigTimes {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
 	return observer.config
 }
 
-// flight is a request at its entry.
-type flight struct {
-	arrivedAt clock.Millis
-	openedAt  clock.Millis
+// inFlightRequest is a request in progress at its entry.
+type inFlightRequest struct {
+	arrivedAt  clock.Millis
+	answeredAt clock.Millis // start of the answer, 0 before
 }
 
+// loadKey identifies an adapter at an engine.
 type loadKey struct {
 	engine  ident.EngineID
 	adapter ident.Adapter
@@ -68,7 +69,7 @@
 	observer := &Observer{
 		metrics:  metrics,
 		late:     metrics.counter(lateFrames),
-		inFlight: map[ident.StreamID]flight{},
+		inFlight: map[ident.StreamID]inFlightRequest{},
 		waiting:  map[ident.StreamID]clock.Millis{},
 		loadEnds: map[loadKey]clock.Millis{},
 		steps:    map[ident.EngineID]owner.Steps{},
@@ -86,30 +87,31 @@
 	return label{"lane", names[lane]}
 }
 
-// Relayed counts bytes of an answer sent on a lane.
-func (observer *Observer) Relayed(lane message.Lane, bytes int) {
+// CountRelayed counts bytes of an answer sent on a lane.
+func (observer *Observer) CountRelayed(lane message.Lane, bytes int) {
 	observer.relayed[lane].Inc(int64(bytes))
 }
 
-// LateFrame counts a frame whose stream has ended or moved.
-func (observer *Observer) LateFrame() {
+// CountLateFrame counts a frame that was dropped because its stream had ended or moved.
+func (observer *Observer) CountLateFrame() {
 	observer.late.Inc(1)
 }
 
-// Step takes in one step of the node.
+// Step updates the counters from one step of the node: an event and the effects
+// that it led to.
 func (observer *Observer) Step(now clock.Millis, event node.Event, effects []effect.Effect) {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
-	observer.event(now, event)
+	observer.countEvent(now, event)
 	for _, next := range effects {
-		observer.effect(now, next)
+		observer.countEffect(now, next)
 	}
 }
 
-func (observer *Observer) event(now clock.Millis, event node.Event) {
+func (observer *Observer) countEvent(now clock.Millis, event node.Event) {
 	switch event := event.(type) {
 	case node.RequestArrived:
-		observer.inFlight[event.Stream] = flight{arrivedAt: now}
+		observer.inFlight[event.Stream] = inFlightRequest{arrivedAt: now}
 	case node.MessageReceived:
 		observer.metrics.counter(messages, label{"direction", "received"}, laneLabel(event.Message.Lane())).Inc(1)
 		observer.received(now, event.Message)
@@ -150,19 +152,19 @@
 	observer.loadEnds[loadKey{event.Engine, event.Adapter}] = now
 }
 
-func (observer *Observer) effect(now clock.Millis, next effect.Effect) {
+func (observer *Observer) countEffect(now clock.Millis, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.Answer:
 		observer.answer(now, next)
 	case effect.ForwardAnswer:
-		if opened, found := observer.inFlight[next.Stream]; found && opened.openedAt == 0 {
-			opened.openedAt = now
-			observer.inFlight[next.Stream] = opened
+		if request, found := observer.inFlight[next.Stream]; found && request.answeredAt == 0 {
+			request.answeredAt = now
+			observer.inFlight[next.Stream] = request
 		}
 	case effect.Rebind:
-		if moved, found := observer.inFlight[next.From]; found {
+		if request, found := observer.inFlight[next.From]; found {
 			delete(observer.inFlight, next.From)
-			observer.inFlight[next.To] = moved
+			observer.inFlight[next.To] = request
 		}
 	case effect.StartRun:
 		observer.startRun(next)
@@ -182,8 +184,8 @@
 	}
 }
 
-// sent forgets requests that wait at this owner no longer: ended ones, and those
-// passed on to another owner.
+// sent removes the requests that no longer wait at this owner, because they ended
+// or were forwarded to another owner.
 func (observer *Observer) sent(next message.Message) {
 	switch sent := next.(type) {
 	case message.Ended:
@@ -193,22 +195,25 @@
 	}
 }
 
+// answer counts a request that ended at its entry.
 func (observer *Observer) answer(now clock.Millis, ended effect.Answer) {
-	passed := observer.inFlight[ended.Stream]
+	request := observer.inFlight[ended.Stream]
 	delete(observer.inFlight, ended.Stream)
 	class := label{"class", ended.Record.Class}
 	kind := label{"outcome", string(ended.Outcome.Kind)}
 	observer.metrics.counter(requests, class, kind, label{"reason", string(ended.Outcome.Reason)}).Inc(1)
-	if passed.arrivedAt != 0 {
-		observer.metrics.span(requestSpan, class, kind).add(int64(now - passed.arrivedAt))
+	if request.arrivedAt != 0 {
+		observer.metrics.histogram(requestDuration, class, kind).record(int64(now - request.arrivedAt))
 	}
-	if passed.openedAt != 0 {
-		observer.metrics.span(firstChunk, class).add(int64(passed.openedAt - passed.arrivedAt))
+	if request.answeredAt != 0 {
+		observer.metrics.histogram(firstChunk, class).record(int64(request.answeredAt - request.arrivedAt))
 	}
 }
 
-// startRun measures the load stall: the part of the wait that ended with the
-// load of the request's own adapter.
+// startRun records the load stall of a request: the time from its arrival to the end
+// of the load of its adapter, or 0 if the adapter was loaded before. The arrival is
+// that at this owner, or at the entry if both are this daemon. Resumed runs are not
+// recorded.
 func (observer *Observer) startRun(start effect.StartRun) {
 	since, remote := observer.waiting[start.Stream]
 	delete(observer.waiting, start.Stream)
@@ -219,11 +224,11 @@
 	if since == 0 || start.Resume {
 		return
 	}
-	observer.metrics.span(loadStall, label{"class", start.Request.Class.String()}).add(int64(max(0, loadedAt-since)))
+	observer.metrics.histogram(loadStall, label{"class", start.Request.Class.String()}).record(int64(max(0, loadedAt-since)))
 }
 
-// Refused counts a request that was refused before the decision machines saw it.
-func (observer *Observer) Refused(refusal outcome.Outcome) {
+// CountRefused counts a request that was refused before it reached the node.
+func (observer *Observer) CountRefused(refusal outcome.Outcome) {
 	observer.metrics.counter(requests, label{"class", ""}, label{"outcome", string(refusal.Kind)},
 		label{"reason", string(refusal.Reason)}).Inc(1)
 }
--- a/internal/serve/operators/operators.go
+++ b/internal/serve/operators/operators.go
@@ -77,7 +77,7 @@
 
 func (api *API) handleMetrics(writer http.ResponseWriter, _ *http.Request) {
 	status := api.daemon.Status()
-	gauges := metrics.StatusGauges(status.Status, metrics.Standing{
+	gauges := metrics.StatusGauges(status.Status, metrics.RuntimeStatus{
 		Ready: status.Ready, Peers: len(status.Peers),
 		ConfigAge: status.ConfigAge, ConfigContactAge: status.ConfigContactAge,
 		LinesDropped: api.trail.Dropped(),
--- a/internal/serve/program/leaving_test.go
+++ b/internal/serve/program/leaving_test.go
@@ -14,9 +14,10 @@
 	"teaselmoor/internal/standin/site"
 )
 
-func readList(t testing.TB, running *site.Site) members.List {
+// fetchVMList reads the VM list from the stand-in of the platform.
+func fetchVMList(t testing.TB, testSite *site.Site) members.List {
 	t.Helper()
-	response, err := http.Get("http://" + running.Settings[0].VMListAddress + platform.VMsPath)
+	response, err := http.Get("http://" + testSite.Settings[0].VMListAddress + platform.VMsPath)
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	var list members.List
@@ -24,19 +25,19 @@
 	return list
 }
 
-// TestLeavingDaemonFinishes marks every daemon in turn as leaving while answers
-// stream through it; each of them is complete.
-func TestLeavingDaemonFinishes(t *testing.T) {
+// TestLeavingDaemonCompletesAnswers marks each daemon in turn as leaving in the VM
+// list while answers stream through all daemons. Every answer must be complete.
+func TestLeavingDaemonCompletesAnswers(t *testing.T) {
 	options := site.DefaultOptions()
 	options.Engine.StepInterval = 10 * time.Millisecond
-	running := startSite(t, options)
-	list := readList(t, running)
+	testSite := startSite(t, options)
+	list := fetchVMList(t, testSite)
 	daemons := slices.DeleteFunc(slices.Clone(list.VMs), func(vm members.VM) bool { return vm.Role != members.EntryRole })
 	for _, leaving := range daemons {
 		answers := make(chan answer)
 		streams := 0
-		for _, entry := range running.Settings {
-			for _, adapter := range running.Config.Adapters[:3] {
+		for _, entry := range testSite.Settings {
+			for _, adapter := range testSite.Config.Adapters[:3] {
 				if adapter.Labels["task"] == "quote" {
 					continue
 				}
@@ -46,21 +47,22 @@
 				}()
 			}
 		}
-		waitFor(t, func() bool { return runningRuns(running) > 0 })
-		changed := slices.Clone(list.VMs)
-		changed[slices.IndexFunc(changed, func(vm members.VM) bool { return vm.Name == leaving.Name })].State = members.Leaving
-		running.Platform.SetVMs(changed)
+		waitFor(t, func() bool { return countActiveRuns(testSite) > 0 })
+		vms := slices.Clone(list.VMs)
+		vms[slices.IndexFunc(vms, func(vm members.VM) bool { return vm.Name == leaving.Name })].State = members.Leaving
+		testSite.Platform.SetVMs(vms)
 		for range streams {
 			got := <-answers
 			require.Equal(t, http.StatusOK, got.status, "%s leaves: %s", leaving.Name, got.body)
 		}
-		running.Platform.SetVMs(list.VMs)
+		testSite.Platform.SetVMs(list.VMs)
 	}
 }
 
-func runningRuns(running *site.Site) int {
+// countActiveRuns counts the runs in progress at all engines.
+func countActiveRuns(testSite *site.Site) int {
 	count := 0
-	for _, engine := range running.Engines {
+	for _, engine := range testSite.Engines {
 		for _, entry := range engine.Ledger() {
 			if entry.Ended == "" {
 				count++
--- a/internal/serve/program/listen.go
+++ b/internal/serve/program/listen.go
@@ -24,14 +24,15 @@
 	return errors.Wrapf(err, "serve %s", server.listener.Addr())
 }
 
-// endpoint is an address to serve and its limits.
+// endpoint is an address to serve, with its handler and connection limit.
 type endpoint struct {
 	address        string
 	handler        http.Handler
 	maxConnections int // 0 means no limit
 }
 
-// listen opens all listeners, so that a taken address stops the start.
+// listen opens all listeners before any is served, so that the daemon does not
+// start when one of the addresses is in use.
 func listen(endpoints []endpoint, limits settings.Callers) ([]*server, error) {
 	servers := make([]*server, 0, len(endpoints))
 	for _, each := range endpoints {
@@ -59,31 +60,32 @@
 	}
 }
 
-// limitListener accepts a connection only while fewer than a limit are open.
+// limitListener accepts a connection only while fewer than its limit are open.
+// Each open connection holds a slot in the channel slots.
 type limitListener struct {
 	net.Listener
-	tokens chan struct{}
+	slots  chan struct{}
 	closed chan struct{}
 	once   sync.Once // closes closed
 }
 
 func newLimitListener(listener net.Listener, limit int) *limitListener {
-	return &limitListener{Listener: listener, tokens: make(chan struct{}, limit), closed: make(chan struct{})}
+	return &limitListener{Listener: listener, slots: make(chan struct{}, limit), closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
 func (listener *limitListener) Accept() (net.Conn, error) {
 	select {
-	case listener.tokens <- struct{}{}:
+	case listener.slots <- struct{}{}:
 	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 	accepted, err := listener.Listener.Accept()
 	if err != nil {
-		<-listener.tokens
+		<-listener.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: accepted, release: func() { <-listener.tokens }}, nil
+	return &limitedConn{Conn: accepted, release: func() { <-listener.slots }}, nil
 }
 
 // Close implements net.Listener.
@@ -92,7 +94,7 @@
 	return listener.Listener.Close()
 }
 
-// limitedConn gives its token back when it is closed.
+// limitedConn frees its slot at the limitListener when it is closed.
 type limitedConn struct {
 	net.Conn
 	once    sync.Once // calls release
--- a/internal/serve/program/listen_test.go
+++ b/internal/serve/program/listen_test.go
@@ -14,25 +14,25 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// TestConnectionsAreBounded opens as many connections as the settings allow; the
-// next one is served once another is closed.
-func TestConnectionsAreBounded(t *testing.T) {
-	standIns, endStandIns := context.WithCancel(context.Background())
+// TestConnectionLimit opens as many connections as the settings allow. The next
+// one must be served only after one of them is closed.
+func TestConnectionLimit(t *testing.T) {
+	standIns, stopStandIns := context.WithCancel(context.Background())
 	options := site.DefaultOptions()
 	options.Daemons = 1
-	running, err := site.New(standIns, options)
+	testSite, err := site.New(standIns, options)
 	require.NoError(t, err)
-	entry := running.Settings[0]
+	entry := testSite.Settings[0]
 	entry.Callers.MaxConnections = 1
 	entry.Operators.Profiling = true
-	daemons, endDaemons := context.WithCancel(context.Background())
+	daemons, stopDaemons := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- program.Serve(daemons, entry, slog.New(slog.DiscardHandler)) }()
 	defer func() {
-		endDaemons()
+		stopDaemons()
 		require.NoError(t, <-ended)
-		endStandIns()
-		running.Wait()
+		stopStandIns()
+		testSite.Wait()
 	}()
 	waitFor(t, func() bool { return isReady(entry) })
 	status, _ := fetch(t, entry, operators.ProfilePath)
@@ -59,16 +59,17 @@
 	require.Equal(t, http.StatusNotFound, <-answered)
 }
 
-// TestTakenAddressStopsTheStart asks for an address that something listens on.
-func TestTakenAddressStopsTheStart(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+// TestAddressInUse starts a daemon whose operator address is already in use. Serve
+// must return an error.
+func TestAddressInUse(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
-	standIns, endStandIns := context.WithCancel(context.Background())
-	running, err := site.New(standIns, site.DefaultOptions())
+	defer func() { _ = listener.Close() }()
+	standIns, stopStandIns := context.WithCancel(context.Background())
+	testSite, err := site.New(standIns, site.DefaultOptions())
 	require.NoError(t, err)
-	defer func() { endStandIns(); running.Wait() }()
-	entry := running.Settings[0]
-	entry.OperatorAddress = taken.Addr().String()
+	defer func() { stopStandIns(); testSite.Wait() }()
+	entry := testSite.Settings[0]
+	entry.OperatorAddress = listener.Addr().String()
 	require.ErrorContains(t, program.Serve(t.Context(), entry, slog.New(slog.DiscardHandler)), "address already in use")
 }
--- a/internal/serve/program/observe_test.go
+++ b/internal/serve/program/observe_test.go
@@ -21,7 +21,7 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// logBuffer is a log that several daemons write.
+// logBuffer collects the log of several daemons.
 type logBuffer struct {
 	mutex sync.Mutex // guards text
 	text  bytes.Buffer
@@ -39,9 +39,10 @@
 	return buffer.text.String()
 }
 
-func fetch(t testing.TB, of settings.Settings, path string) (int, []byte) {
+// fetch reads a path of a daemon's operator API.
+func fetch(t testing.TB, entry settings.Settings, path string) (int, []byte) {
 	t.Helper()
-	response, err := http.Get("http://" + of.OperatorAddress + path)
+	response, err := http.Get("http://" + entry.OperatorAddress + path)
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
@@ -49,15 +50,16 @@
 	return response.StatusCode, text
 }
 
-// TestRefusalsAreExplained follows a refusal from the caller's answer to the
-// audit trail, the record, the counters and the log.
-func TestRefusalsAreExplained(t *testing.T) {
+// TestRefusalIsRecorded checks that a refused request appears in the caller's
+// answer, the audit trail, the decision record, the metrics and the log, and that
+// the log holds neither API keys nor prompts.
+func TestRefusalIsRecorded(t *testing.T) {
 	log := &logBuffer{}
 	options := site.DefaultOptions()
 	options.LogLevel = "Debug"
-	running := startLoggedSite(t, options, slog.New(slog.NewJSONHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	entry := running.Settings[0]
-	require.Equal(t, http.StatusOK, post(t, entry, callers.CompletionsPath, "", `{"model":"`+running.Adapter("review")+`"}`).status)
+	testSite := startLoggedSite(t, options, slog.New(slog.NewJSONHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	entry := testSite.Settings[0]
+	require.Equal(t, http.StatusOK, post(t, entry, callers.CompletionsPath, "", `{"model":"`+testSite.Adapter("review")+`"}`).status)
 	refused := post(t, entry, callers.CompletionsPath, "", `{"model":"nothing@1","prompt":"private words"}`)
 	require.Equal(t, "UnknownModel", refused.reason)
 	malformed := post(t, entry, callers.CompletionsPath, "", `{"model":17}`)
@@ -68,7 +70,7 @@
 	require.NoError(t, json.Unmarshal(text, &page))
 	require.Len(t, page.Events, 2)
 	require.Equal(t, "UnknownModel", page.Events[0].Cause)
-	require.Equal(t, running.Config.Callers[0].Name, page.Events[0].Record.Caller)
+	require.Equal(t, testSite.Config.Callers[0].Name, page.Events[0].Record.Caller)
 
 	_, text = fetch(t, entry, operators.RecordsPath+page.Events[0].Object)
 	var record outcome.Record
@@ -88,14 +90,15 @@
 	status, _ = fetch(t, entry, operators.ProfilePath)
 	require.Equal(t, http.StatusNotFound, status, "profiles are off by default")
 
-	waitFor(t, func() bool { return strings.Contains(log.String(), page.Events[1].Object) }) // the audit line names the request
+	waitFor(t, func() bool { return strings.Contains(log.String(), page.Events[1].Object) }) // the audit line contains the request id
 	require.Contains(t, log.String(), `"msg":"run ended"`)
 	require.NotContains(t, log.String(), site.CallerKey)
 	require.NotContains(t, log.String(), "private words")
 }
 
-// TestLogLevelSparesAudit raises the level above that of the audit lines.
-func TestLogLevelSparesAudit(t *testing.T) {
+// TestAuditIgnoresLogLevel sets a log level above that of the audit lines. They
+// must still be written, and other lines must not.
+func TestAuditIgnoresLogLevel(t *testing.T) {
 	log := &logBuffer{}
 	options := site.DefaultOptions()
 	options.Daemons = 1
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -19,7 +19,7 @@
 	"teaselmoor/internal/serve/callers"
 )
 
-// Options are what the parts of a daemon take from the settings.
+// Options holds the options of a daemon's components that come from its settings.
 type Options struct {
 	Node     node.Options
 	Engines  engine.Options
@@ -29,8 +29,9 @@
 	Audit    audit.Options
 }
 
-// OptionsOf translates settings. What no setting names keeps its default.
-func OptionsOf(settings settings.Settings) Options {
+// OptionsFromSettings converts settings to the options of the components. An option without
+// a setting keeps its default.
+func OptionsFromSettings(settings settings.Settings) Options {
 	return Options{
 		Node: nodeOptions(settings),
 		Engines: engine.Options{
@@ -44,7 +45,7 @@
 			MaxIdle: settings.Services.MaxIdleConnections, MaxAnswer: settings.Services.MaxAnswerBytes,
 		},
 		Timing: link.Timing{
-			Ping: settings.Peers.PingMillis, Silence: settings.Peers.SilenceMillis, Redial: settings.Peers.RedialMillis,
+			PingInterval: settings.Peers.PingMillis, SilenceTimeout: settings.Peers.SilenceMillis, RedialInterval: settings.Peers.RedialMillis,
 		},
 		Callers: callers.Options{MaxBodyBytes: settings.Callers.MaxBodyBytes, MaxKeyBytes: settings.Callers.MaxKeyBytes, BodyTimeout: settings.Callers.BodyTimeoutMillis},
 		Audit: audit.Options{
@@ -119,35 +120,36 @@
 	return options
 }
 
-// started completes the options with the start of this life of the daemon.
-func started(options node.Options) node.Options {
+// withStart sets the start time of the process and the incarnation number that is
+// derived from it.
+func withStart(options node.Options) node.Options {
 	options.StartedAt = clock.System()
 	options.Incarnation = ident.Incarnation(options.StartedAt)
 	return options
 }
 
-// levels are the words for log levels in the settings.
+// levels maps the log levels in the settings to those of slog.
 var levels = map[string]slog.Level{
 	"Debug": slog.LevelDebug, "Info": slog.LevelInfo, "Warn": slog.LevelWarn, "Error": slog.LevelError,
 }
 
-// levelHandler drops lines below a level. The audit trail does not pass it.
+// levelHandler drops log lines below minLevel. Audit lines are not written through it.
 type levelHandler struct {
 	slog.Handler
-	least slog.Level
+	minLevel slog.Level
 }
 
 // Enabled implements slog.Handler.
 func (handler levelHandler) Enabled(ctx context.Context, level slog.Level) bool {
-	return level >= handler.least && handler.Handler.Enabled(ctx, level)
+	return level >= handler.minLevel && handler.Handler.Enabled(ctx, level)
 }
 
 // WithAttrs implements slog.Handler.
 func (handler levelHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
-	return levelHandler{Handler: handler.Handler.WithAttrs(attributes), least: handler.least}
+	return levelHandler{Handler: handler.Handler.WithAttrs(attributes), minLevel: handler.minLevel}
 }
 
 // WithGroup implements slog.Handler.
 func (handler levelHandler) WithGroup(name string) slog.Handler {
-	return levelHandler{Handler: handler.Handler.WithGroup(name), least: handler.least}
+	return levelHandler{Handler: handler.Handler.WithGroup(name), minLevel: handler.minLevel}
 }
--- a/internal/serve/program/options_test.go
+++ b/internal/serve/program/options_test.go
@@ -17,10 +17,10 @@
 	"teaselmoor/internal/serve/program"
 )
 
-// TestDefaultsAgree holds the defaults of the settings against those of the
-// parts that use them. A default that changes in one place changes in the other.
+// TestDefaultsAgree checks that the default settings and the default options of
+// the components are the same, so that a default can't be changed in one place only.
 func TestDefaultsAgree(t *testing.T) {
-	options := program.OptionsOf(settings.Default())
+	options := program.OptionsFromSettings(settings.Default())
 	require.Equal(t, node.DefaultOptions(), options.Node)
 	require.Equal(t, engine.DefaultOptions(), options.Engines)
 	require.Equal(t, service.DefaultOptions(), options.Services)
@@ -28,32 +28,33 @@
 	require.Equal(t, callers.DefaultOptions(), options.Callers)
 }
 
-// notSettings are options that are no limits: who the daemon is and when it
-// started, and the policies that replays compare.
+// notSettings are the options that no setting changes: the start of the daemon,
+// and the load policies that only replays vary.
 var notSettings = map[string]bool{
 	"Node.StartedAt": true, "Node.Incarnation": true,
-	"Node.Loads.Interval":    true, // from the rate of a store that several regions share
+	"Node.Loads.Interval":    true, // derived from the rate of a weight store that several regions share
 	"Node.Loads.NeverRefuse": true, "Node.Loads.MostWaiters": true, "Node.Loads.ArrivalOrder": true,
 }
 
-// TestEveryLimitIsASetting changes every setting and looks for options that
-// stayed as they were.
-func TestEveryLimitIsASetting(t *testing.T) {
+// TestEveryOptionHasASetting changes every setting and checks that every option
+// changes with them, apart from notSettings.
+func TestEveryOptionHasASetting(t *testing.T) {
 	changed := settings.Default()
 	changeAll(reflect.ValueOf(&changed).Elem())
 	before, after := map[string]any{}, map[string]any{}
-	leaves(reflect.ValueOf(program.OptionsOf(settings.Default())), "", before)
-	leaves(reflect.ValueOf(program.OptionsOf(changed)), "", after)
+	collectLeaves(reflect.ValueOf(program.OptionsFromSettings(settings.Default())), "", before)
+	collectLeaves(reflect.ValueOf(program.OptionsFromSettings(changed)), "", after)
 	for name, value := range before {
 		if !notSettings[name] {
-			require.NotEqual(t, value, after[name], "%s cannot be set", name)
+			require.NotEqual(t, value, after[name], "no setting changes %s", name)
 		}
 	}
 }
 
-func changeAll(of reflect.Value) {
-	for i := range of.NumField() {
-		switch field := of.Field(i); field.Kind() {
+// changeAll changes every field of a struct.
+func changeAll(value reflect.Value) {
+	for i := range value.NumField() {
+		switch field := value.Field(i); field.Kind() {
 		case reflect.Struct:
 			changeAll(field)
 		case reflect.Int, reflect.Int64:
@@ -68,19 +69,20 @@
 	}
 }
 
-// leaves lists the plain fields of a struct by path.
-func leaves(of reflect.Value, path string, into map[string]any) {
-	switch of.Kind() {
+// collectLeaves stores the values of all fields and array elements that are not
+// structs, functions or interfaces in values, by their path.
+func collectLeaves(value reflect.Value, path string, values map[string]any) {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range of.NumField() {
-			leaves(of.Field(i), strings.TrimPrefix(path+"."+of.Type().Field(i).Name, "."), into)
+		for i := range value.NumField() {
+			collectLeaves(value.Field(i), strings.TrimPrefix(path+"."+value.Type().Field(i).Name, "."), values)
 		}
 	case reflect.Array:
-		for i := range of.Len() {
-			leaves(of.Index(i), fmt.Sprintf("%s[%d]", path, i), into)
+		for i := range value.Len() {
+			collectLeaves(value.Index(i), fmt.Sprintf("%s[%d]", path, i), values)
 		}
 	case reflect.Func, reflect.Interface:
 	default:
-		into[path] = of.Interface()
+		values[path] = value.Interface()
 	}
 }
--- a/internal/serve/program/path_test.go
+++ b/internal/serve/program/path_test.go
@@ -24,37 +24,38 @@
 	"teaselmoor/internal/standin/site"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// startSite runs a site and its daemons in this process until the test ends.
+// startSite runs a site of stand-ins and its daemons in this process until the
+// test ends. It returns when all daemons are ready.
 func startSite(t testing.TB, options site.Options) *site.Site {
 	t.Helper()
 	return startLoggedSite(t, options, slog.New(slog.DiscardHandler))
 }
 
-// startLoggedSite is startSite with a log.
+// startLoggedSite is like startSite; the daemons write to log.
 func startLoggedSite(t testing.TB, options site.Options, log *slog.Logger) *site.Site {
 	t.Helper()
-	standIns, endStandIns := context.WithCancel(context.Background())
-	running, err := site.New(standIns, options)
+	standIns, stopStandIns := context.WithCancel(context.Background())
+	testSite, err := site.New(standIns, options)
 	require.NoError(t, err)
-	daemons, endDaemons := context.WithCancel(context.Background())
-	ends := make(chan error, len(running.Settings))
-	for _, each := range running.Settings {
+	daemons, stopDaemons := context.WithCancel(context.Background())
+	ends := make(chan error, len(testSite.Settings))
+	for _, each := range testSite.Settings {
 		go func() { ends <- program.Serve(daemons, each, log) }()
 	}
 	t.Cleanup(func() {
-		endDaemons()
-		for range running.Settings {
+		stopDaemons()
+		for range testSite.Settings {
 			require.NoError(t, <-ends)
 		}
-		endStandIns()
-		running.Wait()
+		stopStandIns()
+		testSite.Wait()
 	})
-	for _, each := range running.Settings {
+	for _, each := range testSite.Settings {
 		waitFor(t, func() bool { return isReady(each) })
 	}
-	return running
+	return testSite
 }
 
 func isReady(each settings.Settings) bool {
@@ -66,13 +67,13 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// waitFor waits for a condition, never for a time.
+// waitFor waits until condition holds and fails the test after waitTimeout.
 func waitFor(t testing.TB, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, patience, 10*time.Millisecond)
+	require.Eventually(t, condition, waitTimeout, 10*time.Millisecond)
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	outcome string
@@ -80,6 +81,8 @@
 	body    []byte
 }
 
+// post sends a request to a daemon's caller address with the site's API key, and
+// with an idempotency key unless key is empty.
 func post(t testing.TB, entry settings.Settings, path, key, body string) answer {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+entry.CallerAddress+path, strings.NewReader(body))
@@ -99,12 +102,13 @@
 	}
 }
 
-// TestEveryEntryServes sends requests for many adapters through each daemon:
-// entry and owner are the same daemon for some and different ones for others.
+// TestEveryEntryServes sends requests for several adapters through each daemon, so
+// that some requests arrive at the owner of their engine and others at another
+// daemon.
 func TestEveryEntryServes(t *testing.T) {
-	running := startSite(t, site.DefaultOptions())
-	for _, entry := range running.Settings {
-		for _, adapter := range running.Config.Adapters[:6] {
+	testSite := startSite(t, site.DefaultOptions())
+	for _, entry := range testSite.Settings {
+		for _, adapter := range testSite.Config.Adapters[:6] {
 			if adapter.Labels["task"] == "quote" {
 				continue
 			}
@@ -122,18 +126,18 @@
 	}
 }
 
-// TestOpenAIClient drives the public client against a daemon, unchanged.
+// TestOpenAIClient uses the public OpenAI client, unmodified, with a daemon.
 func TestOpenAIClient(t *testing.T) {
-	running := startSite(t, site.DefaultOptions())
-	model := running.Adapter("review")
+	testSite := startSite(t, site.DefaultOptions())
+	model := testSite.Adapter("review")
 	client := openai.NewClient(
-		option.WithBaseURL("http://"+running.Settings[0].CallerAddress+"/v1/"), option.WithAPIKey(site.CallerKey))
+		option.WithBaseURL("http://"+testSite.Settings[0].CallerAddress+"/v1/"), option.WithAPIKey(site.CallerKey))
 
-	whole, err := client.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
+	completion, err := client.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 		Model: model, Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")}, MaxTokens: openai.Int(2),
 	})
 	require.NoError(t, err)
-	require.Equal(t, model+"#0 "+model+"#1 ", whole.Choices[0].Message.Content)
+	require.Equal(t, model+"#0 "+model+"#1 ", completion.Choices[0].Message.Content)
 
 	stream := client.Chat.Completions.NewStreaming(t.Context(), openai.ChatCompletionNewParams{
 		Model: model, Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")}, MaxTokens: openai.Int(3),
@@ -147,7 +151,7 @@
 
 	models, err := client.Models.List(t.Context())
 	require.NoError(t, err)
-	require.Len(t, models.Data, len(running.Config.Adapters))
+	require.Len(t, models.Data, len(testSite.Config.Adapters))
 
 	_, err = client.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 		Model: "nothing@1", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
@@ -157,48 +161,50 @@
 	require.Equal(t, "UnknownModel", refusal.Code)
 }
 
-// TestServiceCallRunsOnce repeats a call under its key through every daemon.
+// TestServiceCallRunsOnce repeats a service call with the same idempotency key
+// through every daemon. The call must run once.
 func TestServiceCallRunsOnce(t *testing.T) {
-	running := startSite(t, site.DefaultOptions())
+	testSite := startSite(t, site.DefaultOptions())
 	path := callers.ServicesPath + site.Service + "/opt-outs"
 	var key string
 	var first answer
-	waitFor(t, func() bool { // a home vouches only for keys issued after its start
+	waitFor(t, func() bool { // a home accepts only keys that were issued after its start
 		key = uuid.Must(uuid.NewV7()).String()
-		first = post(t, running.Settings[0], path, key, `{"member":1}`)
+		first = post(t, testSite.Settings[0], path, key, `{"member":1}`)
 		return first.status == http.StatusOK
 	})
-	for _, entry := range running.Settings {
+	for _, entry := range testSite.Settings {
 		again := post(t, entry, path, key, `{"member":1}`)
 		require.Equal(t, first.body, again.body)
 		other := post(t, entry, path, key, `{"member":2}`)
 		require.Equal(t, "KeyConflict", other.reason)
 	}
-	require.Len(t, running.Records.Ledger(), 1)
+	require.Len(t, testSite.Records.Ledger(), 1)
 }
 
-// TestCallerGoneCancelsRun closes the caller's connection and waits for the
-// engine's ledger to show the cancel.
-func TestCallerGoneCancelsRun(t *testing.T) {
+// TestCallerDisconnectCancelsRun closes the caller's connection and waits until the
+// engine's ledger shows that the run was cancelled.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	options := site.DefaultOptions()
 	options.Engines = 1
-	running := startSite(t, options)
-	ctx, leave := context.WithCancel(t.Context())
-	body := `{"model":"` + running.Adapter("review") + `","stream":true,"max_tokens":100000}`
+	testSite := startSite(t, options)
+	ctx, disconnect := context.WithCancel(t.Context())
+	body := `{"model":"` + testSite.Adapter("review") + `","stream":true,"max_tokens":100000}`
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
-		"http://"+running.Settings[0].CallerAddress+"/v1/completions", strings.NewReader(body))
+		"http://"+testSite.Settings[0].CallerAddress+"/v1/completions", strings.NewReader(body))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
 	_, err = response.Body.Read(make([]byte, 10))
 	require.NoError(t, err)
-	leave()
+	disconnect()
 	_ = response.Body.Close()
-	waitFor(t, func() bool { return ended(running.Engines["engine-0"]) == modelengine.Cancelled })
+	waitFor(t, func() bool { return firstEnding(testSite.Engines["engine-0"]) == modelengine.Cancelled })
 }
 
-func ended(engine *modelengine.Engine) modelengine.Ending {
+// firstEnding tells how the first run in an engine's ledger ended.
+func firstEnding(engine *modelengine.Engine) modelengine.Ending {
 	ledger := engine.Ledger()
 	if len(ledger) == 0 {
 		return ""
--- a/internal/serve/program/program.go
+++ b/internal/serve/program/program.go
@@ -1,5 +1,5 @@
-// Package program turns settings into a running daemon with its three servers:
-// for callers, for other daemons and for operators.
+// Package program builds a daemon from its settings and runs it with its three
+// HTTP servers: for callers, for other daemons and for operators.
 package program
 
 import (
@@ -20,58 +20,60 @@
 	"teaselmoor/internal/serve/operators"
 )
 
-// Serve runs a daemon until the context ends, then lets the requests in
-// progress end before it returns. The log's handler writes every level; the
-// settings say what passes, except for the audit trail, which always does.
+// Serve runs a daemon until ctx is cancelled. It then stops accepting requests,
+// waits up to the drain timeout for those in progress, and returns. The handler of
+// log must accept every level: Serve filters the daemon's log by the level in the
+// settings, while the audit trail is always written.
 func Serve(ctx context.Context, settings settings.Settings, log *slog.Logger) error {
 	log = log.With("Daemon", settings.Name)
-	life, endLife := context.WithCancel(context.WithoutCancel(ctx))
-	defer endLife()
-	trail := audit.New(OptionsOf(settings).Audit, log)
-	log = slog.New(levelHandler{Handler: log.Handler(), least: levels[settings.Operators.LogLevel]})
-	counted := metrics.New()
-	observer := metrics.NewObserver(counted)
-	serving := daemon.New(life, daemonOptions(settings, log, trail, observer))
-	watching := operators.New(serving, trail, counted, observer, operators.Options{Profiling: settings.Operators.Profiling})
-	servers, err := listen(endpoints(settings, serving, watching, log), settings.Callers)
+	taskContext, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
+	trail := audit.New(OptionsFromSettings(settings).Audit, log)
+	log = slog.New(levelHandler{Handler: log.Handler(), minLevel: levels[settings.Operators.LogLevel]})
+	counters := metrics.New()
+	observer := metrics.NewObserver(counters)
+	daemon := daemon.New(taskContext, daemonOptions(settings, log, trail, observer))
+	operatorAPI := operators.New(daemon, trail, counters, observer, operators.Options{Profiling: settings.Operators.Profiling})
+	servers, err := listen(endpoints(settings, daemon, operatorAPI, log), settings.Callers)
 	if err != nil {
 		return err
 	}
-	running := task.New(life)
-	running.Go("daemon", func(context.Context) error { serving.Run(); return nil })
-	running.Go("audit lines", trail.Run)
+	tasks := task.New(taskContext)
+	tasks.Go("daemon", func(context.Context) error { daemon.Run(); return nil })
+	tasks.Go("audit lines", trail.Run)
 	for _, server := range servers {
-		running.Go("server", func(context.Context) error { return server.serve() })
+		tasks.Go("server", func(context.Context) error { return server.serve() })
 	}
-	running.Go("shutdown", func(context.Context) error {
+	tasks.Go("shutdown", func(context.Context) error {
 		<-ctx.Done()
-		drain(serving, servers, settings.Runtime.DrainTimeoutMillis)
-		endLife()
+		drain(daemon, servers, settings.Runtime.DrainTimeoutMillis)
+		stopTasks()
 		return nil
 	})
-	running.Reap(func(end task.End) {
+	tasks.Reap(func(end task.End) {
 		if end.Err != nil {
 			log.Error("task failed", "Task", end.Name, "Cause", end.Err)
-			endLife()
+			stopTasks()
 		}
 	})
 	return nil
 }
 
 // drain refuses new requests, waits for those in progress and closes the servers.
-func drain(serving *daemon.Daemon, servers []*server, longest clock.Millis) {
-	limit, cancel := context.WithTimeout(context.Background(), longest.Duration())
+// It waits no longer than timeout.
+func drain(daemon *daemon.Daemon, servers []*server, timeout clock.Millis) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
 	defer cancel()
-	serving.Drain(limit)
+	daemon.Drain(ctx)
 	for _, server := range servers {
-		_ = server.http.Shutdown(limit)
+		_ = server.http.Shutdown(ctx)
 	}
 }
 
 func daemonOptions(settings settings.Settings, log *slog.Logger, trail *audit.Trail, observer *metrics.Observer) daemon.Options {
-	options := OptionsOf(settings)
+	options := OptionsFromSettings(settings)
 	return daemon.Options{
-		Node:           started(options.Node),
+		Node:           withStart(options.Node),
 		Now:            clock.System,
 		Engines:        engine.New(options.Engines),
 		Services:       service.New(options.Services),
@@ -86,13 +88,14 @@
 	}
 }
 
-func endpoints(settings settings.Settings, serving *daemon.Daemon, watching http.Handler, log *slog.Logger) []endpoint {
+// endpoints returns the addresses that the daemon serves, with their handlers.
+func endpoints(settings settings.Settings, daemon *daemon.Daemon, operatorAPI http.Handler, log *slog.Logger) []endpoint {
 	return []endpoint{
 		{
-			address: settings.CallerAddress, handler: callers.New(serving, OptionsOf(settings).Callers, log),
+			address: settings.CallerAddress, handler: callers.New(daemon, OptionsFromSettings(settings).Callers, log),
 			maxConnections: settings.Callers.MaxConnections,
 		},
-		{address: settings.InnerAddress, handler: serving.PeerHandler()},
-		{address: settings.OperatorAddress, handler: watching, maxConnections: settings.Operators.MaxConnections},
+		{address: settings.InnerAddress, handler: daemon.PeerHandler()},
+		{address: settings.OperatorAddress, handler: operatorAPI, maxConnections: settings.Operators.MaxConnections},
 	}
 }
--- a/internal/standin/modelengine/api.go
+++ b/internal/standin/modelengine/api.go
@@ -409,7 +409,7 @@
 func (engine *Engine) report() protocol.StateReport {
 	report := protocol.StateReport{
 		BootID: engine.bootID,
-		Steps:  protocol.StepStatistic{Count: engine.steps, RunsSum: engine.stepRuns, Capacity: engine.options.MaxRuns},
+		Steps:  protocol.StepTotals{Count: engine.steps, RunsSum: engine.stepRuns, Capacity: engine.options.MaxRuns},
 	}
 	for model := range engine.loaded {
 		report.Loaded = append(report.Loaded, model)
