--- a/internal/standin/command/demo.go
+++ b/internal/standin/command/demo.go
@@ -124,7 +124,7 @@
 	cantabrica, ramcharan := deployments[0], deployments[1]
 	first, last := demoSite.Settings[0], demoSite.Settings[len(demoSite.Settings)-1]
 	model := func(task string) string {
-		return fmt.Sprintf(`{"model":%q,"prompt":"hello","max_tokens":4}`, demoSite.Adapter(task))
+		return fmt.Sprintf(`{"model":%q,"prompt":"hello","max_tokens":4}`, demoSite.AdapterAddress(task))
 	}
 	const completions = "/v1/completions"
 	return []demoRequest{
@@ -143,7 +143,7 @@
 	cantabrica := site.OrganisationDeployments()[0]
 	_, _ = fmt.Fprintf(out, "The site stays up; interrupt to end it. For example:\n"+
 		"curl http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":%q,\"stream\":true}'\n",
-		demoSite.Settings[0].CallerAddress, cantabrica.CallerKey, demoSite.Adapter("cantabrica-contract-review"))
+		demoSite.Settings[0].CallerAddress, cantabrica.CallerKey, demoSite.AdapterAddress("cantabrica-contract-review"))
 }
 
 // sendUntilKeyAccepted sends a request and prints the answer. A request whose
--- a/internal/standin/command/serve.go
+++ b/internal/standin/command/serve.go
@@ -58,7 +58,7 @@
 	options.MaxRuns = invocation.Int("max-runs")
 	options.StepInterval = invocation.Duration("step")
 	options.ChecksFencing = invocation.Bool("checks-fencing")
-	options.ObeysUnload = invocation.Bool("obeys-unload")
+	options.AllowsUnloadInUse = invocation.Bool("obeys-unload")
 	options.ReportLag = invocation.Duration("report-lag")
 	options.EventLag = invocation.Duration("event-lag")
 	options.EventLossInterval = invocation.Int("event-gap")
--- a/internal/standin/modelengine/api.go
+++ b/internal/standin/modelengine/api.go
@@ -370,7 +370,7 @@
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if engine.inUse(order.LoraName) {
-		if !engine.options.ObeysUnload {
+		if !engine.options.AllowsUnloadInUse {
 			http.Error(writer, "the adapter is in use", http.StatusConflict)
 			return
 		}
--- a/internal/standin/modelengine/engine.go
+++ b/internal/standin/modelengine/engine.go
@@ -28,10 +28,10 @@
 	// ChecksFencing makes the engine refuse orders whose fencing number is lower than
 	// one that it has received.
 	ChecksFencing bool
-	// ObeysUnload makes the engine unload an adapter that is in use by a run when it
+	// AllowsUnloadInUse makes the engine unload an adapter that is in use by a run when it
 	// receives the order, as some engines do. The ledger then marks the run as violated.
 	// Otherwise the engine refuses the order.
-	ObeysUnload bool
+	AllowsUnloadInUse bool
 	// CachedPrefixes is the maximum number of prompt prefixes in the cache.
 	CachedPrefixes int
 	// EventLag is the delay until readers see a cache event.
--- a/internal/standin/modelengine/engine_test.go
+++ b/internal/standin/modelengine/engine_test.go
@@ -52,7 +52,7 @@
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprintf("obeys=%v", obeys), func(t *testing.T) {
 			options := modelengine.DefaultOptions()
-			options.ObeysUnload = obeys
+			options.AllowsUnloadInUse = obeys
 			engine := modelengine.New(options)
 			require.Equal(t, http.StatusOK, sendOrder(t, engine, protocol.LoadPath, 1))
 			startRun(t, engine, 1)
--- a/internal/standin/modelengine/faults.go
+++ b/internal/standin/modelengine/faults.go
@@ -36,8 +36,8 @@
 	return engine.faults
 }
 
-// Held returns the number of calls that are blocked because the engine is frozen.
-func (engine *Engine) Held() int64 {
+// BlockedCalls returns the number of calls that are blocked because the engine is frozen.
+func (engine *Engine) BlockedCalls() int64 {
 	return engine.blockedCalls.Load()
 }
 
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -145,9 +145,9 @@
 	return site.Platform.Publish(daemon.ConfigKey, text)
 }
 
-// Adapter returns the address (NAME@VERSION) of the first adapter whose name begins
+// AdapterAddress returns the address (NAME@VERSION) of the first adapter whose name begins
 // with the given task, or an empty string.
-func (site *Site) Adapter(task string) string {
+func (site *Site) AdapterAddress(task string) string {
 	for _, adapter := range site.Config.Adapters {
 		if strings.HasPrefix(adapter.Name, task) {
 			return adapter.Address().String()
