--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -48,7 +48,7 @@
 		settings: settings, options: options, store: platform.Store, protocol: platform.Protocol, servers: platform.Servers,
 		pool: upstream.New(options.Upstream), tasks: task.New(ctx), counters: newCounters(), log: log,
 	}
-	gateway.core = newCore(settings, options, platform.Decoder, clock.Steady(), clock.System, log)
+	gateway.core = newCore(settings, options, platform.Decoder, clock.Monotonic(), clock.System, log)
 	gateway.network = peers.New(options.Peers, settings.Name, gateway, gateway.tasks)
 	return gateway
 }
--- a/internal/integration/daemons/cut_test.go
+++ b/internal/integration/daemons/cut_test.go
@@ -29,7 +29,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("quote")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
 	waitVouched(running, daemon, model)
 	proxy := running.EngineProxies[onlyEngine]
 	cuts := []faultproxy.Faults{}
@@ -57,7 +57,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("quote")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
 	waitVouched(running, daemon, model)
 	link := running.Link(owner, entry)
 	for at := int64(1); at < 1200; at += 150 {
@@ -84,7 +84,7 @@
 			t.Parallel()
 			running := harness.New(t, oneEngine())
 			owner, entry := ownerAndEntry(running)
-			daemon, model := running.Daemons[entry], running.Adapter("review")
+			daemon, model := running.Daemons[entry], running.AdapterAddress("review")
 			call := harness.NewCall(model, 20*longTokens).Streamed()
 			open := beginLong(t, daemon, call)
 			running.Link(owner, entry).Set(faults)
--- a/internal/integration/daemons/engine_test.go
+++ b/internal/integration/daemons/engine_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("quote")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
 	waitVouched(running, daemon, model)
 	call := harness.NewCall(model, longTokens).Streamed().Keyed()
 	open := beginLong(t, daemon, call)
@@ -34,9 +34,9 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("review")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
 	for _, stream := range []bool{false, true} {
-		running.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: running.Adapter("draft")})
+		running.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: running.AdapterAddress("draft")})
 		call := harness.NewCall(model, 5)
 		call.Stream = stream
 		told := daemon.Do(call)
@@ -51,7 +51,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("review")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
 	running.Engines[onlyEngine].SetFaults(modelengine.Faults{TruncateAfter: 3})
 	call := harness.NewCall(model, 20).Streamed()
 	told := daemon.Do(call)
@@ -67,14 +67,14 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("review")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
 	engine := running.Engines[onlyEngine]
 	engine.SetFaults(modelengine.Faults{Frozen: true})
 	running.WaitFor("the report to grow old", func() bool {
 		owned := running.Daemons[owner].Status().Owned
 		return len(owned) == 1 && owned[0].ReportAge > 5*clock.Second
 	})
-	require.LessOrEqual(t, engine.Held(), int64(1), "one report call at a time")
+	require.LessOrEqual(t, engine.BlockedCalls(), int64(1), "one report call at a time")
 	engine.SetFaults(modelengine.Faults{})
 	waitVouched(running, daemon, model)
 }
--- a/internal/integration/daemons/killed_test.go
+++ b/internal/integration/daemons/killed_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
-	model := running.Adapter(task)
+	model := running.AdapterAddress(task)
 	waitVouched(running, running.Daemons[entry], model)
 	call := harness.NewCall(model, longTokens).Streamed().Keyed()
 	return running, call, beginLong(t, running.Daemons[entry], call)
@@ -66,7 +66,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	model := running.Adapter("review")
+	model := running.AdapterAddress("review")
 	call := harness.NewCall(model, 100*longTokens).Streamed()
 	open := beginLong(t, running.Daemons[entry], call)
 	running.Daemons[entry].Kill()
@@ -91,13 +91,13 @@
 	running := harness.New(t, oneEngine())
 	_, entry := ownerAndEntry(running)
 	daemon := running.Daemons[entry]
-	former := harness.NewCall(running.Adapter("review"), longTokens).Streamed()
+	former := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
 	open := beginLong(t, daemon, former)
 	daemon.Kill()
 	running.Judge(former, open.Finish())
 	daemon.Start()
 	daemon.WaitReady()
-	call := harness.NewCall(running.Adapter("draft"), longTokens).Streamed()
+	call := harness.NewCall(running.AdapterAddress("draft"), longTokens).Streamed()
 	told := daemon.Do(call)
 	require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
 	running.Judge(call, told)
@@ -118,7 +118,7 @@
 			running.Daemons[owner].Wake()
 			running.Judge(call, told)
 			running.WaitFor("service again", func() bool {
-				next := harness.NewCall(running.Adapter(task), 3).Keyed()
+				next := harness.NewCall(running.AdapterAddress(task), 3).Keyed()
 				told := running.Daemons[entry].Do(next)
 				running.Judge(next, told)
 				return told.Kind == outcome.Answered
@@ -135,7 +135,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	model := running.Adapter("draft")
+	model := running.AdapterAddress("draft")
 	serveAgain(running, running.Daemons[entry], model)
 	const abandoned = 100
 	for range abandoned {
--- a/internal/integration/daemons/leaving_test.go
+++ b/internal/integration/daemons/leaving_test.go
@@ -27,7 +27,7 @@
 			t.Parallel()
 			running := harness.New(t, oneEngine())
 			owner, entry := ownerAndEntry(running)
-			call := harness.NewCall(running.Adapter("review"), longTokens).Streamed()
+			call := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
 			open := beginLong(t, running.Daemons[entry], call)
 			for _, at := range choose(owner, entry) {
 				running.Daemons[at].Terminate()
@@ -55,9 +55,9 @@
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	options := site.DefaultOptions()
-	options.Engine.ObeysUnload = true
+	options.Engine.AllowsUnloadInUse = true
 	running := harness.New(t, options)
-	model := running.Adapter("review")
+	model := running.AdapterAddress("review")
 	var replacing atomic.Int64 // index of the daemon that takes no new calls
 	replacing.Store(-1)
 	var answered, notRun, unknown atomic.Int64
@@ -116,7 +116,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	call := harness.NewCall(running.Adapter("review"), longTokens).Streamed()
+	call := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
 	open := beginLong(t, running.Daemons[entry], call)
 	leave(running, owner)
 	told := open.Finish()
@@ -126,7 +126,7 @@
 		now := running.OwnerOf(onlyEngine)
 		return now >= 0 && now != owner
 	})
-	serveAgain(running, running.Daemons[entry], running.Adapter("review"))
+	serveAgain(running, running.Daemons[entry], running.AdapterAddress("review"))
 	running.JudgeEngines()
 }
 
@@ -142,7 +142,7 @@
 			before := daemon.Status().ConfigVersion
 			running.Platform.SetMode(mode)
 			require.NoError(t, running.Publish())
-			call := harness.NewCall(running.Adapter("review"), 3)
+			call := harness.NewCall(running.AdapterAddress("review"), 3)
 			told := daemon.Do(call)
 			require.Equal(t, outcome.Answered, told.Kind)
 			running.Judge(call, told)
--- a/internal/integration/daemons/list_test.go
+++ b/internal/integration/daemons/list_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	running := harness.New(t, oneEngine())
 	owner, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("draft")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("draft")
 	serveAgain(running, daemon, model)
 	running.Daemons[owner].List.SetListDown(true)
 	for i := range running.Daemons {
--- a/internal/integration/daemons/main_test.go
+++ b/internal/integration/daemons/main_test.go
@@ -29,7 +29,7 @@
 	options := site.DefaultOptions()
 	options.Engines = 1
 	options.Engine.StepInterval = 5 * time.Millisecond
-	options.Engine.ObeysUnload = true
+	options.Engine.AllowsUnloadInUse = true
 	return options
 }
 
--- a/internal/integration/daemons/relay_bench_test.go
+++ b/internal/integration/daemons/relay_bench_test.go
@@ -78,7 +78,7 @@
 	options := site.DefaultOptions()
 	options.Engines = 1
 	running := harness.Prepare(b, options)
-	instant := &instantEngine{model: running.Adapter("review"), hold: make(chan struct{})}
+	instant := &instantEngine{model: running.AdapterAddress("review"), hold: make(chan struct{})}
 	server := httptest.NewServer(instant)
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
--- a/internal/integration/daemons/slow_test.go
+++ b/internal/integration/daemons/slow_test.go
@@ -21,7 +21,7 @@
 	options.Engine.TokenPadding = 4000
 	running := harness.New(t, options)
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("draft")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("draft")
 	slow := harness.NewCall(model, 5_000).Streamed() // far more than sockets and windows hold
 	open, told := daemon.Begin(slow)
 	require.NotNil(t, open, "%+v", told)
--- a/internal/integration/daemons/standins_test.go
+++ b/internal/integration/daemons/standins_test.go
@@ -50,7 +50,7 @@
 		daemon.WaitReady()
 	}
 	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.Adapter("quote")
+	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
 	var open *harness.Open
 	running.WaitFor("an answer that begins", func() bool {
 		open, _ = daemon.Begin(harness.NewCall(model, longTokens).Streamed().Keyed())
