--- a/internal/integration/faultproxy/faultproxy.go
+++ b/internal/integration/faultproxy/faultproxy.go
@@ -17,10 +17,11 @@
 
 // Faults are the faults that a proxy injects. With the zero value, it forwards all bytes.
 type Faults struct {
-	// FreezeThere and FreezeBack stop forwarding of bytes to the target and from
-	// it; connections stay open and new ones are accepted.
+	// FreezeThere stops the forwarding of bytes to the target. Connections stay open
+	// and new ones are accepted.
 	FreezeThere bool
-	FreezeBack  bool
+	// FreezeBack does the same for bytes from the target.
+	FreezeBack bool
 	// Refuse closes new connections as soon as they are accepted.
 	Refuse bool
 	// Delay is added to each chunk of bytes read.
--- a/internal/integration/harness/judge.go
+++ b/internal/integration/harness/judge.go
@@ -30,7 +30,7 @@
 	case outcome.NotRun:
 		require.Empty(t, entries, "the result says not run, but an engine ran it: %+v", result)
 	case outcome.Answered:
-		require.Equal(t, call.expectedText(), result.Text, "the answer is incomplete")
+		require.Equal(t, call.expectedText(), result.Text, "the answer differs from the expected text")
 		require.Condition(t, func() bool { return completed(entries, call.Model) }, "the result says answered, ledger: %+v", entries)
 	default:
 		require.True(t, strings.HasPrefix(call.expectedText(), result.Text), "text of another answer: %q", result.Text)
--- a/internal/integration/harness/process.go
+++ b/internal/integration/harness/process.go
@@ -130,7 +130,7 @@
 // Kill ends the process with SIGKILL.
 func (process *Process) Kill() { process.signal(syscall.SIGKILL) }
 
-// Freeze suspends the process until Wake is called.
+// Freeze suspends the process.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
 // Wake resumes a frozen process.
