--- a/internal/backend/engine/engine.go
+++ b/internal/backend/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine talks to model engines. Client is the interface that the
-// runtime uses; HTTP implements it for engines with an OpenAI-compatible API,
-// adapter load orders and a state report.
+// Package engine implements the client of model engines. Client is the interface
+// that the daemon uses. HTTPClient implements it for engines that have an
+// OpenAI-compatible API, orders to load and unload adapters, and a state report.
 package engine
 
 import (
@@ -11,31 +11,37 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// Sink takes in the answer of a run as it arrives. An error ends the relay.
+// Sink receives the answer of a run as it arrives. An error ends the relay of the
+// answer.
 type Sink interface {
 	Head(status int, contentType string) error
 	Chunk(ctx context.Context, payload []byte) error
 }
 
-// LoadResult is how a load or unload order ended.
+// LoadResult is the result of a load or unload order.
 type LoadResult string
 
 // Results of load and unload orders.
 const (
 	LoadDone   LoadResult = "Done"
 	LoadFailed LoadResult = "Failed"
+	// LoadFenced means that the engine refused the order for its old fencing number.
 	LoadFenced LoadResult = "Fenced"
 )
 
-// Client gives orders to engines and relays their answers. Every order carries
-// a fencing number.
+// Client sends runs and orders to engines and relays their answers. Each of them
+// carries a fencing number, and the engine may refuse those with an old one.
 type Client interface {
-	// Run sends a run, or asks for the rest of one, and relays the answer.
+	// Run sends a run, or requests the remaining answer of a run that was sent
+	// before, and relays the answer to the sink.
 	Run(ctx context.Context, address string, start effect.StartRun, sink Sink) owner.Result
-	// Cancel ends a run; ResultCancelled means that the engine confirmed the end.
+	// Cancel ends a run. It returns ResultCancelled if the engine confirmed that the
+	// run has ended.
 	Cancel(ctx context.Context, address string, run ident.StreamID, fence ident.Fence) owner.Result
+	// Load loads an adapter and waits until the load has ended.
 	Load(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult
+	// Unload unloads an adapter and waits until the unload has ended.
 	Unload(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult
-	// Report reads the engine's state.
-	Report(ctx context.Context, address string) (owner.Report, error)
+	// ReadState reads the engine's state.
+	ReadState(ctx context.Context, address string) (owner.Report, error)
 }
--- a/internal/backend/engine/http.go
+++ b/internal/backend/engine/http.go
@@ -27,11 +27,11 @@
 	FenceHeader    = "X-Fencing-Number"
 	PriorityHeader = "X-Priority"
 	BootHeader     = "X-Boot-Id"
-	// NotRunHeader on an error answer says that the engine did not run the request.
+	// NotRunHeader is set on an error answer if the engine did not run the request.
 	NotRunHeader = "X-Not-Run"
 )
 
-// Paths of the engine API besides the OpenAI-compatible ones.
+// Paths of the engine API that are not part of the OpenAI-compatible API.
 const (
 	LoadPath   = "/v1/load_lora_adapter"
 	UnloadPath = "/v1/unload_lora_adapter"
@@ -39,8 +39,8 @@
 	RunsPath   = "/runs/"
 )
 
-// maxState bounds a state report and the answer to an order, in bytes.
-const maxState = 32 << 20
+// maxStateBytes is the maximum size of a state report and of the answer to an order.
+const maxStateBytes = 32 << 20
 
 // AdapterOrder is the body of a load or unload order.
 type AdapterOrder struct {
@@ -49,11 +49,11 @@
 
 // StateReport is the body of a state report.
 type StateReport struct {
-	BootID  string        `json:"boot_id"`
-	AgeMs   int64         `json:"age_ms"`
-	Loaded  []string      `json:"loaded"`
-	Running []StateRun    `json:"running"`
-	Steps   StepStatistic `json:"steps"`
+	BootID  string     `json:"boot_id"`
+	AgeMs   int64      `json:"age_ms"`
+	Loaded  []string   `json:"loaded"`
+	Running []StateRun `json:"running"`
+	Steps   StepTotals `json:"steps"`
 }
 
 // StateRun is one unfinished run of a state report.
@@ -62,32 +62,34 @@
 	Model string `json:"model"`
 }
 
-// StepStatistic sums what the engine's steps were shared by.
-type StepStatistic struct {
+// StepTotals holds totals over all steps of the engine: their number and the sum
+// of the runs that shared each of them. Capacity is the maximum number of runs in a
+// step.
+type StepTotals struct {
 	Count    uint64 `json:"count"`
 	RunsSum  uint64 `json:"runs_sum"`
 	Capacity int    `json:"capacity"`
 }
 
-// Options bound the client's connections and waits.
+// Options holds the timeouts and limits of the client.
 type Options struct {
 	DialTimeout clock.Millis
-	// HeadTimeout is the longest wait for the head of a run's answer. One that is
-	// not streamed has its head only at its end.
+	// HeadTimeout is the maximum wait for the headers of a run's answer. An answer
+	// that is not streamed has its headers only when the run has ended.
 	HeadTimeout clock.Millis
-	// LoadTimeout is the longest wait for the end of a load or unload order.
+	// LoadTimeout is the maximum duration of a load or unload order.
 	LoadTimeout clock.Millis
-	// CancelTimeout is the longest wait for the word on a cancel.
+	// CancelTimeout is the maximum wait for the answer to a cancel order.
 	CancelTimeout clock.Millis
-	// ReportTimeout is the longest wait for a state report.
+	// ReportTimeout is the maximum wait for a state report.
 	ReportTimeout clock.Millis
-	// MaxIdle is the number of idle connections kept per engine.
+	// MaxIdle is the maximum number of idle connections kept per engine.
 	MaxIdle int
-	// MaxAnswer bounds an answer that is not streamed, in bytes.
+	// MaxAnswer is the maximum size of an answer that is not streamed, in bytes.
 	MaxAnswer int64
 }
 
-// DefaultOptions returns the limits used when settings name none.
+// DefaultOptions returns the options that apply where the settings give no value.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout: 2 * clock.Second, HeadTimeout: 2 * clock.Minute, LoadTimeout: 30 * clock.Second,
@@ -95,22 +97,23 @@
 	}
 }
 
-// HTTP is the client for engines with an OpenAI-compatible API.
+// HTTPClient is the client of engines with an OpenAI-compatible API.
 //
-// Orders and reports have connections of their own, so that they never wait
-// behind runs. Connections are not limited in number: a limit would be a queue
-// without classes, and the owner bounds the runs of an engine already.
-type HTTP struct {
+// Orders and reports use separate connections, so that they never wait for runs.
+// The number of connections is not limited: with a limit, requests would queue for
+// a connection without regard to their urgency class, and the owner already limits
+// the runs of an engine.
+type HTTPClient struct {
 	options Options
-	client  *http.Client // for runs
-	orders  *http.Client
+	runs    *http.Client // for runs
+	orders  *http.Client // for orders and state reports
 }
 
 // New returns a client.
-func New(options Options) *HTTP {
-	return &HTTP{
+func New(options Options) *HTTPClient {
+	return &HTTPClient{
 		options: options,
-		client:  &http.Client{Transport: newTransport(options)},
+		runs:    &http.Client{Transport: newTransport(options)},
 		orders:  &http.Client{Transport: newTransport(options)},
 	}
 }
@@ -126,18 +129,18 @@
 	}
 }
 
-// Run sends a run and relays its answer; see Client.
-func (client *HTTP) Run(ctx context.Context, address string, start effect.StartRun, sink Sink) owner.Result {
-	request, sent, err := client.runRequest(ctx, address, start)
+// Run sends or resumes a run and relays its answer; see Client.
+func (httpClient *HTTPClient) Run(ctx context.Context, address string, start effect.StartRun, sink Sink) owner.Result {
+	request, sent, err := httpClient.newRunRequest(ctx, address, start)
 	if err != nil {
 		return owner.ResultNotSent
 	}
-	response, err := client.client.Do(request)
+	response, err := httpClient.runs.Do(request)
 	if err != nil {
 		return lostOrNotSent(sent, start.Resume)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if result, refused := refusal(response, start.Resume); refused {
+	if result, refused := refusalResult(response, start.Resume); refused {
 		return result
 	}
 	if response.Header.Get(RunHeader) != start.Stream.String() {
@@ -146,16 +149,16 @@
 	if err := sink.Head(response.StatusCode, response.Header.Get("Content-Type")); err != nil {
 		return owner.ResultLost
 	}
-	relay := relay{start: start, sink: sink, index: start.Received, maxAnswer: client.options.MaxAnswer}
+	relay := relay{start: start, sink: sink, index: start.Received, maxAnswer: httpClient.options.MaxAnswer}
 	if isStream(response) {
-		return relay.stream(ctx, response.Body)
+		return relay.relayStream(ctx, response.Body)
 	}
-	return relay.whole(ctx, response)
+	return relay.relayUnstreamed(ctx, response)
 }
 
-// runRequest builds the call and a flag that rises once a connection was
-// obtained: before that nothing can have reached the engine.
-func (client *HTTP) runRequest(ctx context.Context, address string, start effect.StartRun) (*http.Request, *atomic.Bool, error) {
+// newRunRequest returns the HTTP request of a run and a flag that is set when a
+// connection is obtained. Until then nothing can have reached the engine.
+func (httpClient *HTTPClient) newRunRequest(ctx context.Context, address string, start effect.StartRun) (*http.Request, *atomic.Bool, error) {
 	method, target := http.MethodPost, "http://"+address+start.Request.Path
 	var body io.Reader = bytes.NewReader(start.Request.Body)
 	if start.Resume {
@@ -168,7 +171,8 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "build engine call")
 	}
-	// Without GetBody the transport cannot send the body a second time by itself.
+	// Without GetBody the transport cannot retry the request, as it cannot send the
+	// body a second time.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(RunHeader, start.Stream.String())
@@ -184,8 +188,9 @@
 	return owner.ResultNotSent
 }
 
-// refusal tells answers that say the run did not happen from real ones.
-func refusal(response *http.Response, resume bool) (owner.Result, bool) {
+// refusalResult returns the result for an answer that says that the engine did not
+// run the request. It reports false for all other answers.
+func refusalResult(response *http.Response, resume bool) (owner.Result, bool) {
 	switch {
 	case response.StatusCode == http.StatusPreconditionFailed:
 		return owner.ResultFenced, true
@@ -198,38 +203,38 @@
 }
 
 // Cancel ends a run; see Client.
-func (client *HTTP) Cancel(ctx context.Context, address string, run ident.StreamID, fence ident.Fence) owner.Result {
-	ctx, cancel := context.WithTimeout(ctx, client.options.CancelTimeout.Duration())
+func (httpClient *HTTPClient) Cancel(ctx context.Context, address string, run ident.StreamID, fence ident.Fence) owner.Result {
+	ctx, cancel := context.WithTimeout(ctx, httpClient.options.CancelTimeout.Duration())
 	defer cancel()
-	response, err := client.order(ctx, address, RunsPath+run.String()+"/cancel", nil, fence)
+	response, err := httpClient.sendOrder(ctx, address, RunsPath+run.String()+"/cancel", nil, fence)
 	if err != nil {
 		return owner.ResultLost
 	}
-	defer closeBody(response)
+	defer drainAndClose(response)
 	if response.StatusCode == http.StatusOK {
 		return owner.ResultCancelled
 	}
 	return owner.ResultLost
 }
 
-// Load orders a load and waits for its end; see Client.
-func (client *HTTP) Load(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult {
-	return client.adapterOrder(ctx, address, LoadPath, adapter, fence)
+// Load sends a load order and waits until the load has ended; see Client.
+func (httpClient *HTTPClient) Load(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult {
+	return httpClient.sendAdapterOrder(ctx, address, LoadPath, adapter, fence)
 }
 
-// Unload orders an unload and waits for its end; see Client.
-func (client *HTTP) Unload(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult {
-	return client.adapterOrder(ctx, address, UnloadPath, adapter, fence)
+// Unload sends an unload order and waits until the unload has ended; see Client.
+func (httpClient *HTTPClient) Unload(ctx context.Context, address string, adapter ident.Adapter, fence ident.Fence) LoadResult {
+	return httpClient.sendAdapterOrder(ctx, address, UnloadPath, adapter, fence)
 }
 
-func (client *HTTP) adapterOrder(ctx context.Context, address, path string, adapter ident.Adapter, fence ident.Fence) LoadResult {
-	ctx, cancel := context.WithTimeout(ctx, client.options.LoadTimeout.Duration())
+func (httpClient *HTTPClient) sendAdapterOrder(ctx context.Context, address, path string, adapter ident.Adapter, fence ident.Fence) LoadResult {
+	ctx, cancel := context.WithTimeout(ctx, httpClient.options.LoadTimeout.Duration())
 	defer cancel()
-	response, err := client.order(ctx, address, path, AdapterOrder{LoraName: adapter.String()}, fence)
+	response, err := httpClient.sendOrder(ctx, address, path, AdapterOrder{LoraName: adapter.String()}, fence)
 	if err != nil {
 		return LoadFailed
 	}
-	defer closeBody(response)
+	defer drainAndClose(response)
 	switch response.StatusCode {
 	case http.StatusOK:
 		return LoadDone
@@ -239,7 +244,7 @@
 	return LoadFailed
 }
 
-func (client *HTTP) order(ctx context.Context, address, path string, body any, fence ident.Fence) (*http.Response, error) {
+func (httpClient *HTTPClient) sendOrder(ctx context.Context, address, path string, body any, fence ident.Fence) (*http.Response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode engine order")
@@ -250,33 +255,34 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(FenceHeader, strconv.FormatUint(uint64(fence), 10))
-	response, err := client.orders.Do(request)
+	response, err := httpClient.orders.Do(request)
 	return response, errors.Wrap(err, "send engine order")
 }
 
-func closeBody(response *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxState))
+// drainAndClose reads the rest of the body, so that the connection can be reused.
+func drainAndClose(response *http.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxStateBytes))
 	_ = response.Body.Close()
 }
 
-// Report reads the engine's state; see Client.
-func (client *HTTP) Report(ctx context.Context, address string) (owner.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, client.options.ReportTimeout.Duration())
+// ReadState reads the engine's state; see Client.
+func (httpClient *HTTPClient) ReadState(ctx context.Context, address string) (owner.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, httpClient.options.ReportTimeout.Duration())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+StatePath, nil)
 	if err != nil {
 		return owner.Report{}, errors.Wrap(err, "build state request")
 	}
-	response, err := client.orders.Do(request)
+	response, err := httpClient.orders.Do(request)
 	if err != nil {
 		return owner.Report{}, errors.Wrap(err, "read engine state")
 	}
-	defer closeBody(response)
+	defer drainAndClose(response)
 	if response.StatusCode != http.StatusOK {
 		return owner.Report{}, errors.Errorf("read engine state: status %d", response.StatusCode)
 	}
 	var state StateReport
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxState)).Decode(&state); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStateBytes)).Decode(&state); err != nil {
 		return owner.Report{}, errors.Wrap(err, "decode engine state")
 	}
 	return state.report()
--- a/internal/backend/engine/relay.go
+++ b/internal/backend/engine/relay.go
@@ -13,28 +13,28 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// maxLine bounds one line of a streamed answer.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum size of one line of a streamed answer.
+const maxLineBytes = 1 << 20
 
 var (
 	dataPrefix = []byte("data:")
-	doneMark   = []byte("[DONE]")
+	endMarker  = []byte("[DONE]")
 )
 
-// relay checks an answer and hands it to the sink, chunk by chunk.
+// relay checks the answer of a run and passes it to the sink, chunk by chunk.
 type relay struct {
 	start effect.StartRun
 	sink  Sink
 	index uint64
-	// maxAnswer bounds an answer that is not streamed, in bytes.
+	// maxAnswer is the maximum size of an answer that is not streamed, in bytes.
 	maxAnswer int64
 }
 
-// chunkIdentity is the part of a chunk that says what produced it.
+// chunkIdentity holds the fields of a chunk that identify its run and adapter.
 type chunkIdentity struct {
 	ID    string `json:"id"`
 	Model string `json:"model"`
-	// Error is set on an error answer, which carries no identity.
+	// Error is set in an error answer, which has neither ID nor Model.
 	Error json.RawMessage `json:"error"`
 }
 
@@ -42,22 +42,22 @@
 	return strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// stream relays server-sent events. An answer without its closing mark is
-// truncated, whatever the connection says.
-func (relay *relay) stream(ctx context.Context, body io.Reader) owner.Result {
+// relayStream relays server-sent events. An answer without its end marker is
+// truncated, even if the connection was closed without an error.
+func (relay *relay) relayStream(ctx context.Context, body io.Reader) owner.Result {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maxLine)
-	scanner.Split(wholeLines)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
+	scanner.Split(splitCompleteLines)
 	for scanner.Scan() {
 		payload, isData := bytes.CutPrefix(scanner.Bytes(), dataPrefix)
 		if !isData {
 			continue
 		}
 		payload = bytes.TrimSpace(payload)
-		if bytes.Equal(payload, doneMark) {
+		if bytes.Equal(payload, endMarker) {
 			return owner.ResultComplete
 		}
-		if !relay.matches(payload) {
+		if !relay.matchesRequest(payload) {
 			return owner.ResultWrongAdapter
 		}
 		if relay.sink.Chunk(ctx, bytes.Clone(payload)) != nil {
@@ -70,9 +70,10 @@
 	return owner.ResultTruncated
 }
 
-// wholeLines splits at line ends and drops an unfinished last line: what a cut
-// connection leaves of a chunk says nothing about the engine.
-func wholeLines(data []byte, atEOF bool) (int, []byte, error) {
+// splitCompleteLines is a split function for bufio.Scanner. It drops an incomplete
+// last line, because the part of a chunk that was received before a connection
+// broke does not show whether the engine answered for the requested run.
+func splitCompleteLines(data []byte, atEOF bool) (int, []byte, error) {
 	if end := bytes.IndexByte(data, '\n'); end >= 0 {
 		return end + 1, data[:end], nil
 	}
@@ -82,8 +83,8 @@
 	return 0, nil, nil
 }
 
-// whole relays an answer that is not streamed, as one chunk.
-func (relay *relay) whole(ctx context.Context, response *http.Response) owner.Result {
+// relayUnstreamed relays an answer that is not streamed as one chunk.
+func (relay *relay) relayUnstreamed(ctx context.Context, response *http.Response) owner.Result {
 	body, err := io.ReadAll(io.LimitReader(response.Body, relay.maxAnswer+1))
 	if err != nil {
 		return owner.ResultLost
@@ -91,7 +92,7 @@
 	if int64(len(body)) > relay.maxAnswer || response.ContentLength < 0 && !json.Valid(body) {
 		return owner.ResultTruncated
 	}
-	if response.StatusCode == http.StatusOK && !relay.matches(body) {
+	if response.StatusCode == http.StatusOK && !relay.matchesRequest(body) {
 		return owner.ResultWrongAdapter
 	}
 	if relay.sink.Chunk(ctx, body) != nil {
@@ -100,8 +101,9 @@
 	return owner.ResultComplete
 }
 
-// matches reports whether a chunk names the run, adapter and version asked for.
-func (relay *relay) matches(payload []byte) bool {
+// matchesRequest reports whether a chunk names the requested run, adapter and
+// adapter version. An error answer matches any request.
+func (relay *relay) matchesRequest(payload []byte) bool {
 	var identity chunkIdentity
 	if json.Unmarshal(payload, &identity) != nil {
 		return false
--- a/internal/backend/engine/relay_test.go
+++ b/internal/backend/engine/relay_test.go
@@ -17,20 +17,21 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// collected is a sink that keeps what it gets.
-type collected struct{ chunks []string }
+// collectingSink is a sink that keeps the chunks it receives.
+type collectingSink struct{ chunks []string }
 
-func (*collected) Head(int, string) error { return nil }
+func (*collectingSink) Head(int, string) error { return nil }
 
-func (sink *collected) Chunk(_ context.Context, payload []byte) error {
-	sink.chunks = append(sink.chunks, string(payload))
+func (collectingSink *collectingSink) Chunk(_ context.Context, payload []byte) error {
+	collectingSink.chunks = append(collectingSink.chunks, string(payload))
 	return nil
 }
 
-// TestCutInsideChunk ends an answer at every byte. A healthy engine whose
-// connection broke must never be taken for one that answers with the wrong
-// adapter, and no part of a chunk is passed on.
-func TestCutInsideChunk(t *testing.T) {
+// TestTruncatedStream breaks the connection after every byte of a streamed answer.
+// Until the end marker was sent, the result must be that the connection was lost,
+// never that the engine answered with the wrong adapter, and an incomplete chunk
+// must not be passed on.
+func TestTruncatedStream(t *testing.T) {
 	start := effect.StartRun{
 		Stream:  ident.StreamID{Daemon: "entry", Incarnation: 1, Sequence: 2},
 		Request: message.Request{Adapter: ident.Adapter{Name: "review", Version: "1"}, Path: "/v1/completions"},
@@ -48,7 +49,7 @@
 	defer server.Close()
 	client := engine.New(engine.DefaultOptions())
 	for ; cut < len(whole); cut++ {
-		sink := &collected{}
+		sink := &collectingSink{}
 		result := client.Run(t.Context(), strings.TrimPrefix(server.URL, "http://"), start, sink)
 		if cut >= len(whole)-1 {
 			require.Equal(t, owner.ResultComplete, result)
--- a/internal/backend/platform/platform.go
+++ b/internal/backend/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform reads what the platform publishes: values of the
-// configuration service and the VM list. Nothing is ever written to it.
+// Package platform implements the client of the platform, which publishes values
+// in its configuration service, and the VM list. The client only reads.
 package platform
 
 import (
@@ -18,10 +18,10 @@
 	"teaselmoor/internal/control/members"
 )
 
-// MaxValue is the size of the largest value that the service holds, in bytes.
+// MaxValue is the maximum size of a value in the configuration service, in bytes.
 const MaxValue = 1 << 20
 
-// VersionHeader carries the version of a value.
+// VersionHeader is the response header with the version of a value.
 const VersionHeader = "X-Version"
 
 // Paths of the platform's services.
@@ -30,10 +30,10 @@
 	VMsPath    = "/vms"
 )
 
-// ErrNotFound says that the service holds no value under a key.
+// ErrNotFound is returned if the configuration service has no value for a key.
 var ErrNotFound = errors.New("no such value")
 
-// Value is one version of a value.
+// Value is one version of a value in the configuration service.
 type Value struct {
 	Version uint64
 	Body    []byte
@@ -43,27 +43,28 @@
 type Client struct {
 	configAddress string // IP:port
 	vmAddress     string // IP:port
-	client        *http.Client
+	httpClient    *http.Client
 	timeout       clock.Millis
 }
 
-// New returns a client. The timeout bounds each call beyond a watch's own wait.
+// New returns a client. The timeout applies to each call; a watch may take longer
+// by its own wait.
 func New(configAddress, vmAddress string, timeout clock.Millis) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	return &Client{
 		configAddress: configAddress, vmAddress: vmAddress,
-		client: &http.Client{Transport: transport}, timeout: timeout,
+		httpClient: &http.Client{Transport: transport}, timeout: timeout,
 	}
 }
 
-// Read returns the value under a key.
+// Read returns the value of a key.
 func (client *Client) Read(ctx context.Context, key string) (Value, error) {
 	value, _, err := client.get(ctx, key, url.Values{}, client.timeout)
 	return value, err
 }
 
-// Watch waits up to the given span for a version above after; it reports false
-// when there was none.
+// Watch waits up to the given time for a version of the value above after. It
+// reports false if there was none.
 func (client *Client) Watch(ctx context.Context, key string, after uint64, wait clock.Millis) (Value, bool, error) {
 	query := url.Values{"After": {strconv.FormatUint(after, 10)}, "WaitMillis": {strconv.FormatInt(int64(wait), 10)}}
 	return client.get(ctx, key, query, wait+client.timeout)
@@ -106,46 +107,46 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.client.Do(request)
+	return client.httpClient.Do(request)
 }
 
-// ListReading is what a read of the VM list brought.
-type ListReading struct {
-	// List is unset when it is still the one that the tag stands for.
+// VMListResult is the result of a read of the VM list.
+type VMListResult struct {
+	// List is not set if it has not changed since the read that returned the tag.
 	List    members.List
 	Changed bool
-	// Tag stands for the list in the next read.
-	Tag string
+	// ETag is the entity tag (ETag) of the list, for the next read.
+	ETag string
 }
 
-// VMs reads the VM list unless it is still the one that the tag stands for: at
-// the size of a fleet the list is far larger than everything else that a daemon
-// reads in a second. An empty tag reads it in any case.
-func (client *Client) VMs(ctx context.Context, tag string) (ListReading, error) {
+// ReadVMList reads the VM list if its entity tag differs from the given tag. With many
+// VMs the list is far larger than everything else that a daemon reads in a second.
+// An empty tag always reads the list.
+func (client *Client) ReadVMList(ctx context.Context, tag string) (VMListResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.timeout.Duration())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+client.vmAddress+VMsPath, nil)
 	if err != nil {
-		return ListReading{}, errors.Wrap(err, "read VM list")
+		return VMListResult{}, errors.Wrap(err, "read VM list")
 	}
 	if tag != "" {
 		request.Header.Set("If-None-Match", tag)
 	}
-	response, err := client.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
-		return ListReading{}, errors.Wrap(err, "read VM list")
+		return VMListResult{}, errors.Wrap(err, "read VM list")
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotModified:
-		return ListReading{Tag: tag}, nil
+		return VMListResult{ETag: tag}, nil
 	default:
-		return ListReading{}, errors.Errorf("read VM list: status %d", response.StatusCode)
+		return VMListResult{}, errors.Errorf("read VM list: status %d", response.StatusCode)
 	}
-	reading := ListReading{Changed: true, Tag: response.Header.Get("ETag")}
+	reading := VMListResult{Changed: true, ETag: response.Header.Get("ETag")}
 	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValue)).Decode(&reading.List); err != nil {
-		return ListReading{}, errors.Wrap(err, "decode VM list")
+		return VMListResult{}, errors.Wrap(err, "decode VM list")
 	}
 	return reading, nil
 }
--- a/internal/backend/platform/platform_test.go
+++ b/internal/backend/platform/platform_test.go
@@ -14,26 +14,27 @@
 )
 
 // TestVMListIsReadOnlyWhenItChanged reads the list twice, and again after a change.
+// Only the first and the third read must transfer the list.
 func TestVMListIsReadOnlyWhenItChanged(t *testing.T) {
-	stand := standin.New(0)
-	server := httptest.NewServer(stand)
+	platformServer := standin.New(0)
+	server := httptest.NewServer(platformServer)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	client := platform.New(address, address, clock.Second)
-	stand.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Live}})
+	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Live}})
 
-	first, err := client.VMs(t.Context(), "")
+	first, err := client.ReadVMList(t.Context(), "")
 	require.NoError(t, err)
 	require.True(t, first.Changed)
 	require.Len(t, first.List.VMs, 1)
 
-	second, err := client.VMs(t.Context(), first.Tag)
+	second, err := client.ReadVMList(t.Context(), first.ETag)
 	require.NoError(t, err)
 	require.False(t, second.Changed)
-	require.Equal(t, first.Tag, second.Tag)
+	require.Equal(t, first.ETag, second.ETag)
 
-	stand.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Leaving}})
-	third, err := client.VMs(t.Context(), second.Tag)
+	platformServer.SetVMs([]members.VM{{Name: "a", Role: members.EntryRole, State: members.Leaving}})
+	third, err := client.ReadVMList(t.Context(), second.ETag)
 	require.NoError(t, err)
 	require.True(t, third.Changed)
 	require.Equal(t, members.Leaving, third.List.VMs[0].State)
--- a/internal/backend/service/service.go
+++ b/internal/backend/service/service.go
@@ -1,4 +1,4 @@
-// Package service calls the plain services that stand beside the engines.
+// Package service implements the client of the services that are not model engines.
 package service
 
 import (
@@ -18,17 +18,18 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Options bound the client's connections and waits.
+// Options holds the timeouts and limits of the client.
 type Options struct {
 	DialTimeout clock.Millis
-	// Timeout is the longest wait for a whole answer.
+	// Timeout is the maximum duration of a call, until its answer was read.
 	Timeout clock.Millis
+	// MaxIdle is the maximum number of idle connections kept per service address.
 	MaxIdle int
-	// MaxAnswer bounds an answer, in bytes.
+	// MaxAnswer is the maximum size of an answer, in bytes.
 	MaxAnswer int64
 }
 
-// DefaultOptions returns the limits used when settings name none.
+// DefaultOptions returns the options that apply where the settings give no value.
 func DefaultOptions() Options {
 	return Options{DialTimeout: 2 * clock.Second, Timeout: 30 * clock.Second, MaxIdle: 64, MaxAnswer: 8 << 20}
 }
@@ -45,14 +46,14 @@
 
 // Client calls services.
 type Client struct {
-	client    *http.Client
-	maxAnswer int64 // bytes
+	httpClient *http.Client
+	maxAnswer  int64 // bytes
 }
 
 // New returns a client.
 func New(options Options) *Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout.Duration()}
-	return &Client{maxAnswer: options.MaxAnswer, client: &http.Client{
+	return &Client{maxAnswer: options.MaxAnswer, httpClient: &http.Client{
 		Timeout: options.Timeout.Duration(),
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
@@ -64,8 +65,8 @@
 	}}
 }
 
-// Do sends a call once. Without an answer, the outcome says whether the service
-// can have received it.
+// Do sends a call once and never retries it. If there is no answer, the outcome
+// says whether the service may have received the call.
 func (client *Client) Do(ctx context.Context, call Call) (*message.StoredAnswer, outcome.Outcome) {
 	sent := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
@@ -88,9 +89,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build service call")
 	}
-	// The transport repeats a request by itself when it can read the body again
-	// and the method or an idempotency header seems to allow it. A body that is
-	// neither nil nor rewindable rules that out, also when it is empty.
+	// The transport retries a request on its own if it can read the body again and
+	// the method or an idempotency header permits it. A body that is not nil and
+	// cannot be rewound prevents that, even if it is empty.
 	request.Body = io.NopCloser(bytes.NewReader(call.Body))
 	request.ContentLength = int64(len(call.Body))
 	request.Header.Set("Content-Type", call.ContentType)
@@ -99,7 +100,7 @@
 }
 
 func (client *Client) exchange(request *http.Request) (*message.StoredAnswer, error) {
-	response, err := client.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "call service")
 	}
--- a/internal/control/audit/audit.go
+++ b/internal/control/audit/audit.go
@@ -1,14 +1,14 @@
-// Package audit is the trail of what a daemon changed and what it refused.
+// Package audit records what a daemon changed and which requests it refused.
 //
-// Each event is one structured line on standard output, which the platform
-// collects and keeps, and one entry of a ring in memory, which the operators'
-// API reads. VMs keep nothing, so the ring is a convenience and the lines are
-// the record. Changes and refusals have rings of their own: a flood of refused
-// requests must not push a takeover out of sight.
+// Each event is written as one structured line to standard output, which the
+// platform collects and keeps, and is added to a ring buffer in memory, which the
+// operators' API reads. VMs store nothing, so the lines are the durable record and
+// the ring buffers serve only recent events. Changes and refusals have separate
+// ring buffers, so that a flood of refused requests cannot evict the changes.
 //
-// Lines are written by Run, apart from those who add events: a collector that
-// stops reading must not stop the decisions. Lines that do not fit the queue in
-// between are dropped and counted.
+// Lines are queued and written by Run, so that adding an event never blocks if the
+// collector stops reading. Lines that do not fit in the queue are dropped and
+// counted.
 package audit
 
 import (
@@ -28,7 +28,8 @@
 // Event is one audited change or refusal. Changes carry Cause, Before and After;
 // refusals carry the decision record.
 type Event struct {
-	// Sequence rises by one with each event of a daemon's life.
+	// Sequence increases by one with each event. It starts anew when the daemon
+	// restarts.
 	Sequence uint64
 	At       clock.Millis
 	Daemon   ident.DaemonID
@@ -40,17 +41,17 @@
 	Record   *outcome.Record `json:",omitempty"`
 }
 
-// Options are the identity and limits of a trail.
+// Options holds the daemon's name and the limits of a trail.
 type Options struct {
 	Daemon ident.DaemonID
-	// Changes and Refusals are the numbers of events kept in memory.
+	// Changes and Refusals are the maximum numbers of events kept in memory.
 	Changes  int
 	Refusals int
-	// Pending is the number of lines that may wait to be written.
+	// Pending is the maximum number of lines that wait to be written.
 	Pending int
 }
 
-// Trail takes in events. Safe for concurrent use.
+// Trail records events. It is safe for concurrent use.
 type Trail struct {
 	options Options
 	log     *slog.Logger
@@ -60,34 +61,34 @@
 	sequence uint64
 	changes  ring
 	refusals ring
-	// records finds the latest refusal still in the ring by request id.
-	records map[string]Event
+	// latestRefusals holds the latest refusal of each request id in the ring.
+	latestRefusals map[string]Event
 	// added is closed and replaced with each event.
 	added chan struct{}
-	// dropped counts the lines that did not fit the queue.
+	// dropped counts the lines that did not fit in the queue.
 	dropped uint64
 }
 
-// New returns an empty trail. The log's handler must write every level, so that
-// no setting silences the trail.
+// New returns an empty trail. The handler of the log must write every level, so
+// that no log setting suppresses the lines.
 func New(options Options, log *slog.Logger) *Trail {
 	return &Trail{
 		options: options, log: log, lines: make(chan Event, options.Pending),
 		changes: newRing(options.Changes), refusals: newRing(options.Refusals),
-		records: map[string]Event{}, added: make(chan struct{}),
+		latestRefusals: map[string]Event{}, added: make(chan struct{}),
 	}
 }
 
-// Change adds a change that a decision machine reported.
-func (trail *Trail) Change(change effect.Audit) {
+// AddChange records a change that the decision logic reported.
+func (trail *Trail) AddChange(change effect.Audit) {
 	trail.add(Event{
 		At: change.At, Kind: change.Kind, Object: change.Object,
 		Cause: change.Cause, Before: change.Before, After: change.After,
 	})
 }
 
-// Refusal adds the record of a request that was not answered.
-func (trail *Trail) Refusal(record outcome.Record) {
+// AddRefusal records a request that was refused or failed, with its decision record.
+func (trail *Trail) AddRefusal(record outcome.Record) {
 	trail.add(Event{
 		At: record.At, Kind: effect.RequestRefused, Object: record.Request,
 		Cause: string(record.Outcome.Reason), After: string(record.Outcome.Kind), Record: &record,
@@ -101,9 +102,9 @@
 	event.Sequence = trail.sequence
 	event.Daemon = trail.options.Daemon
 	if event.Record == nil {
-		trail.changes.put(event)
+		trail.changes.add(event)
 	} else {
-		trail.putRefusal(event)
+		trail.addRefusalEvent(event)
 	}
 	select {
 	case trail.lines <- event:
@@ -114,36 +115,36 @@
 	trail.added = make(chan struct{})
 }
 
-func (trail *Trail) putRefusal(event Event) {
-	pushed, full := trail.refusals.put(event)
-	if full && trail.records[pushed.Object].Sequence == pushed.Sequence {
-		delete(trail.records, pushed.Object)
+func (trail *Trail) addRefusalEvent(event Event) {
+	evicted, full := trail.refusals.add(event)
+	if full && trail.latestRefusals[evicted.Object].Sequence == evicted.Sequence {
+		delete(trail.latestRefusals, evicted.Object)
 	}
-	trail.records[event.Object] = event
+	trail.latestRefusals[event.Object] = event
 }
 
-// Record finds the decision record of a refused request, the latest when the
-// request id was used more than once.
-func (trail *Trail) Record(request string) (outcome.Record, bool) {
+// FindRecord returns the decision record of a refused request that is still in
+// memory: the latest one if the request id was used more than once.
+func (trail *Trail) FindRecord(request string) (outcome.Record, bool) {
 	trail.mutex.Lock()
 	defer trail.mutex.Unlock()
-	event, found := trail.records[request]
+	event, found := trail.latestRefusals[request]
 	if !found {
 		return outcome.Record{}, false
 	}
 	return *event.Record, true
 }
 
-// Filter selects events. Zero fields select all.
+// Filter selects events. A zero field selects all events.
 type Filter struct {
 	// After selects events with a higher sequence.
 	After uint64
-	// Since selects events from that point in time on.
+	// Since selects events at this time or later.
 	Since clock.Millis
 	Kind  effect.AuditKind
 	// Object selects events whose object contains the text.
 	Object string
-	// Limit is the largest number of events returned; the oldest go first.
+	// Limit is the maximum number of events returned. The oldest are returned first.
 	Limit int
 }
 
@@ -152,23 +153,23 @@
 		(filter.Kind == "" || event.Kind == filter.Kind) && strings.Contains(event.Object, filter.Object)
 }
 
-// Page is a part of the trail.
+// Page is the result of a read.
 type Page struct {
 	Events []Event
-	// Next is the sequence to continue after.
+	// Next is the value of Filter.After for the next read.
 	Next uint64
-	// Missed says that events after the filter's sequence have left the rings.
+	// Missed is set if events after Filter.After have been evicted from memory.
 	Missed bool
 }
 
-// Read returns the selected events in order.
+// Read returns the selected events in order of sequence.
 func (trail *Trail) Read(filter Filter) Page {
 	trail.mutex.Lock()
 	defer trail.mutex.Unlock()
 	page := Page{Next: max(filter.After, trail.sequence), Events: []Event{}}
-	page.Missed = trail.changes.pushedOut > filter.After || trail.refusals.pushedOut > filter.After
-	for _, from := range []*ring{&trail.changes, &trail.refusals} {
-		from.each(func(event Event) {
+	page.Missed = trail.changes.lastEvicted > filter.After || trail.refusals.lastEvicted > filter.After
+	for _, ring := range []*ring{&trail.changes, &trail.refusals} {
+		ring.each(func(event Event) {
 			if filter.matches(event) {
 				page.Events = append(page.Events, event)
 			}
@@ -182,8 +183,8 @@
 	return page
 }
 
-// Wait returns the selected events as soon as there is one, or an empty page
-// when the context ends.
+// Wait returns the selected events as soon as there is at least one, or an empty
+// page when the context ends.
 func (trail *Trail) Wait(ctx context.Context, filter Filter) Page {
 	for {
 		trail.mutex.Lock()
--- a/internal/control/audit/audit_test.go
+++ b/internal/control/audit/audit_test.go
@@ -23,11 +23,11 @@
 	return outcome.Record{Request: request, At: 5, Outcome: outcome.Refused(reason, 0)}
 }
 
-func TestRefusalsDoNotPushChangesOut(t *testing.T) {
+func TestRefusalsDoNotEvictChanges(t *testing.T) {
 	trail := newTrail(4, 4)
-	trail.Change(effect.Audit{At: 1, Kind: effect.OwnershipClaimed, Object: "runner-1"})
+	trail.AddChange(effect.Audit{At: 1, Kind: effect.OwnershipClaimed, Object: "runner-1"})
 	for i := range 100 {
-		trail.Refusal(refusal(strconv.Itoa(i), outcome.NoRule))
+		trail.AddRefusal(refusal(strconv.Itoa(i), outcome.NoRule))
 	}
 	page := trail.Read(audit.Filter{})
 	require.Len(t, page.Events, 5)
@@ -37,24 +37,24 @@
 	require.Equal(t, uint64(101), page.Next)
 }
 
-func TestRecordIsFoundWhileTheRingHoldsIt(t *testing.T) {
+func TestRecordIsFoundUntilEvicted(t *testing.T) {
 	trail := newTrail(4, 2)
-	trail.Refusal(refusal("a", outcome.NoRule))
-	trail.Refusal(refusal("a", outcome.NoEngine))
-	trail.Refusal(refusal("b", outcome.NoRule)) // pushes the first of a out
-	found, ok := trail.Record("a")
+	trail.AddRefusal(refusal("a", outcome.NoRule))
+	trail.AddRefusal(refusal("a", outcome.NoEngine))
+	trail.AddRefusal(refusal("b", outcome.NoRule)) // evicts the first event of a
+	found, ok := trail.FindRecord("a")
 	require.True(t, ok)
 	require.Equal(t, outcome.NoEngine, found.Outcome.Reason)
-	trail.Refusal(refusal("c", outcome.NoRule))
-	_, ok = trail.Record("a")
+	trail.AddRefusal(refusal("c", outcome.NoRule))
+	_, ok = trail.FindRecord("a")
 	require.False(t, ok)
 }
 
 func TestFilter(t *testing.T) {
 	trail := newTrail(8, 8)
-	trail.Change(effect.Audit{At: 1, Kind: effect.AdapterLoaded, Object: "runner-1/letters@2"})
-	trail.Change(effect.Audit{At: 2, Kind: effect.AdapterEvicted, Object: "runner-1/quotes@1"})
-	trail.Change(effect.Audit{At: 3, Kind: effect.AdapterLoaded, Object: "runner-2/quotes@1"})
+	trail.AddChange(effect.Audit{At: 1, Kind: effect.AdapterLoaded, Object: "runner-1/letters@2"})
+	trail.AddChange(effect.Audit{At: 2, Kind: effect.AdapterEvicted, Object: "runner-1/quotes@1"})
+	trail.AddChange(effect.Audit{At: 3, Kind: effect.AdapterLoaded, Object: "runner-2/quotes@1"})
 	cases := []struct {
 		name   string
 		filter audit.Filter
@@ -78,12 +78,12 @@
 	require.Equal(t, uint64(2), trail.Read(audit.Filter{After: 1, Limit: 1}).Next)
 }
 
-func TestWaitReturnsWithTheNextMatch(t *testing.T) {
+func TestWaitReturnsNextMatch(t *testing.T) {
 	trail := newTrail(8, 8)
 	pages := make(chan audit.Page)
 	go func() { pages <- trail.Wait(t.Context(), audit.Filter{Kind: effect.LoadFailed}) }()
-	trail.Change(effect.Audit{Kind: effect.AdapterLoaded})
-	trail.Change(effect.Audit{Kind: effect.LoadFailed, Object: "runner-1"})
+	trail.AddChange(effect.Audit{Kind: effect.AdapterLoaded})
+	trail.AddChange(effect.Audit{Kind: effect.LoadFailed, Object: "runner-1"})
 	require.Equal(t, "runner-1", (<-pages).Events[0].Object)
 
 	ended, end := context.WithCancel(t.Context())
@@ -91,7 +91,8 @@
 	require.Empty(t, trail.Wait(ended, audit.Filter{Kind: effect.PauseDetected}).Events)
 }
 
-// ended is a context at its end: Run writes what waits and returns.
+// ended returns a cancelled context, with which Run writes the queued lines and
+// returns.
 func ended(t *testing.T) context.Context {
 	ctx, end := context.WithCancel(t.Context())
 	end()
@@ -101,7 +102,7 @@
 func TestEventIsOneLine(t *testing.T) {
 	var out bytes.Buffer
 	trail := audit.New(audit.Options{Changes: 1, Refusals: 1, Pending: 1}, slog.New(slog.NewJSONHandler(&out, nil)))
-	trail.Refusal(refusal("r-1", outcome.QueueFull))
+	trail.AddRefusal(refusal("r-1", outcome.QueueFull))
 	require.NoError(t, trail.Run(ended(t)))
 	var line struct {
 		Kind    string
@@ -113,13 +114,13 @@
 	require.Equal(t, outcome.QueueFull, line.Record.Outcome.Reason)
 }
 
-// TestFullQueueDropsLinesOnly adds more than the queue holds while nothing is
-// written, as with a collector that stopped reading.
+// TestFullQueueDropsLinesOnly adds more events than the queue holds while no line
+// is written, as if the collector had stopped reading. The events stay in memory.
 func TestFullQueueDropsLinesOnly(t *testing.T) {
 	var out bytes.Buffer
 	trail := audit.New(audit.Options{Changes: 8, Refusals: 8, Pending: 2}, slog.New(slog.NewJSONHandler(&out, nil)))
 	for range 5 {
-		trail.Change(effect.Audit{Kind: effect.AdapterLoaded})
+		trail.AddChange(effect.Audit{Kind: effect.AdapterLoaded})
 	}
 	require.Equal(t, uint64(3), trail.Dropped())
 	require.Len(t, trail.Read(audit.Filter{}).Events, 5)
--- a/internal/control/audit/bench_test.go
+++ b/internal/control/audit/bench_test.go
@@ -8,8 +8,8 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// BenchmarkRefusal adds refusals that considered 300 engines each, as in the
-// largest pool of a region, and reports the memory kept for each.
+// BenchmarkRefusal adds refusals whose records list 300 candidate engines each, as
+// in the largest pool of a region. It also reports the memory held for each.
 func BenchmarkRefusal(b *testing.B) {
 	const kept = 1024
 	trail := newTrail(16, kept)
@@ -17,18 +17,18 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range kept {
-		trail.Refusal(recordOfPool(i))
+		trail.AddRefusal(recordOfLargePool(i))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	record := recordOfPool(0)
+	record := recordOfLargePool(0)
 	for b.Loop() {
-		trail.Refusal(record)
+		trail.AddRefusal(record)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/kept, "B/kept")
 }
 
-func recordOfPool(i int) outcome.Record {
+func recordOfLargePool(i int) outcome.Record {
 	record := refusal(strconv.Itoa(i), outcome.QueueFull)
 	for range 300 {
 		record.Candidates = append(record.Candidates, outcome.Candidate{Engine: "runner", Verdict: outcome.RankedLower, Age: 1})
--- a/internal/control/audit/lines.go
+++ b/internal/control/audit/lines.go
@@ -2,20 +2,21 @@
 
 import "context"
 
-// Run writes the lines until the context ends, and then those still waiting.
+// Run writes the queued lines until the context ends, then the lines that are
+// still in the queue.
 func (trail *Trail) Run(ctx context.Context) error {
 	for {
 		select {
 		case event := <-trail.lines:
 			trail.write(event)
 		case <-ctx.Done():
-			trail.writeRest()
+			trail.writePending()
 			return nil
 		}
 	}
 }
 
-func (trail *Trail) writeRest() {
+func (trail *Trail) writePending() {
 	for {
 		select {
 		case event := <-trail.lines:
@@ -36,8 +37,8 @@
 		"Cause", event.Cause, "Before", event.Before, "After", event.After)
 }
 
-// Dropped returns the number of lines that were not written, because the queue
-// was full. Their sequences are missing from the log.
+// Dropped returns the number of lines that were dropped because the queue was
+// full. Their sequences are missing from the log.
 func (trail *Trail) Dropped() uint64 {
 	trail.mutex.Lock()
 	defer trail.mutex.Unlock()
--- a/internal/control/compare/compare_test.go
+++ b/internal/control/compare/compare_test.go
@@ -11,6 +11,8 @@
 	"teaselmoor/internal/control/config"
 )
 
+// document returns a configuration with 4 callers, 5 review adapters, 5 draft
+// adapters and one service.
 func document() config.Config {
 	document := config.Config{
 		Version:      4,
@@ -42,6 +44,7 @@
 	return document
 }
 
+// compareTo compares document with a changed copy of it.
 func compareTo(t *testing.T, change func(*config.Config)) compare.Report {
 	t.Helper()
 	before, err := config.Compile(document())
@@ -54,21 +57,20 @@
 	return compare.Compare(before, after)
 }
 
-// The site has 4 callers, 5 reviews, 5 drafts and one service.
 func TestCompare(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*config.Config)
 		want   []compare.Effect
 	}{
-		{"nothing", func(*config.Config) {}, nil},
-		{"a rule goes", func(changed *config.Config) { changed.Rules = changed.Rules[1:] }, []compare.Effect{
+		{"no change", func(*config.Config) {}, nil},
+		{"a rule is removed", func(changed *config.Config) { changed.Rules = changed.Rules[1:] }, []compare.Effect{
 			{Kind: compare.Refused, Count: 20, Examples: []compare.Example{{"employer-0", "review-0@1", "rule reviews", "no rule matches"}}},
 		}},
-		{"an adapter goes", func(changed *config.Config) { changed.Adapters = changed.Adapters[1:] }, []compare.Effect{
+		{"an adapter is removed", func(changed *config.Config) { changed.Adapters = changed.Adapters[1:] }, []compare.Effect{
 			{Kind: compare.Refused, Count: 4, Examples: []compare.Example{{"employer-0", "review-0@1", "rule reviews", "adapter version or service not defined"}}},
 		}},
-		{"a caller comes", func(changed *config.Config) {
+		{"a caller is added", func(changed *config.Config) {
 			changed.Callers = append(changed.Callers, config.Caller{Name: "late", KeyHash: config.HashKey("late")})
 		}, []compare.Effect{
 			{Kind: compare.Permitted, Count: 11, Examples: []compare.Example{
@@ -77,13 +79,13 @@
 				{"late", "records", "caller not defined", "rule records"},
 			}},
 		}},
-		{"an engine leaves", func(changed *config.Config) { changed.Engines[2].Leaving = true }, []compare.Effect{
+		{"an engine is set leaving", func(changed *config.Config) { changed.Engines[2].Leaving = true }, []compare.Effect{
 			{Kind: compare.Moved, Count: 40, Examples: []compare.Example{
 				{"employer-0", "review-0@1", "runner-1, runner-2, runner-3", "runner-1, runner-2"},
 				{"employer-0", "draft-1@1", "runner-1, runner-2, runner-3", "runner-1, runner-2"},
 			}},
 		}},
-		{"no engine matches", func(changed *config.Config) { changed.Rules[1].Engines = "site=south" }, []compare.Effect{
+		{"a rule no longer matches an engine", func(changed *config.Config) { changed.Rules[1].Engines = "site=south" }, []compare.Effect{
 			{Kind: compare.Refused, Count: 20, Examples: []compare.Example{{"employer-0", "draft-1@1", "rule drafts", "rule drafts permits no engine in service"}}},
 		}},
 		{"a rule changes", func(changed *config.Config) {
@@ -110,8 +112,8 @@
 	}
 }
 
-// BenchmarkCompare compares two configurations of the size expected, in which
-// every adapter and every caller has a label of its own.
+// BenchmarkCompare compares two configurations of the expected size, in which
+// every added adapter and caller has a label value of its own.
 func BenchmarkCompare(b *testing.B) {
 	large := document()
 	for i := range 15_000 {
--- a/internal/control/compare/selection.go
+++ b/internal/control/compare/selection.go
@@ -9,54 +9,56 @@
 	"teaselmoor/internal/control/config"
 )
 
-// selection tells which rules of a configuration select a caller or a target.
-// Whatever the same rules select is treated alike.
-type selection struct {
-	callers  []labels.Selector // by rule
+// ruleMatcher finds which rules of a configuration match a caller or a target.
+// Callers and targets that the same rules match are handled the same way.
+type ruleMatcher struct {
+	callers  []labels.Selector // by index of the rule, as the others
 	adapters []labels.Selector
 	services []labels.Selector
 }
 
-func newSelection(snapshot *config.Snapshot) *selection {
-	selection := &selection{}
+func newRuleMatcher(snapshot *config.Snapshot) *ruleMatcher {
+	ruleMatcher := &ruleMatcher{}
 	for _, rule := range snapshot.Config.Rules {
-		selection.callers = append(selection.callers, selector(rule.Callers))
-		selection.adapters = append(selection.adapters, selector(rule.Adapters))
-		selection.services = append(selection.services, selector(rule.Services))
+		ruleMatcher.callers = append(ruleMatcher.callers, mustParseSelector(rule.Callers))
+		ruleMatcher.adapters = append(ruleMatcher.adapters, mustParseSelector(rule.Adapters))
+		ruleMatcher.services = append(ruleMatcher.services, mustParseSelector(rule.Services))
 	}
-	return selection
+	return ruleMatcher
 }
 
-func selector(text string) labels.Selector {
+func mustParseSelector(text string) labels.Selector {
 	parsed, err := labels.Parse(text)
 	invariant.Check(err == nil, "a snapshot's selectors are valid", "%q: %v", text, err)
 	return parsed
 }
 
-// caller returns a key that is equal for callers treated alike.
-func (selection *selection) caller(caller *config.Caller) string {
+// callerKey returns a key that is equal for callers that are handled the same way.
+func (ruleMatcher *ruleMatcher) callerKey(caller *config.Caller) string {
 	if caller == nil {
 		return "absent"
 	}
-	return matches(selection.callers, caller.Labels)
+	return matchBits(ruleMatcher.callers, caller.Labels)
 }
 
-// target returns a key that is equal for targets treated alike.
-func (selection *selection) target(target target) string {
+// targetKey returns a key that is equal for targets that are handled the same way.
+func (ruleMatcher *ruleMatcher) targetKey(target target) string {
 	switch {
 	case target.adapter != nil:
-		return "adapter " + target.adapter.BaseModel + " " + matches(selection.adapters, target.adapter.Labels)
+		return "adapter " + target.adapter.BaseModel + " " + matchBits(ruleMatcher.adapters, target.adapter.Labels)
 	case target.service != nil:
-		return "service " + strings.Join(target.service.Addresses, ",") + " " + matches(selection.services, target.service.Labels)
+		return "service " + strings.Join(target.service.Addresses, ",") + " " + matchBits(ruleMatcher.services, target.service.Labels)
 	}
 	return "absent"
 }
 
-func matches(selectors []labels.Selector, of map[string]string) string {
+// matchBits returns a string with a 1 for each selector that matches the labels,
+// and a 0 for each other.
+func matchBits(selectors []labels.Selector, labelSet map[string]string) string {
 	bits := make([]byte, 0, len(selectors))
 	for _, selector := range selectors {
 		bit := byte('0')
-		if selector.Matches(labels.Set(of)) {
+		if selector.Matches(labels.Set(labelSet)) {
 			bit = '1'
 		}
 		bits = append(bits, bit)
--- a/internal/control/compare/target.go
+++ b/internal/control/compare/target.go
@@ -9,7 +9,8 @@
 	"teaselmoor/internal/control/config"
 )
 
-// target is what requests address: an adapter version or a service.
+// target is what requests address: an adapter version or a service. Both are nil
+// if the configuration does not define it.
 type target struct {
 	adapter *config.Adapter
 	service *config.Service
@@ -19,9 +20,10 @@
 	return target.adapter != nil || target.service != nil
 }
 
-// targetGroup is the targets whose keys are equal before and after.
+// targetGroup is a group of targets that have the same key before the change, and
+// the same key after it.
 type targetGroup struct {
-	name          string // of the first
+	name          string // of the first target
 	before, after target
 	count         int
 }
@@ -29,20 +31,20 @@
 func (comparison *comparison) targetGroups() []*targetGroup {
 	groups := newGroups[targetGroup]()
 	add := func(name string, before, after target) {
-		group := groups.at(comparison.selectedBefore.target(before) + "|" + comparison.selectedAfter.target(after))
+		group := groups.findOrAdd(comparison.rulesBefore.targetKey(before) + "|" + comparison.rulesAfter.targetKey(after))
 		group.name = cmp.Or(group.name, name)
 		group.before, group.after = before, after
 		group.count++
 	}
 	adapterName := func(adapter config.Adapter) string { return adapter.Address().String() }
-	for _, name := range names(comparison.before.Config.Adapters, comparison.after.Config.Adapters, adapterName) {
+	for _, name := range uniqueNames(comparison.before.Config.Adapters, comparison.after.Config.Adapters, adapterName) {
 		address, _ := ident.ParseAdapter(name)
 		before, _ := comparison.before.Adapter(address)
 		after, _ := comparison.after.Adapter(address)
 		add(name, target{adapter: before}, target{adapter: after})
 	}
 	serviceName := func(service config.Service) string { return service.Name }
-	for _, name := range names(comparison.before.Config.Services, comparison.after.Config.Services, serviceName) {
+	for _, name := range uniqueNames(comparison.before.Config.Services, comparison.after.Config.Services, serviceName) {
 		before, _ := comparison.before.Service(name)
 		after, _ := comparison.after.Service(name)
 		add(name, target{service: before}, target{service: after})
@@ -50,55 +52,55 @@
 	return groups.list
 }
 
-// treatment is what a configuration does with a kind of request.
-type treatment struct {
+// handling says how a configuration handles a pair of a caller and a target.
+type handling struct {
 	permitted bool
 	decision  config.Decision
-	// places are where it may run: engines, or a service's addresses.
-	places string
+	// locations lists the engines that may run a request, or the service's addresses.
+	locations string
 }
 
-func treat(snapshot *config.Snapshot, caller *config.Caller, target target) treatment {
+func handlingOf(snapshot *config.Snapshot, caller *config.Caller, target target) handling {
 	if caller == nil || !target.exists() {
-		return treatment{}
+		return handling{}
 	}
 	if target.service != nil {
 		decision, matched := snapshot.DecideService(caller, target.service)
-		return treatment{permitted: matched, decision: decision, places: strings.Join(target.service.Addresses, ", ")}
+		return handling{permitted: matched, decision: decision, locations: strings.Join(target.service.Addresses, ", ")}
 	}
 	decision, matched := snapshot.DecideModel(caller, target.adapter)
-	places := make([]string, 0, len(decision.Pool))
+	engines := make([]string, 0, len(decision.Pool))
 	for _, engine := range decision.Pool {
 		if !engine.Leaving {
-			places = append(places, string(engine.Name))
+			engines = append(engines, string(engine.Name))
 		}
 	}
-	// a request that a rule permits on no engine is refused all the same
-	return treatment{permitted: matched && len(places) > 0, decision: decision, places: strings.Join(places, ", ")}
+	// A request is also refused if a rule matches but no engine may run it.
+	return handling{permitted: matched && len(engines) > 0, decision: decision, locations: strings.Join(engines, ", ")}
 }
 
 func (comparison *comparison) comparePair(caller *callerGroup, target *targetGroup) {
 	count := caller.count * target.count
 	comparison.requests += count
-	before := treat(comparison.before, caller.before, target.before)
-	after := treat(comparison.after, caller.after, target.after)
+	before := handlingOf(comparison.before, caller.before, target.before)
+	after := handlingOf(comparison.after, caller.after, target.after)
 	add := func(kind Kind, before, after string) {
-		comparison.add(kind, count, Example{Caller: caller.name(), Target: target.name, Before: before, After: after})
+		comparison.addEffect(kind, count, Example{Caller: caller.name(), Target: target.name, Before: before, After: after})
 	}
 	switch {
 	case before.permitted && !after.permitted:
-		add(Refused, "rule "+before.decision.Rule, whyRefused(caller.after != nil, target.after.exists(), after))
+		add(Refused, "rule "+before.decision.Rule, refusalReason(caller.after != nil, target.after.exists(), after))
 		return
 	case !before.permitted && after.permitted:
-		add(Permitted, whyRefused(caller.before != nil, target.before.exists(), before), "rule "+after.decision.Rule)
+		add(Permitted, refusalReason(caller.before != nil, target.before.exists(), before), "rule "+after.decision.Rule)
 		return
 	case !before.permitted:
 		return
 	}
-	compareTreatments(before, after, add)
+	compareHandling(before, after, add)
 }
 
-func whyRefused(callerKnown, targetKnown bool, refused treatment) string {
+func refusalReason(callerKnown, targetKnown bool, refused handling) string {
 	switch {
 	case !callerKnown:
 		return "caller not defined"
@@ -110,9 +112,9 @@
 	return "no rule matches"
 }
 
-func compareTreatments(before, after treatment, add func(kind Kind, before, after string)) {
-	if before.places != after.places {
-		add(Moved, before.places, after.places)
+func compareHandling(before, after handling, add func(kind Kind, before, after string)) {
+	if before.locations != after.locations {
+		add(Moved, before.locations, after.locations)
 	}
 	from, to := before.decision, after.decision
 	if from.Class != to.Class {
--- a/internal/control/config/config.go
+++ b/internal/control/config/config.go
@@ -1,9 +1,10 @@
-// Package config holds the configuration that operators publish: backend
-// servers, adapters, callers and the rules that select between them.
+// Package config defines the configuration that operators publish: weight
+// stores, engines, services, callers, adapters and the rules that say how
+// requests are served.
 //
-// A Config is the document as written. A Snapshot is a Config that validated
-// whole, compiled for lookups and immutable; readers take one and work on it,
-// and a change makes a new one. The package does no I/O.
+// A Config is the document as written. A Snapshot is a fully validated Config,
+// compiled for lookups. Snapshots are immutable: a new configuration version
+// gives a new snapshot. The package does no I/O.
 package config
 
 import (
@@ -11,7 +12,7 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// Class is the urgency of a request. Lower is more urgent.
+// Class is the urgency of a request. A lower value is more urgent.
 type Class uint8
 
 // Urgency classes.
@@ -22,7 +23,7 @@
 	ClassCount
 )
 
-// String names the class as in the configuration.
+// String returns the name of the class as written in the configuration.
 func (class Class) String() string {
 	if class == Urgent {
 		return "Urgent"
@@ -32,7 +33,8 @@
 
 // Config is one published version of the configuration.
 type Config struct {
-	// Version rises with every publication; a lower one is never accepted.
+	// Version increases with every publication. A daemon never accepts a lower
+	// version than the one in force.
 	Version      uint64        `yaml:"Version,omitempty"`
 	WeightStores []WeightStore `yaml:"WeightStores,omitempty"`
 	Engines      []Engine      `yaml:"Engines,omitempty"`
@@ -42,10 +44,11 @@
 	Rules        []Rule        `yaml:"Rules,omitempty"`
 }
 
-// WeightStore is a store that engines load adapters from.
+// WeightStore is a store that engines load adapter weights from.
 type WeightStore struct {
 	Name string `yaml:"Name"`
-	// LoadsPerSecond is the rate at which one load at a time completes.
+	// LoadsPerSecond is the number of loads that the store completes per second
+	// when it serves one load at a time.
 	LoadsPerSecond float64 `yaml:"LoadsPerSecond"`
 }
 
@@ -58,16 +61,18 @@
 	BaseModel  string            `yaml:"BaseModel"`
 	Store      string            `yaml:"Store"`
 	Labels     map[string]string `yaml:"Labels,omitempty"`
-	// ChecksFencing says that the engine refuses an order with an old fencing number.
+	// ChecksFencing is set if the engine refuses orders with an old fencing number.
 	ChecksFencing bool `yaml:"ChecksFencing,omitempty"`
-	Slots         int  `yaml:"Slots"`
-	// MaxRuns is the number of runs that one engine step shares at most.
+	// Slots is the number of adapters that the engine can hold.
+	Slots int `yaml:"Slots"`
+	// MaxRuns is the maximum number of runs that share one engine step.
 	MaxRuns int `yaml:"MaxRuns"`
-	// Leaving stops new work at once.
+	// Leaving is set to send no new work to the engine.
 	Leaving bool `yaml:"Leaving,omitempty"`
 }
 
-// Service is a plain service beside the engines.
+// Service is a service that is not a model engine; calls are forwarded to it
+// without an adapter.
 type Service struct {
 	Name      string            `yaml:"Name"`
 	Addresses []string          `yaml:"Addresses"` // IP:port
@@ -80,12 +85,13 @@
 	// KeyHash is the SHA-256 of the API key, in hexadecimal.
 	KeyHash string            `yaml:"KeyHash"`
 	Labels  map[string]string `yaml:"Labels,omitempty"`
-	// Region is where the caller's idempotency keys are kept. It may be empty
-	// while all engines stand in one region, and never changes for a name.
+	// Region is the region whose daemons keep the caller's idempotency keys. It
+	// may be empty if all engines are in one region. It must not change for a
+	// caller name; see CheckSuccessor.
 	Region string `yaml:"Region,omitempty"`
-	// RequestsPerSecond limits the caller at each entry; 0 means no limit.
+	// RequestsPerSecond limits the caller at each entry VM; 0 means no limit.
 	RequestsPerSecond float64 `yaml:"RequestsPerSecond,omitempty"`
-	// Burst is the number of requests above the rate accepted at once.
+	// Burst is the number of requests above the rate that are accepted at once.
 	Burst int `yaml:"Burst,omitempty"`
 }
 
@@ -97,26 +103,27 @@
 	Labels    map[string]string `yaml:"Labels,omitempty"`
 }
 
-// Address returns name and version.
+// Address returns the adapter's name and version.
 func (adapter Adapter) Address() ident.Adapter {
 	return ident.Adapter{Name: adapter.Name, Version: adapter.Version}
 }
 
 // Rule selects requests by label selectors and says how to serve them. The
-// first matching rule of the document wins; a request that no rule matches is
-// refused.
+// first rule of the document that matches a request applies. A request that
+// matches no rule is refused.
 type Rule struct {
 	Name string `yaml:"Name"`
-	// Callers, Adapters and Services select requests; empty selects all. A rule
-	// with Services set matches service calls only, otherwise model calls only.
+	// Callers, Adapters and Services select requests; an empty selector matches
+	// all. A rule with Services set matches only service calls, a rule without
+	// it only model requests.
 	Callers  string `yaml:"Callers,omitempty"`
 	Adapters string `yaml:"Adapters,omitempty"`
 	Services string `yaml:"Services,omitempty"`
-	// Engines selects where matching model requests may run.
+	// Engines selects the engines that may run matching model requests.
 	Engines string `yaml:"Engines,omitempty"`
 	Class   string `yaml:"Class"`
-	// DeadlineMillis is the longest that a caller waits for the answer to begin.
+	// DeadlineMillis is the maximum time from a request to the start of its answer.
 	DeadlineMillis clock.Millis `yaml:"DeadlineMillis"`
-	// Repeatable says that running the request twice does no harm.
+	// Repeatable is set if running the request twice does no harm.
 	Repeatable bool `yaml:"Repeatable"`
 }
--- a/internal/control/config/document.go
+++ b/internal/control/config/document.go
@@ -10,14 +10,14 @@
 	"teaselmoor/internal/base/document"
 )
 
-// Parse reads a YAML document. Unknown keys and a second document are refused;
-// the error is then Problems that lists every such mistake.
+// Parse reads a YAML document. It refuses unknown keys and a second document.
+// If keys or values are wrong, the error is a Problems that lists each of them.
 func Parse(text []byte) (Config, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	var config Config
 	if err := decoder.Decode(&config); err != nil {
-		return Config{}, explainParse(text, err)
+		return Config{}, parseProblems(text, err)
 	}
 	var extra yaml.Node
 	if err := decoder.Decode(&extra); !errors.Is(err, io.EOF) {
@@ -26,9 +26,10 @@
 	return config, nil
 }
 
-// explainParse reads a document that failed again, slowly, to name the line and
-// key of each mistake.
-func explainParse(text []byte, cause error) error {
+// parseProblems parses a document that the decoder refused again, with a slower
+// parser that finds the line and key of every mistake. It returns the cause if
+// that parser finds none.
+func parseProblems(text []byte, cause error) error {
 	var config Config
 	mistakes := document.Decode(text, &config)
 	if len(mistakes) == 0 {
@@ -41,7 +42,8 @@
 	return problems
 }
 
-// Locate returns the problems with the lines that they have in the document.
+// Locate returns the problems with the numbers of their lines in the document.
+// It returns them unchanged if the document cannot be parsed.
 func Locate(text []byte, problems Problems) Problems {
 	parsed, mistakes := document.Parse(text)
 	if mistakes != nil {
--- a/internal/control/config/manifest.go
+++ b/internal/control/config/manifest.go
@@ -12,25 +12,28 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Limits of a published version.
+// Limits of a published configuration version.
 const (
-	// MaxPart is the size of the largest part, in bytes: what one value holds.
-	MaxPart = 1 << 20
-	// MaxParts is the number of parts that a manifest may name.
+	// MaxPartBytes is the maximum size of a part: the size limit of a value in
+	// the configuration service.
+	MaxPartBytes = 1 << 20
+	// MaxParts is the maximum number of parts in a manifest.
 	MaxParts = 1024
 )
 
-// PartPrefix begins the name of every part. The rest is the part's hash, so
-// that a publication never overwrites a part of another one.
+// PartPrefix is the prefix of the name of every part. The rest of the name is
+// the hash of the part, so that a publication never overwrites a part of
+// another one.
 const PartPrefix = "teaselmoor-part-"
 
-// Manifest names the parts of one version. It is the value that daemons watch.
+// Manifest lists the parts of one configuration version. It is the value that
+// daemons watch.
 type Manifest struct {
 	Version uint64         `yaml:"Version"`
 	Parts   []ManifestPart `yaml:"Parts"`
 }
 
-// ManifestPart says what a part must be.
+// ManifestPart holds the name, size and hash of a part.
 type ManifestPart struct {
 	Name string `yaml:"Name"`
 	Size int    `yaml:"Size"` // bytes
@@ -38,26 +41,28 @@
 	SHA256 string `yaml:"SHA256"`
 }
 
-// Part is one value of a version: a piece of the configuration document.
+// Part is one fragment of the configuration document, published as a value of
+// its own.
 type Part struct {
 	Name string
 	Body []byte
 }
 
-// Mark identifies one publication. Two operators may publish the same version
-// number at once; the hash of the manifest then decides, the same everywhere.
+// Mark identifies one publication of the configuration. Two operators may
+// publish the same version number at the same time; all daemons then accept the
+// publication whose manifest has the higher hash.
 type Mark struct {
 	Version uint64
 	// Digest is the hash of the manifest as published, in hexadecimal.
 	Digest string
 }
 
-// Compare orders publications: by version, then by digest.
+// Compare orders publications by version, then by digest.
 func (mark Mark) Compare(other Mark) int {
 	return cmp.Or(cmp.Compare(mark.Version, other.Version), strings.Compare(mark.Digest, other.Digest))
 }
 
-// ParseManifest reads a manifest and checks its form.
+// ParseManifest parses a manifest and checks its fields.
 func ParseManifest(text []byte) (Manifest, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
@@ -78,7 +83,7 @@
 	return text, errors.Wrap(err, "format manifest")
 }
 
-// MarkOf identifies the publication of a manifest by its text.
+// MarkOf returns the mark of the manifest, given its text as published.
 func MarkOf(manifest Manifest, text []byte) Mark {
 	return Mark{Version: manifest.Version, Digest: hashOf(text)}
 }
@@ -97,8 +102,8 @@
 			return errors.Errorf("Parts[%d].Name: must not be empty", i)
 		case names[part.Name]:
 			return errors.Errorf("Parts[%d].Name: %q is named twice", i, part.Name)
-		case part.Size < 0 || part.Size > MaxPart:
-			return errors.Errorf("Parts[%d].Size: %d bytes, at most %d", i, part.Size, MaxPart)
+		case part.Size < 0 || part.Size > MaxPartBytes:
+			return errors.Errorf("Parts[%d].Size: %d bytes, at most %d", i, part.Size, MaxPartBytes)
 		case len(part.SHA256) != hashDigits:
 			return errors.Errorf("Parts[%d].SHA256: want %d hexadecimal digits", i, hashDigits)
 		}
@@ -107,7 +112,7 @@
 	return nil
 }
 
-// Verify checks a part's size and hash.
+// Verify checks the size and hash of the body of a part.
 func (part ManifestPart) Verify(body []byte) error {
 	if len(body) != part.Size {
 		return errors.Errorf("part %s: %d bytes, the manifest says %d", part.Name, len(body), part.Size)
--- a/internal/control/config/pack.go
+++ b/internal/control/config/pack.go
@@ -9,29 +9,30 @@
 	"github.com/pkg/errors"
 )
 
-// partTarget is the size that parts aim at, in bytes. A change of one adapter
-// makes daemons fetch one part: small parts make changes cheap, many parts make
-// the manifest long.
-const partTarget = 64 << 10
+// targetPartBytes is the upper limit of the average part size. If one adapter
+// changes, daemons fetch one part: small parts make changes cheap, but many
+// parts make the manifest long.
+const targetPartBytes = 64 << 10
 
-// Pack divides a document into a manifest and parts. Engines, callers and
-// adapters are each spread over a power of two of parts by the hash of their
-// names, so that a small change alters few parts; their order carries no
-// meaning and is lost. Publish the parts before the manifest.
+// Pack splits a document into a manifest and parts. Engines, callers and
+// adapters are each distributed over parts by the hash of their names, so that a
+// small change alters few parts. The number of parts for each is a power of two.
+// The order of engines, callers and adapters has no meaning and is not kept. The
+// parts must be published before the manifest.
 func Pack(config Config) (Manifest, []Part, error) {
 	manifest := Manifest{Version: config.Version}
 	var parts []Part
-	divided, err := fragments(config)
+	fragments, err := splitDocument(config)
 	if err != nil {
 		return Manifest{}, nil, errors.Wrap(err, "pack configuration")
 	}
-	for _, fragment := range divided {
+	for _, fragment := range fragments {
 		body, err := Format(fragment)
 		if err != nil {
 			return Manifest{}, nil, errors.Wrap(err, "pack configuration")
 		}
-		if len(body) > MaxPart {
-			return Manifest{}, nil, errors.Errorf("pack configuration: a part of %d bytes, at most %d", len(body), MaxPart)
+		if len(body) > MaxPartBytes {
+			return Manifest{}, nil, errors.Errorf("pack configuration: a part of %d bytes, at most %d", len(body), MaxPartBytes)
 		}
 		hash := hashOf(body)
 		parts = append(parts, Part{Name: PartPrefix + hash, Body: body})
@@ -40,59 +41,63 @@
 	return manifest, parts, errors.Wrap(manifest.check(), "pack configuration")
 }
 
-// fragments divides a document into the documents of its parts.
-func fragments(config Config) ([]Config, error) {
-	divided := []Config{{WeightStores: config.WeightStores, Services: config.Services, Rules: config.Rules}}
-	engines, err := spread(config.Engines,
+// splitDocument splits a document into the non-empty documents of its parts.
+// Weight stores, services and rules share the first one.
+func splitDocument(config Config) ([]Config, error) {
+	fragments := []Config{{WeightStores: config.WeightStores, Services: config.Services, Rules: config.Rules}}
+	engines, err := splitByHash(config.Engines,
 		func(engine Engine) string { return string(engine.Name) },
 		func(engines []Engine) Config { return Config{Engines: engines} })
 	if err != nil {
 		return nil, err
 	}
-	callers, err := spread(config.Callers,
+	callers, err := splitByHash(config.Callers,
 		func(caller Caller) string { return caller.Name },
 		func(callers []Caller) Config { return Config{Callers: callers} })
 	if err != nil {
 		return nil, err
 	}
-	adapters, err := spread(config.Adapters,
+	adapters, err := splitByHash(config.Adapters,
 		func(adapter Adapter) string { return adapter.Address().String() },
 		func(adapters []Adapter) Config { return Config{Adapters: adapters} })
 	if err != nil {
 		return nil, err
 	}
-	return slices.DeleteFunc(slices.Concat(divided, engines, callers, adapters), empty), nil
+	return slices.DeleteFunc(slices.Concat(fragments, engines, callers, adapters), isEmpty), nil
 }
 
-func empty(config Config) bool {
+func isEmpty(config Config) bool {
 	return len(config.WeightStores)+len(config.Rules)+len(config.Engines)+
 		len(config.Services)+len(config.Callers)+len(config.Adapters) == 0
 }
 
-// spread divides objects of one kind by the hash of their names.
-func spread[T any](objects []T, name func(T) string, document func([]T) Config) ([]Config, error) {
+// splitByHash distributes objects of one kind over fragments by the hash of their
+// names. It doubles the number of fragments until their average size is at most
+// targetPartBytes.
+func splitByHash[T any](objects []T, name func(T) string, document func([]T) Config) ([]Config, error) {
 	whole, err := Format(document(objects))
 	if err != nil {
 		return nil, err
 	}
 	count := 1
-	for len(whole)/count > partTarget {
+	for len(whole)/count > targetPartBytes {
 		count *= 2
 	}
 	buckets := make([][]T, count)
 	for _, object := range objects {
-		at := xxhash.Sum64String(name(object)) % uint64(count)
-		buckets[at] = append(buckets[at], object)
+		index := xxhash.Sum64String(name(object)) % uint64(count)
+		buckets[index] = append(buckets[index], object)
 	}
-	divided := make([]Config, 0, count)
+	fragments := make([]Config, 0, count)
 	for _, bucket := range buckets {
 		sortByName(bucket, name)
-		divided = append(divided, document(bucket))
+		fragments = append(fragments, document(bucket))
 	}
-	return divided, nil
+	return fragments, nil
 }
 
-// compareAdapters orders by name and version without building the address.
+// compareAdapters compares adapters by name and version, without formatting
+// their addresses.
 func compareAdapters(a, b Adapter) int {
 	return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(a.Version, b.Version))
 }
@@ -101,42 +106,43 @@
 	slices.SortStableFunc(objects, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
 }
 
-// Assemble joins the parts of a version, by name, into its document, with
-// engines, callers and adapters in order of name. Nothing is taken from a version of which any part is
-// missing, has another hash than the manifest says, or does not parse.
+// Assemble joins the parts of a version, given by name, into its document, with
+// engines, callers and adapters in order of name. It fails if any part is
+// missing, differs in size or hash from the manifest, or cannot be parsed.
 func Assemble(manifest Manifest, parts map[string][]byte) (Config, error) {
-	joined, _, err := AssembleFrom(nil, manifest, parts)
-	return joined, err
+	document, _, err := AssembleFrom(nil, manifest, parts)
+	return document, err
 }
 
-// Pieces are the parsed parts of a document, by the hash of their text.
-type Pieces map[string]Config
+// ParsedParts holds the parsed parts of a document, by the hash of their text.
+type ParsedParts map[string]Config
 
-// AssembleFrom is Assemble, with the pieces of an earlier version: parsing takes
-// most of the time of a switch, and most parts do not change. It returns the
-// pieces for the next one.
-func AssembleFrom(earlier Pieces, manifest Manifest, parts map[string][]byte) (Config, Pieces, error) {
+// AssembleFrom is like Assemble, but reuses the parsed parts of an earlier
+// version: parsing takes most of the time of a change of version, and most parts
+// do not change. It also returns the parsed parts, for the next call.
+func AssembleFrom(earlier ParsedParts, manifest Manifest, parts map[string][]byte) (Config, ParsedParts, error) {
 	if err := manifest.check(); err != nil {
 		return Config{}, nil, errors.Wrap(err, "assemble configuration")
 	}
-	joined, pieces := Config{}, Pieces{}
+	document, pieces := Config{}, ParsedParts{}
 	for _, part := range manifest.Parts {
-		fragment, err := earlier.read(part, parts)
+		fragment, err := earlier.parsePart(part, parts)
 		if err != nil {
 			return Config{}, nil, errors.Wrap(err, "assemble configuration")
 		}
 		pieces[part.SHA256] = fragment
-		joined.add(fragment)
+		document.appendObjects(fragment)
 	}
-	joined.Version = manifest.Version
-	sortByName(joined.Engines, func(engine Engine) string { return string(engine.Name) })
-	sortByName(joined.Callers, func(caller Caller) string { return caller.Name })
-	slices.SortStableFunc(joined.Adapters, compareAdapters)
-	return joined, pieces, nil
+	document.Version = manifest.Version
+	sortByName(document.Engines, func(engine Engine) string { return string(engine.Name) })
+	sortByName(document.Callers, func(caller Caller) string { return caller.Name })
+	slices.SortStableFunc(document.Adapters, compareAdapters)
+	return document, pieces, nil
 }
 
-// read checks and parses one part, unless it was parsed before.
-func (pieces Pieces) read(part ManifestPart, parts map[string][]byte) (Config, error) {
+// parsePart verifies one part, and parses it unless a part with the same hash was
+// parsed before.
+func (parsedParts ParsedParts) parsePart(part ManifestPart, parts map[string][]byte) (Config, error) {
 	body, found := parts[part.Name]
 	if !found {
 		return Config{}, errors.Errorf("part %s is missing", part.Name)
@@ -144,14 +150,14 @@
 	if err := part.Verify(body); err != nil {
 		return Config{}, err
 	}
-	if fragment, parsed := pieces[part.SHA256]; parsed {
+	if fragment, parsed := parsedParts[part.SHA256]; parsed {
 		return fragment, nil
 	}
 	fragment, err := parseFragment(body)
 	return fragment, errors.Wrapf(err, "part %s", part.Name)
 }
 
-func (config *Config) add(fragment Config) {
+func (config *Config) appendObjects(fragment Config) {
 	config.WeightStores = append(config.WeightStores, fragment.WeightStores...)
 	config.Engines = append(config.Engines, fragment.Engines...)
 	config.Services = append(config.Services, fragment.Services...)
--- a/internal/control/config/pack_test.go
+++ b/internal/control/config/pack_test.go
@@ -12,7 +12,8 @@
 	"teaselmoor/internal/control/config"
 )
 
-// largeConfig has the size that two years from now asks for.
+// largeConfig returns a configuration with the given numbers of adapters and
+// engines. The size expected in two years is 15,000 adapters and 300 engines.
 func largeConfig(adapters, engines int) config.Config {
 	published := config.Config{
 		Version:      7,
@@ -35,7 +36,7 @@
 	return published
 }
 
-// packed packs a document and returns its parts by name.
+// packed packs a document and returns its manifest, and its parts by name.
 func packed(t testing.TB, published config.Config) (config.Manifest, map[string][]byte) {
 	t.Helper()
 	manifest, parts, err := config.Pack(published)
@@ -51,11 +52,11 @@
 	published := largeConfig(15_000, 300)
 	manifest, parts := packed(t, published)
 	for name, body := range parts {
-		require.LessOrEqual(t, len(body), config.MaxPart, name)
+		require.LessOrEqual(t, len(body), config.MaxPartBytes, name)
 	}
 	text, err := config.FormatManifest(manifest)
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(text), config.MaxPart)
+	require.LessOrEqual(t, len(text), config.MaxPartBytes)
 	read, err := config.ParseManifest(text)
 	require.NoError(t, err)
 	assembled, err := config.Assemble(read, parts)
@@ -63,7 +64,8 @@
 	require.Equal(t, published, assembled)
 }
 
-// TestSmallChangeAltersOnePart counts the parts that a changed adapter alters.
+// TestSmallChangeAltersOnePart checks that a change to one adapter alters one
+// part, so that daemons fetch only that part.
 func TestSmallChangeAltersOnePart(t *testing.T) {
 	published := largeConfig(3_000, 100)
 	_, before := packed(t, published)
@@ -71,48 +73,48 @@
 	published.Adapters = slices.Clone(published.Adapters)
 	published.Adapters[77].Labels = map[string]string{"task": "quote"}
 	_, after := packed(t, published)
-	fresh := 0
+	changed := 0
 	for name := range after {
 		if before[name] == nil {
-			fresh++
+			changed++
 		}
 	}
-	require.Equal(t, 1, fresh)
+	require.Equal(t, 1, changed)
 }
 
-func TestAssembleTakesAllOrNothing(t *testing.T) {
+func TestAssembleRefusesIncompleteVersion(t *testing.T) {
 	manifest, parts := packed(t, largeConfig(10, 5))
 	first := manifest.Parts[0].Name
 	tests := map[string]struct {
-		spoil func(manifest *config.Manifest, parts map[string][]byte)
-		cause string
+		corrupt func(manifest *config.Manifest, parts map[string][]byte)
+		cause   string
 	}{
-		"part missing": {func(_ *config.Manifest, parts map[string][]byte) { delete(parts, first) }, "is missing"},
-		"part cut":     {func(_ *config.Manifest, parts map[string][]byte) { parts[first] = parts[first][1:] }, "bytes, the manifest says"},
-		"part of another": {func(_ *config.Manifest, parts map[string][]byte) {
+		"part missing":   {func(_ *config.Manifest, parts map[string][]byte) { delete(parts, first) }, "is missing"},
+		"part truncated": {func(_ *config.Manifest, parts map[string][]byte) { parts[first] = parts[first][1:] }, "bytes, the manifest says"},
+		"part with other content": {func(_ *config.Manifest, parts map[string][]byte) {
 			parts[first] = []byte(strings.ToUpper(string(parts[first])))
 		}, "its hash is not"},
 		"no version": {func(manifest *config.Manifest, _ map[string][]byte) { manifest.Version = 0 }, "Version: must be above 0"},
 		"part twice": {func(manifest *config.Manifest, _ map[string][]byte) {
 			manifest.Parts = append(manifest.Parts, manifest.Parts[0])
 		}, "named twice"},
-		"part too large": {func(manifest *config.Manifest, _ map[string][]byte) { manifest.Parts[0].Size = config.MaxPart + 1 }, "at most"},
+		"part too large": {func(manifest *config.Manifest, _ map[string][]byte) { manifest.Parts[0].Size = config.MaxPartBytes + 1 }, "at most"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			spoiled := config.Manifest{Version: manifest.Version, Parts: slices.Clone(manifest.Parts)}
-			left := map[string][]byte{}
+			corrupted := config.Manifest{Version: manifest.Version, Parts: slices.Clone(manifest.Parts)}
+			partsLeft := map[string][]byte{}
 			for name, body := range parts {
-				left[name] = body
+				partsLeft[name] = body
 			}
-			test.spoil(&spoiled, left)
-			_, err := config.Assemble(spoiled, left)
+			test.corrupt(&corrupted, partsLeft)
+			_, err := config.Assemble(corrupted, partsLeft)
 			require.ErrorContains(t, err, test.cause)
 		})
 	}
 }
 
-// FuzzAssemble feeds arbitrary text as manifest and part: whatever parses must
+// FuzzAssemble passes arbitrary text as manifest and part. Text that parses must
 // pack and assemble again, and nothing may panic.
 func FuzzAssemble(f *testing.F) {
 	manifest, parts, err := config.Pack(largeConfig(3, 2))
@@ -155,7 +157,8 @@
 	}
 }
 
-// BenchmarkSwitch takes in a version in which one adapter has changed.
+// BenchmarkSwitch assembles and compiles a version in which one
+// adapter has changed, with the parsed parts of the version before.
 func BenchmarkSwitch(b *testing.B) {
 	published := largeConfig(15_000, 300)
 	manifest, parts := packed(b, published)
--- a/internal/control/config/snapshot.go
+++ b/internal/control/config/snapshot.go
@@ -11,20 +11,20 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// Snapshot is a validated configuration, compiled for lookups. Immutable.
+// Snapshot is a validated configuration, compiled for lookups. It is immutable.
 type Snapshot struct {
 	Config Config
-	// Pieces are the parsed parts that the document was assembled from, if any.
-	Pieces   Pieces
-	rules    []compiledRule
-	callers  map[string]*Caller // by key hash
-	byName   map[string]*Caller
-	adapters map[ident.Adapter]*Adapter
-	engines  map[ident.EngineID]*Engine
-	services map[string]*Service
-	stores   map[string]*WeightStore
-	// pools lists, for each rule index and base model, the engines that may run
-	// a matching request, in order of name.
+	// ParsedParts holds the parsed parts that the document was assembled from, if any.
+	ParsedParts      ParsedParts
+	rules            []compiledRule
+	callersByKeyHash map[string]*Caller
+	callersByName    map[string]*Caller
+	adapters         map[ident.Adapter]*Adapter
+	engines          map[ident.EngineID]*Engine
+	services         map[string]*Service
+	stores           map[string]*WeightStore
+	// pools holds the engines that may run a request, in order of name, by the
+	// index of its rule and the base model of its adapter.
 	pools map[poolKey][]*Engine
 }
 
@@ -43,31 +43,32 @@
 	engines  labels.Selector
 }
 
-// Decision is what the first matching rule says about a request.
+// Decision says how to serve a request, by the first rule that matches it.
 type Decision struct {
 	Rule       string
 	Class      Class
-	Deadline   clock.Millis // span
+	Deadline   clock.Millis // maximum time to the start of the answer
 	Repeatable bool
-	// Pool lists the engines that may run it, in order of name; empty for services.
+	// Pool lists the engines that may run the request, in order of name. It is
+	// empty for service calls.
 	Pool []*Engine
 }
 
-// Compile validates the document whole and builds its snapshot. The error
-// lists every mistake found.
+// Compile validates the document and builds its snapshot. If the document is
+// invalid, the error is a Problems that lists every mistake.
 func Compile(config Config) (*Snapshot, error) {
 	if problems := Validate(config); len(problems) > 0 {
 		return nil, problems
 	}
 	snapshot := &Snapshot{
-		Config:   config,
-		callers:  make(map[string]*Caller, len(config.Callers)),
-		byName:   make(map[string]*Caller, len(config.Callers)),
-		adapters: make(map[ident.Adapter]*Adapter, len(config.Adapters)),
-		engines:  make(map[ident.EngineID]*Engine, len(config.Engines)),
-		services: make(map[string]*Service, len(config.Services)),
-		stores:   make(map[string]*WeightStore, len(config.WeightStores)),
-		pools:    map[poolKey][]*Engine{},
+		Config:           config,
+		callersByKeyHash: make(map[string]*Caller, len(config.Callers)),
+		callersByName:    make(map[string]*Caller, len(config.Callers)),
+		adapters:         make(map[ident.Adapter]*Adapter, len(config.Adapters)),
+		engines:          make(map[ident.EngineID]*Engine, len(config.Engines)),
+		services:         make(map[string]*Service, len(config.Services)),
+		stores:           make(map[string]*WeightStore, len(config.WeightStores)),
+		pools:            map[poolKey][]*Engine{},
 	}
 	snapshot.index()
 	snapshot.compileRules()
@@ -77,8 +78,8 @@
 func (snapshot *Snapshot) index() {
 	config := &snapshot.Config
 	for i := range config.Callers {
-		snapshot.callers[config.Callers[i].KeyHash] = &config.Callers[i]
-		snapshot.byName[config.Callers[i].Name] = &config.Callers[i]
+		snapshot.callersByKeyHash[config.Callers[i].KeyHash] = &config.Callers[i]
+		snapshot.callersByName[config.Callers[i].Name] = &config.Callers[i]
 	}
 	for i := range config.Adapters {
 		snapshot.adapters[config.Adapters[i].Address()] = &config.Adapters[i]
@@ -106,11 +107,11 @@
 		}
 		compiled.class, _ = ParseClass(rule.Class)
 		snapshot.rules = append(snapshot.rules, compiled)
-		snapshot.fillPools(compiled)
+		snapshot.compilePools(compiled)
 	}
 }
 
-func (snapshot *Snapshot) fillPools(rule compiledRule) {
+func (snapshot *Snapshot) compilePools(rule compiledRule) {
 	for i := range snapshot.Config.Engines {
 		engine := &snapshot.Config.Engines[i]
 		if !rule.engines.Matches(labels.Set(engine.Labels)) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// HashKey returns the form in which the configuration holds an API key.
+// HashKey returns the hash of an API key, as held in Caller.KeyHash.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -137,43 +138,44 @@
 	return snapshot.Config.Version
 }
 
-// CallerByKey finds the caller that an API key belongs to.
+// CallerByKey returns the caller that an API key belongs to.
 func (snapshot *Snapshot) CallerByKey(key string) (*Caller, bool) {
-	caller, ok := snapshot.callers[HashKey(key)]
+	caller, ok := snapshot.callersByKeyHash[HashKey(key)]
 	return caller, ok
 }
 
-// Caller finds a caller by name.
+// Caller returns a caller by name.
 func (snapshot *Snapshot) Caller(name string) (*Caller, bool) {
-	caller, ok := snapshot.byName[name]
+	caller, ok := snapshot.callersByName[name]
 	return caller, ok
 }
 
-// Adapter finds an adapter version.
+// Adapter returns an adapter version.
 func (snapshot *Snapshot) Adapter(address ident.Adapter) (*Adapter, bool) {
 	adapter, ok := snapshot.adapters[address]
 	return adapter, ok
 }
 
-// Engine finds an engine.
+// Engine returns an engine by name.
 func (snapshot *Snapshot) Engine(name ident.EngineID) (*Engine, bool) {
 	engine, ok := snapshot.engines[name]
 	return engine, ok
 }
 
-// Service finds a plain service.
+// Service returns a service by name.
 func (snapshot *Snapshot) Service(name string) (*Service, bool) {
 	service, ok := snapshot.services[name]
 	return service, ok
 }
 
-// Store finds a weight store.
+// Store returns a weight store by name.
 func (snapshot *Snapshot) Store(name string) (*WeightStore, bool) {
 	store, ok := snapshot.stores[name]
 	return store, ok
 }
 
-// DecideModel returns what the first rule matching a model request says.
+// DecideModel returns the decision of the first rule that matches a model
+// request. It reports false if no rule matches.
 func (snapshot *Snapshot) DecideModel(caller *Caller, adapter *Adapter) (Decision, bool) {
 	for i := range snapshot.rules {
 		rule := &snapshot.rules[i]
@@ -188,7 +190,8 @@
 	return Decision{}, false
 }
 
-// DecideService returns what the first rule matching a service call says.
+// DecideService returns the decision of the first rule that matches a service
+// call. It reports false if no rule matches.
 func (snapshot *Snapshot) DecideService(caller *Caller, service *Service) (Decision, bool) {
 	for i := range snapshot.rules {
 		rule := &snapshot.rules[i]
--- a/internal/control/config/successor.go
+++ b/internal/control/config/successor.go
@@ -2,11 +2,14 @@
 
 import "fmt"
 
-// CheckSuccessor returns what forbids a document to follow the configuration in
-// force. A caller's region decides which daemons keep its idempotency keys; if
-// it changed, daemons with the old and with the new version could each grant an
-// attempt under the same key. A caller that moves gets a new name and API key.
-// The only region there is may be named, ahead of a second one.
+// CheckSuccessor returns the problems that prevent a document from replacing the
+// configuration in force. It is nil if there are none.
+//
+// A caller must keep its region, which decides which daemons keep its idempotency
+// keys. If it changed, daemons with the old version and daemons with the new one
+// could each grant an attempt under the same key. A caller that moves to another
+// region needs a new name and API key. A caller without a region may be given the
+// one region of all engines, so that a second region can be added afterwards.
 func CheckSuccessor(previous *Snapshot, next Config) Problems {
 	if previous == nil {
 		return nil
@@ -24,7 +27,8 @@
 	return problems
 }
 
-// onlyRegion returns the region of all engines, empty when there are several.
+// onlyRegion returns the region of all engines, or an empty string if they are in
+// several regions.
 func (snapshot *Snapshot) onlyRegion() string {
 	region := ""
 	for i := range snapshot.Config.Engines {
--- a/internal/control/config/successor_test.go
+++ b/internal/control/config/successor_test.go
@@ -9,6 +9,8 @@
 	"teaselmoor/internal/control/config"
 )
 
+// regionsConfig returns a configuration with one caller, and an engine in each of
+// the regions.
 func regionsConfig(callerRegion string, regions ...string) config.Config {
 	published := config.Config{
 		Version:      1,
@@ -25,8 +27,10 @@
 	return published
 }
 
-// TestCallersNameTheirRegion: with several regions a caller names its own.
-func TestCallersNameTheirRegion(t *testing.T) {
+// TestCallerRegionIsRequiredWithSeveralRegions checks that a caller may omit its
+// region only if all engines are in one region, and that engines exist in the
+// region it names.
+func TestCallerRegionIsRequiredWithSeveralRegions(t *testing.T) {
 	require.Empty(t, config.Validate(regionsConfig("", "north")))
 	require.Empty(t, config.Validate(regionsConfig("north", "north", "south")))
 	for _, region := range []string{"", "west"} {
@@ -36,8 +40,9 @@
 	}
 }
 
-// TestCallersStayInTheirRegion: only the one region there is may be named later.
-func TestCallersStayInTheirRegion(t *testing.T) {
+// TestCallerRegionMustNotChange checks that a caller keeps its region, and that a
+// caller without one may only be given the one region of all engines.
+func TestCallerRegionMustNotChange(t *testing.T) {
 	unnamed, err := config.Compile(regionsConfig("", "north"))
 	require.NoError(t, err)
 	require.Empty(t, config.CheckSuccessor(unnamed, regionsConfig("north", "north", "south")))
--- a/internal/control/config/validate_test.go
+++ b/internal/control/config/validate_test.go
@@ -8,7 +8,7 @@
 	"teaselmoor/internal/control/config"
 )
 
-const mistaken = `Version: 1
+const documentWithMistakes = `Version: 1
 WeightStores:
 - Name: weights
   LoadsPerSecond: 2
@@ -31,19 +31,19 @@
 `
 
 func TestProblemsNameLineAndPath(t *testing.T) {
-	parsed, err := config.Parse([]byte(mistaken))
+	parsed, err := config.Parse([]byte(documentWithMistakes))
 	require.NoError(t, err)
-	problems := config.Locate([]byte(mistaken), config.Validate(parsed))
-	places := make([]string, 0, len(problems))
+	problems := config.Locate([]byte(documentWithMistakes), config.Validate(parsed))
+	locations := make([]string, 0, len(problems))
 	for _, problem := range problems {
-		places = append(places, config.Problem{Line: problem.Line, Path: problem.Path, Text: "x"}.String())
+		locations = append(locations, config.Problem{Line: problem.Line, Path: problem.Path, Text: "x"}.String())
 	}
 	require.Equal(t, []string{
 		"line 6: Callers[0].KeyHash: x", "line 7: Callers[1].Name: x",
 		"line 11: Rules[0].Callers: x", "line 14: Rules[1].Name: x",
 		"line 15: Rules[1].Class: x", "line 14: Rules[1].DeadlineMillis: x",
 		"line 17: Rules[2].Callers: x", "line 16: Rules[2]: x",
-	}, places)
+	}, locations)
 }
 
 func TestParseNamesEveryUnknownKey(t *testing.T) {
--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -1,6 +1,6 @@
-// Package members holds the published list of VMs and what it says about
-// daemons and backend servers. The list lags and may be stale; its age is part
-// of every reading.
+// Package members holds the published VM list, which lists the daemons and the
+// backend servers, and what a daemon knows of its peers from their messages. The
+// VM list may be stale, so each View carries the time at which it was read.
 package members
 
 import (
@@ -11,13 +11,13 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// Role tells what a VM runs.
+// Role says what a VM runs.
 type Role string
 
 // Roles of VMs.
 const (
 	EntryRole   Role = "Entry"   // runs a teaselmoor daemon
-	BackendRole Role = "Backend" // a backend server
+	BackendRole Role = "Backend" // runs a backend server
 )
 
 // State is a VM's state in the list.
@@ -29,10 +29,12 @@
 	Leaving State = "Leaving"
 )
 
-// VM is one entry of the list.
+// VM is one entry of the VM list.
 type VM struct {
-	Name       string `json:"Name"`
-	Address    string `json:"Address"` // IP:port of the inner protocol, or the server's own
+	Name string `json:"Name"`
+	// Address is the IP:port of a daemon's inner protocol or of a backend server.
+	// The port of a server may be missing.
+	Address    string `json:"Address"`
 	Role       Role   `json:"Role"`
 	DataCentre string `json:"DataCentre"`
 	Region     string `json:"Region"`
@@ -45,36 +47,37 @@
 	VMs     []VM   `json:"VMs"`
 }
 
-// View is a list with the time at which it was read.
+// View is an indexed VM list with the time at which it was read.
 type View struct {
 	List   List
 	ReadAt clock.Millis
 	byName map[string]*VM
-	// leaving holds the addresses of backend servers that are leaving.
+	// leaving holds the addresses of the backend servers that are leaving.
 	leaving map[string]bool
 }
 
-// NewView indexes a list read at the given time.
+// NewView returns a view of a list that was read at the given time.
 func NewView(list List, readAt clock.Millis) *View {
 	view := &View{List: list, ReadAt: readAt, byName: make(map[string]*VM, len(list.VMs))}
 	for i := range list.VMs {
 		vm := &list.VMs[i]
 		view.byName[vm.Name] = vm
 		if vm.Role == BackendRole && vm.State == Leaving {
-			view.noteLeaving(vm.Address)
+			view.addLeaving(vm.Address)
 		}
 	}
 	return view
 }
 
-// Renewed returns the same list as read again at a later time.
-func (view *View) Renewed(readAt clock.Millis) *View {
+// WithReadAt returns a copy of the view with a later read time, for a list that was
+// read again and had not changed.
+func (view *View) WithReadAt(readAt clock.Millis) *View {
 	renewed := *view
 	renewed.ReadAt = readAt
 	return &renewed
 }
 
-func (view *View) noteLeaving(address string) {
+func (view *View) addLeaving(address string) {
 	if view.leaving == nil {
 		view.leaving = map[string]bool{}
 	}
@@ -82,7 +85,7 @@
 }
 
 // ServerLeaving reports whether the backend server at an address (IP:port) is
-// leaving. A list entry without a port stands for every port of its IP number.
+// leaving. A list entry without a port applies to every port of its IP number.
 func (view *View) ServerLeaving(address string) bool {
 	if view.leaving[address] {
 		return true
@@ -96,13 +99,13 @@
 	return len(view.leaving) > 0
 }
 
-// VM finds a VM by name.
+// VM returns a VM by name.
 func (view *View) VM(name string) (*VM, bool) {
 	vm, ok := view.byName[name]
 	return vm, ok
 }
 
-// Daemon finds a daemon's VM.
+// Daemon returns the VM of a daemon.
 func (view *View) Daemon(daemon ident.DaemonID) (*VM, bool) {
 	vm, ok := view.byName[string(daemon)]
 	if !ok || vm.Role != EntryRole {
@@ -111,15 +114,15 @@
 	return vm, true
 }
 
-// Daemons returns the live daemons that the filter accepts, in order of name.
-func (view *View) Daemons(accept func(*VM) bool) []ident.DaemonID {
-	return view.Present(func(vm *VM) bool { return vm.State == Live && accept(vm) })
+// LiveDaemons returns the live daemons that the filter accepts, in order of name.
+func (view *View) LiveDaemons(accept func(*VM) bool) []ident.DaemonID {
+	return view.ListedDaemons(func(vm *VM) bool { return vm.State == Live && accept(vm) })
 }
 
-// Present returns the daemons that the filter accepts, leaving ones included, in
-// order of name. A leaving daemon finishes what it has accepted, and needs its
-// connections for it.
-func (view *View) Present(accept func(*VM) bool) []ident.DaemonID {
+// ListedDaemons returns the listed daemons that the filter accepts, including leaving
+// ones, in order of name. A leaving daemon still needs its connections to finish
+// the requests that it has accepted.
+func (view *View) ListedDaemons(accept func(*VM) bool) []ident.DaemonID {
 	var daemons []ident.DaemonID
 	for i := range view.List.VMs {
 		vm := &view.List.VMs[i]
--- a/internal/control/members/peers.go
+++ b/internal/control/members/peers.go
@@ -5,49 +5,55 @@
 	"teaselmoor/internal/base/ident"
 )
 
-// Peer is what a daemon has heard of another.
+// Peer is what a daemon knows of another daemon from its messages.
 type Peer struct {
 	Incarnation   ident.Incarnation
 	ConfigVersion uint64
-	// HeardAt is when the last word came in; SentAt is the sender's clock in it.
-	HeardAt clock.Millis
-	SentAt  clock.Millis
-	// Leaving says that the daemon is shutting down.
+	// LastContactAt is when the last message was received. SentAt is the time of the
+	// last update that was applied, by the sender's clock.
+	LastContactAt clock.Millis
+	SentAt        clock.Millis
+	// Leaving is set if the daemon is shutting down.
 	Leaving bool
-	// Lost says that the connection broke and nothing has come in since.
-	Lost bool
+	// Disconnected is set if the connection broke and nothing has been received since.
+	Disconnected bool
 }
 
-// Peers holds what a daemon has heard of the others. It decides on silence, and
-// never on who is a member: that is the VM list's to say.
+// Peers holds what a daemon knows of the other daemons from their messages. It
+// decides which of them are silent. Which daemons exist is decided by the VM list
+// alone.
 type Peers struct {
 	peers map[ident.DaemonID]*Peer
-	// listenSince is when this daemon began to listen: silence before is none.
-	listenSince clock.Millis
+	// listeningSince is the start of the time in which a peer can be silent: this
+	// daemon received no messages before it.
+	listeningSince clock.Millis
 }
 
-// NewPeers returns a table of a daemon that has listened since the given time.
-func NewPeers(listenSince clock.Millis) *Peers {
-	return &Peers{peers: map[ident.DaemonID]*Peer{}, listenSince: listenSince}
+// NewPeers returns an empty table for a daemon that has received messages since
+// the given time.
+func NewPeers(listeningSince clock.Millis) *Peers {
+	return &Peers{peers: map[ident.DaemonID]*Peer{}, listeningSince: listeningSince}
 }
 
-// Relisten discounts silence before the given time, after a pause.
-func (peers *Peers) Relisten(now clock.Millis) {
-	peers.listenSince = now
+// ResetSilence starts the measurement of silence anew at the given time. It is called
+// after a pause of the process or a change of its clock.
+func (peers *Peers) ResetSilence(now clock.Millis) {
+	peers.listeningSince = now
 }
 
-// Touch notes that something came in from a daemon.
-func (peers *Peers) Touch(now clock.Millis, daemon ident.DaemonID) {
+// RecordContact records that a message was received from a daemon.
+func (peers *Peers) RecordContact(now clock.Millis, daemon ident.DaemonID) {
 	peer := peers.peer(daemon)
-	peer.HeardAt = now
-	peer.Lost = false
+	peer.LastContactAt = now
+	peer.Disconnected = false
 }
 
-// Lost notes that the connection to a daemon broke.
-func (peers *Peers) Lost(daemon ident.DaemonID) {
-	peers.peer(daemon).Lost = true
+// MarkDisconnected records that the connection to a daemon broke.
+func (peers *Peers) MarkDisconnected(daemon ident.DaemonID) {
+	peers.peer(daemon).Disconnected = true
 }
 
+// peer returns the entry of a daemon, and adds it if necessary.
 func (peers *Peers) peer(daemon ident.DaemonID) *Peer {
 	found, known := peers.peers[daemon]
 	if !known {
@@ -57,49 +63,51 @@
 	return found
 }
 
-// Heard takes in a daemon's word on itself. It reports false on one that is
-// older than what is known.
-func (peers *Peers) Heard(now clock.Millis, daemon ident.DaemonID, word Peer) bool {
+// ApplyUpdate applies an update of a daemon on itself. It reports false and changes
+// nothing if the update is older than the last one.
+func (peers *Peers) ApplyUpdate(now clock.Millis, daemon ident.DaemonID, update Peer) bool {
 	known := peers.peer(daemon)
-	if word.Incarnation < known.Incarnation || word.Incarnation == known.Incarnation && word.SentAt < known.SentAt {
+	if update.Incarnation < known.Incarnation || update.Incarnation == known.Incarnation && update.SentAt < known.SentAt {
 		return false
 	}
-	word.HeardAt = now
-	word.Lost = known.Lost
-	*known = word
+	update.LastContactAt = now
+	update.Disconnected = known.Disconnected
+	*known = update
 	return true
 }
 
-// AnyHeard reports whether anything has come in from any daemon.
-func (peers *Peers) AnyHeard() bool {
+// AnyContact reports whether any message has been received from any daemon.
+func (peers *Peers) AnyContact() bool {
 	for _, peer := range peers.peers {
-		if peer.HeardAt > 0 {
+		if peer.LastContactAt > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Silent reports whether nothing has come from a daemon for longer than the span.
-func (peers *Peers) Silent(now clock.Millis, daemon ident.DaemonID, span clock.Millis) bool {
-	heardAt := peers.listenSince
+// Silent reports whether nothing has been received from a daemon for longer than
+// the timeout.
+func (peers *Peers) Silent(now clock.Millis, daemon ident.DaemonID, timeout clock.Millis) bool {
+	contactAt := peers.listeningSince
 	if known, found := peers.peers[daemon]; found {
-		heardAt = max(heardAt, known.HeardAt)
+		contactAt = max(contactAt, known.LastContactAt)
 	}
-	return now-heardAt > span
+	return now-contactAt > timeout
 }
 
-// Leaving reports whether a daemon said within the span that it is leaving. The
-// word ages, because a new process under the same name may have come since.
-func (peers *Peers) Leaving(now clock.Millis, daemon ident.DaemonID, span clock.Millis) bool {
+// Leaving reports whether the last update of a daemon says that it is leaving and
+// is younger than maxAge. An older update does not count, because a new process
+// may have started under the same name since.
+func (peers *Peers) Leaving(now clock.Millis, daemon ident.DaemonID, maxAge clock.Millis) bool {
 	known, found := peers.peers[daemon]
-	return found && known.Leaving && now-known.SentAt < span
+	return found && known.Leaving && now-known.SentAt < maxAge
 }
 
-// Unreachable reports whether the connection to a daemon is known to be broken.
-func (peers *Peers) Unreachable(daemon ident.DaemonID) bool {
+// Disconnected reports whether the connection to a daemon is known to be broken.
+func (peers *Peers) Disconnected(daemon ident.DaemonID) bool {
 	known, found := peers.peers[daemon]
-	return found && known.Lost
+	return found && known.Disconnected
 }
 
 // Peer returns what is known of a daemon.
@@ -111,7 +119,7 @@
 	return *known, true
 }
 
-// Keep forgets every daemon that the filter rejects.
+// Keep removes every daemon that the filter rejects.
 func (peers *Peers) Keep(accept func(ident.DaemonID) bool) {
 	for daemon := range peers.peers {
 		if !accept(daemon) {
--- a/internal/decide/home/vouch.go
+++ b/internal/decide/home/vouch.go
@@ -26,7 +26,7 @@
 
 func newRoster(view *members.View) roster {
 	listed := roster{}
-	for _, daemon := range view.Daemons(func(*members.VM) bool { return true }) {
+	for _, daemon := range view.LiveDaemons(func(*members.VM) bool { return true }) {
 		vm, _ := view.Daemon(daemon)
 		listed[vm.Region] = append(listed[vm.Region], daemon)
 	}
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -39,7 +39,7 @@
 	if view := node.views.View(engine); view != nil {
 		request.priorFence, request.priorBoot = view.State.Fence, view.State.Boot
 	}
-	requestTable.Must(&request.state, submitRequest)
+	requestTable.MustApply(&request.state, submitRequest)
 	node.submit(request)
 }
 
@@ -63,7 +63,7 @@
 }
 
 func (node *Node) callService(request *request) {
-	requestTable.Must(&request.state, dispatchRequest)
+	requestTable.MustApply(&request.state, dispatchRequest)
 	address, _ := ownership.First(request.stream.String(), addresses(request.service))
 	request.attemptOpen = true
 	node.recordAttempt(request)
@@ -91,7 +91,7 @@
 	if !known || request.state != requestSubmitted {
 		return
 	}
-	requestTable.Must(&request.state, dispatchRequest)
+	requestTable.MustApply(&request.state, dispatchRequest)
 	request.lastAttempt().Dispatched = true
 }
 
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -19,7 +19,7 @@
 		return
 	}
 	node.ownerRole.pauseEndedAt = node.now
-	node.peers.Relisten(node.now)
+	node.peers.ResetSilence(node.now)
 	node.emit(effect.Audit{
 		At: node.now, Kind: effect.PauseDetected, Object: string(node.options.Self),
 		Cause: "two steps were too far apart", Before: versionText(uint64(previousStep)), After: versionText(uint64(node.now)),
--- a/internal/decide/node/configuration.go
+++ b/internal/decide/node/configuration.go
@@ -33,9 +33,9 @@
 // goroutine.
 func Assemble(order effect.AssembleConfig) ConfigAssembled {
 	assembled := ConfigAssembled{Mark: order.Mark}
-	var earlier config.Pieces
+	var earlier config.ParsedParts
 	if order.Previous != nil {
-		earlier = order.Previous.Pieces
+		earlier = order.Previous.ParsedParts
 	}
 	document, pieces, err := config.AssembleFrom(earlier, order.Manifest, order.Parts)
 	if problems := config.CheckSuccessor(order.Previous, document); err == nil && len(problems) > 0 {
@@ -45,7 +45,7 @@
 		assembled.Snapshot, err = config.Compile(document)
 	}
 	if err == nil {
-		assembled.Snapshot.Pieces = pieces
+		assembled.Snapshot.ParsedParts = pieces
 	}
 	if err != nil {
 		assembled.Snapshot, assembled.Cause = nil, err.Error()
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -87,7 +87,7 @@
 	node.send(successor, message.Handover{
 		Engine: name, Fence: owned.owner.Fence, SentAt: node.now, Runs: owned.owner.UnfinishedRuns(),
 	})
-	if node.peers.Unreachable(successor) {
+	if node.peers.Disconnected(successor) {
 		return // waiting requests are refused as not run, and their entries place them again
 	}
 	for _, submit := range owned.owner.RemoveWaiting(node.now) {
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -59,7 +59,7 @@
 
 // askHome asks the home of the request's key for permission to run the request.
 func (node *Node) askHome(request *request) {
-	requestTable.Must(&request.state, askHome)
+	requestTable.MustApply(&request.state, askHome)
 	request.homeDeadline = min(node.now+homeTimeout, request.deadline)
 	node.sendHomeBegin(request)
 }
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -250,7 +250,7 @@
 func (node *Node) relays() []ident.DaemonID {
 	var relays []ident.DaemonID
 	for _, centre := range slices.Sorted(maps.Keys(node.remoteNames)) {
-		reachable := slices.DeleteFunc(slices.Clone(node.remoteNames[centre]), node.peers.Unreachable)
+		reachable := slices.DeleteFunc(slices.Clone(node.remoteNames[centre]), node.peers.Disconnected)
 		if relay, found := ownership.First("relay/"+string(node.options.Self), reachable); found {
 			relays = append(relays, relay)
 		}
@@ -262,7 +262,7 @@
 // list.
 func (node *Node) groupDaemons() {
 	node.regionNames = node.regionDaemons()
-	node.localNames = node.vms.Present(func(vm *members.VM) bool {
+	node.localNames = node.vms.ListedDaemons(func(vm *members.VM) bool {
 		return vm.Region == node.options.Region && vm.DataCentre == node.options.DataCentre
 	})
 	node.remoteNames = map[string][]ident.DaemonID{}
@@ -280,7 +280,7 @@
 
 // updateReceived handles another daemon's update.
 func (node *Node) updateReceived(update message.Update) {
-	heard := node.peers.Heard(node.now, update.From, members.Peer{
+	heard := node.peers.ApplyUpdate(node.now, update.From, members.Peer{
 		Incarnation: update.Incarnation, ConfigVersion: update.ConfigVersion,
 		SentAt: update.SentAt, Leaving: update.Leaving,
 	})
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -177,7 +177,7 @@
 	case MessageReceived:
 		node.received(event.From, event.Message)
 	case PeerLost:
-		node.peers.Lost(event.Peer)
+		node.peers.MarkDisconnected(event.Peer)
 		node.views.MarkOwnerLost(event.Peer)
 		node.peerLost(event)
 	case RunEnded:
@@ -207,7 +207,7 @@
 
 // received dispatches a message to the role that handles it.
 func (node *Node) received(from ident.DaemonID, received message.Message) {
-	node.peers.Touch(node.now, from)
+	node.peers.RecordContact(node.now, from)
 	switch received := received.(type) {
 	case message.Submit:
 		node.submitReceived(from, received)
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -316,7 +316,7 @@
 	if node.vms == nil {
 		return nil
 	}
-	return node.vms.Daemons(func(vm *members.VM) bool { return vm.Region == node.options.Region })
+	return node.vms.LiveDaemons(func(vm *members.VM) bool { return vm.Region == node.options.Region })
 }
 
 // ownerEffects emits an owner's effects. Messages without a receiver go to the
--- a/internal/decide/node/resume.go
+++ b/internal/decide/node/resume.go
@@ -58,7 +58,7 @@
 // awaitOwner waits for the engine's next owner, or resumes at once if the hint
 // names another owner.
 func (node *Node) awaitOwner(request *request, hint ident.DaemonID) {
-	requestTable.Must(&request.state, loseOwner)
+	requestTable.MustApply(&request.state, loseOwner)
 	request.lostAt = node.now
 	if !request.resumed {
 		request.resumed = true
@@ -94,7 +94,7 @@
 
 func (node *Node) resume(request *request, owner ident.DaemonID) {
 	request.owner = owner
-	requestTable.Must(&request.state, resumeRequest)
+	requestTable.MustApply(&request.state, resumeRequest)
 	node.submit(request)
 }
 
--- a/internal/decide/node/retry.go
+++ b/internal/decide/node/retry.go
@@ -53,7 +53,7 @@
 
 // startNewAttempt gives a request a new stream id, which no engine has seen.
 func (node *Node) startNewAttempt(request *request) {
-	requestTable.Must(&request.state, retryRequest)
+	requestTable.MustApply(&request.state, retryRequest)
 	next := node.NewStream()
 	delete(node.requests, request.stream)
 	node.emit(effect.Rebind{From: request.stream, To: next})
--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -79,9 +79,9 @@
 			continue
 		}
 		member := Member{Daemon: ident.DaemonID(vm.Name), DataCentre: vm.DataCentre, Listed: vm.State}
-		if peer, known := node.peers.Peer(member.Daemon); known && peer.HeardAt > 0 {
-			member.Heard, member.Age = true, now-peer.HeardAt
-			member.ConfigVersion, member.Leaving, member.Lost = peer.ConfigVersion, peer.Leaving, peer.Lost
+		if peer, known := node.peers.Peer(member.Daemon); known && peer.LastContactAt > 0 {
+			member.Heard, member.Age = true, now-peer.LastContactAt
+			member.ConfigVersion, member.Leaving, member.Lost = peer.ConfigVersion, peer.Leaving, peer.Disconnected
 		}
 		listedMembers = append(listedMembers, member)
 	}
@@ -115,7 +115,7 @@
 	if node.now-node.options.StartedAt < warmUpTimeout {
 		for i := range node.config.Config.Engines {
 			engine := &node.config.Config.Engines[i]
-			awaited := node.peers.AnyHeard() && node.firstCandidate(engine) == node.options.Self
+			awaited := node.peers.AnyContact() && node.firstCandidate(engine) == node.options.Self
 			if node.views.View(engine.Name) == nil && engine.Region == node.options.Region && !awaited {
 				return false
 			}
--- a/internal/decide/ownership/rendezvous.go
+++ b/internal/decide/ownership/rendezvous.go
@@ -55,9 +55,9 @@
 // Candidates returns the daemons that may own a backend server's engine: the live
 // ones of its data centre, or those of its region if the data centre has none.
 func Candidates(view *members.View, dataCentre, region string) []ident.DaemonID {
-	daemons := view.Daemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
+	daemons := view.LiveDaemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
 	if len(daemons) > 0 {
 		return daemons
 	}
-	return view.Daemons(func(vm *members.VM) bool { return vm.Region == region })
+	return view.LiveDaemons(func(vm *members.VM) bool { return vm.Region == region })
 }
--- a/internal/decide/rollout/peers.go
+++ b/internal/decide/rollout/peers.go
@@ -54,7 +54,7 @@
 // UpdateVMList applies a VM list that was read.
 func (rollout *Rollout) UpdateVMList(now clock.Millis, view *members.View, dataCentre, region string) []effect.Effect {
 	rollout.now = now
-	sameDataCentre := view.Daemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
+	sameDataCentre := view.LiveDaemons(func(vm *members.VM) bool { return vm.DataCentre == dataCentre })
 	order := ownership.Rank("configuration watch", sameDataCentre)
 	peers := &rollout.peers
 	if !peers.known {
@@ -66,7 +66,7 @@
 		peers.rank = len(order) + rollout.options.Watchers
 	}
 	peers.sameDataCentre = rollout.withoutSelf(sameDataCentre)
-	peers.region = rollout.withoutSelf(view.Daemons(func(vm *members.VM) bool { return vm.Region == region }))
+	peers.region = rollout.withoutSelf(view.LiveDaemons(func(vm *members.VM) bool { return vm.Region == region }))
 	peers.all = append(slices.Clone(peers.region), CrossRegionPeers(view, rollout.self, region)...)
 	rollout.offerPeriodically()
 	rollout.callIfDue()
@@ -79,7 +79,7 @@
 // daemons, the one whose name sorts first dials.
 func CrossRegionPeers(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
 	later := map[string][]ident.DaemonID{}
-	for _, daemon := range view.Daemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
+	for _, daemon := range view.LiveDaemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
 		vm, _ := view.Daemon(daemon)
 		later[vm.Region] = append(later[vm.Region], daemon)
 	}
--- a/internal/integration/daemons/cut_test.go
+++ b/internal/integration/daemons/cut_test.go
@@ -29,7 +29,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("quote")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
 	waitUntilVouched(testSite, daemon, model)
 	proxy := testSite.EngineProxies[onlyEngine]
 	cuts := []faultproxy.Faults{}
@@ -57,7 +57,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("quote")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
 	waitUntilVouched(testSite, daemon, model)
 	link := testSite.Link(owner, entry)
 	for limit := int64(1); limit < 1200; limit += 150 {
@@ -84,7 +84,7 @@
 			t.Parallel()
 			testSite := harness.New(t, oneEngineOptions())
 			owner, entry := ownerAndEntry(testSite)
-			daemon, model := testSite.Daemons[entry], testSite.Adapter("review")
+			daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
 			call := harness.NewCall(model, 20*longTokens).WithStreaming()
 			openCall := startStream(t, daemon, call)
 			testSite.Link(owner, entry).Set(faults)
--- a/internal/integration/daemons/engine_test.go
+++ b/internal/integration/daemons/engine_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("quote")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
 	waitUntilVouched(testSite, daemon, model)
 	call := harness.NewCall(model, longTokens).WithStreaming().WithKey()
 	openCall := startStream(t, daemon, call)
@@ -35,9 +35,9 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("review")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
 	for _, stream := range []bool{false, true} {
-		testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: testSite.Adapter("draft")})
+		testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: testSite.AdapterAddress("draft")})
 		call := harness.NewCall(model, 5)
 		call.Stream = stream
 		result := daemon.Do(call)
@@ -53,7 +53,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("review")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
 	testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{TruncateAfter: 3})
 	call := harness.NewCall(model, 20).WithStreaming()
 	result := daemon.Do(call)
@@ -70,14 +70,14 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("review")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
 	engine := testSite.Engines[onlyEngine]
 	engine.SetFaults(modelengine.Faults{Frozen: true})
 	testSite.WaitFor("the last report to be older than 5 s", func() bool {
 		owned := testSite.Daemons[owner].Status().Owned
 		return len(owned) == 1 && owned[0].ReportAge > 5*clock.Second
 	})
-	require.LessOrEqual(t, engine.Held(), int64(1), "at most one report call is open")
+	require.LessOrEqual(t, engine.BlockedCalls(), int64(1), "at most one report call is open")
 	engine.SetFaults(modelengine.Faults{})
 	waitUntilVouched(testSite, daemon, model)
 }
--- a/internal/integration/daemons/killed_test.go
+++ b/internal/integration/daemons/killed_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
-	model := testSite.Adapter(task)
+	model := testSite.AdapterAddress(task)
 	waitUntilVouched(testSite, testSite.Daemons[entry], model)
 	call := harness.NewCall(model, longTokens).WithStreaming().WithKey()
 	return testSite, call, startStream(t, testSite.Daemons[entry], call)
@@ -69,7 +69,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	model := testSite.Adapter("review")
+	model := testSite.AdapterAddress("review")
 	call := harness.NewCall(model, 100*longTokens).WithStreaming()
 	openCall := startStream(t, testSite.Daemons[entry], call)
 	testSite.Daemons[entry].Kill()
@@ -94,13 +94,13 @@
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
 	daemon := testSite.Daemons[entry]
-	former := harness.NewCall(testSite.Adapter("review"), longTokens).WithStreaming()
+	former := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
 	openCall := startStream(t, daemon, former)
 	daemon.Kill()
 	testSite.CheckResult(former, openCall.Finish())
 	daemon.Start()
 	daemon.WaitReady()
-	call := harness.NewCall(testSite.Adapter("draft"), longTokens).WithStreaming()
+	call := harness.NewCall(testSite.AdapterAddress("draft"), longTokens).WithStreaming()
 	result := daemon.Do(call)
 	require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
 	testSite.CheckResult(call, result)
@@ -121,7 +121,7 @@
 			testSite.Daemons[owner].Wake()
 			testSite.CheckResult(call, result)
 			testSite.WaitFor("calls to be answered again", func() bool {
-				next := harness.NewCall(testSite.Adapter(task), 3).WithKey()
+				next := harness.NewCall(testSite.AdapterAddress(task), 3).WithKey()
 				result := testSite.Daemons[entry].Do(next)
 				testSite.CheckResult(next, result)
 				return result.Kind == outcome.Answered
@@ -139,7 +139,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	model := testSite.Adapter("draft")
+	model := testSite.AdapterAddress("draft")
 	waitUntilServing(testSite, testSite.Daemons[entry], model)
 	const abandoned = 100
 	for range abandoned {
--- a/internal/integration/daemons/leaving_test.go
+++ b/internal/integration/daemons/leaving_test.go
@@ -27,7 +27,7 @@
 			t.Parallel()
 			testSite := harness.New(t, oneEngineOptions())
 			owner, entry := ownerAndEntry(testSite)
-			call := harness.NewCall(testSite.Adapter("review"), longTokens).WithStreaming()
+			call := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
 			openCall := startStream(t, testSite.Daemons[entry], call)
 			for _, index := range choose(owner, entry) {
 				testSite.Daemons[index].Terminate()
@@ -56,9 +56,9 @@
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	options := site.DefaultOptions()
-	options.Engine.ObeysUnload = true
+	options.Engine.AllowsUnloadInUse = true
 	testSite := harness.New(t, options)
-	model := testSite.Adapter("review")
+	model := testSite.AdapterAddress("review")
 	var replacing atomic.Int64 // index of the daemon that gets no new calls, or -1
 	replacing.Store(-1)
 	var answered, notRun, unknown atomic.Int64
@@ -117,7 +117,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	call := harness.NewCall(testSite.Adapter("review"), longTokens).WithStreaming()
+	call := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
 	openCall := startStream(t, testSite.Daemons[entry], call)
 	markLeaving(testSite, owner)
 	result := openCall.Finish()
@@ -127,7 +127,7 @@
 		current := testSite.OwnerOf(onlyEngine)
 		return current >= 0 && current != owner
 	})
-	waitUntilServing(testSite, testSite.Daemons[entry], testSite.Adapter("review"))
+	waitUntilServing(testSite, testSite.Daemons[entry], testSite.AdapterAddress("review"))
 	testSite.CheckEngines()
 }
 
@@ -144,7 +144,7 @@
 			before := daemon.Status().ConfigVersion
 			testSite.Platform.SetMode(mode)
 			require.NoError(t, testSite.Publish())
-			call := harness.NewCall(testSite.Adapter("review"), 3)
+			call := harness.NewCall(testSite.AdapterAddress("review"), 3)
 			result := daemon.Do(call)
 			require.Equal(t, outcome.Answered, result.Kind)
 			testSite.CheckResult(call, result)
--- a/internal/integration/daemons/list_test.go
+++ b/internal/integration/daemons/list_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("draft")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("draft")
 	waitUntilServing(testSite, daemon, model)
 	testSite.Daemons[owner].List.SetListDown(true)
 	for i := range testSite.Daemons {
--- a/internal/integration/daemons/main_test.go
+++ b/internal/integration/daemons/main_test.go
@@ -30,7 +30,7 @@
 	options := site.DefaultOptions()
 	options.Engines = 1
 	options.Engine.StepInterval = 5 * time.Millisecond
-	options.Engine.ObeysUnload = true
+	options.Engine.AllowsUnloadInUse = true
 	return options
 }
 
--- a/internal/integration/daemons/relay_bench_test.go
+++ b/internal/integration/daemons/relay_bench_test.go
@@ -78,7 +78,7 @@
 	options := site.DefaultOptions()
 	options.Engines = 1
 	testSite := harness.Prepare(b, options)
-	engine := &instantEngine{model: testSite.Adapter("review"), finish: make(chan struct{})}
+	engine := &instantEngine{model: testSite.AdapterAddress("review"), finish: make(chan struct{})}
 	server := httptest.NewServer(engine)
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
--- a/internal/integration/daemons/slow_test.go
+++ b/internal/integration/daemons/slow_test.go
@@ -21,7 +21,7 @@
 	options.Engine.TokenPadding = 4000
 	testSite := harness.New(t, options)
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("draft")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("draft")
 	slow := harness.NewCall(model, 5_000).WithStreaming() // far more than socket buffers and flow-control windows hold
 	openCall, result := daemon.Begin(slow)
 	require.NotNil(t, openCall, "%+v", result)
--- a/internal/integration/daemons/standins_test.go
+++ b/internal/integration/daemons/standins_test.go
@@ -50,7 +50,7 @@
 		daemon.WaitReady()
 	}
 	_, entry := ownerAndEntry(testSite)
-	daemon, model := testSite.Daemons[entry], testSite.Adapter("quote")
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
 	var openCall *harness.OpenCall
 	testSite.WaitFor("an answer to begin", func() bool {
 		openCall, _ = daemon.Begin(harness.NewCall(model, longTokens).WithStreaming().WithKey())
--- a/internal/serve/daemon/perform.go
+++ b/internal/serve/daemon/perform.go
@@ -49,7 +49,7 @@
 			return nil
 		})
 	case effect.Audit:
-		daemon.options.Audit.Change(next)
+		daemon.options.Audit.AddChange(next)
 	}
 }
 
@@ -86,7 +86,7 @@
 // every outcome other than Answered.
 func (daemon *Daemon) answer(next effect.Answer) {
 	if next.Outcome.Kind != outcome.Answered {
-		daemon.options.Audit.Refusal(next.Record)
+		daemon.options.Audit.AddRefusal(next.Record)
 	}
 	daemon.logEnd(next)
 	pending, found := daemon.streams.removePending(next.Stream)
@@ -188,7 +188,7 @@
 		return // a read is still in flight: at most one for an engine that does not answer
 	}
 	defer daemon.reportReads.remove(read.Engine)
-	report, err := daemon.options.Engines.Report(ctx, address)
+	report, err := daemon.options.Engines.ReadState(ctx, address)
 	if err != nil {
 		daemon.options.Log.Warn("reading the engine report failed", "Engine", read.Engine, "Cause", err)
 		return
--- a/internal/serve/daemon/requests.go
+++ b/internal/serve/daemon/requests.go
@@ -23,7 +23,7 @@
 	record.Daemon = daemon.Self()
 	record.At = daemon.options.Now()
 	daemon.options.Observer.CountRefused(record.Outcome)
-	daemon.options.Audit.Refusal(record)
+	daemon.options.Audit.AddRefusal(record)
 	return record
 }
 
--- a/internal/serve/daemon/watch.go
+++ b/internal/serve/daemon/watch.go
@@ -47,17 +47,17 @@
 	askedAt := daemon.options.Now()
 	daemon.vmList.mutex.Lock()
 	defer daemon.vmList.mutex.Unlock()
-	reading, err := daemon.options.Platform.VMs(ctx, daemon.vmList.tag)
+	reading, err := daemon.options.Platform.ReadVMList(ctx, daemon.vmList.tag)
 	if err != nil {
 		daemon.options.Log.Warn("reading the VM list failed", "Cause", err)
 		return
 	}
-	daemon.vmList.tag = reading.Tag
+	daemon.vmList.tag = reading.ETag
 	if reading.Changed {
 		daemon.vmList.view = members.NewView(reading.List, askedAt)
 		daemon.connectPeers(daemon.vmList.view)
 	} else {
-		daemon.vmList.view = daemon.vmList.view.Renewed(askedAt)
+		daemon.vmList.view = daemon.vmList.view.WithReadAt(askedAt)
 	}
 	daemon.enqueue(highPriority, node.VMListRead{View: daemon.vmList.view})
 }
@@ -75,7 +75,7 @@
 // own region, and its contacts in other regions.
 func (daemon *Daemon) connectPeers(view *members.View) {
 	region := daemon.options.Node.Region
-	names := view.Present(func(vm *members.VM) bool { return vm.Region == region })
+	names := view.ListedDaemons(func(vm *members.VM) bool { return vm.Region == region })
 	names = append(names, rollout.CrossRegionPeers(view, daemon.Self(), region)...)
 	var peers []link.Peer
 	for _, name := range names {
@@ -84,5 +84,5 @@
 			peers = append(peers, link.Peer{Name: name, Address: vm.Address})
 		}
 	}
-	daemon.links.Connect(peers)
+	daemon.links.SetPeers(peers)
 }
--- a/internal/serve/operators/audit.go
+++ b/internal/serve/operators/audit.go
@@ -85,7 +85,7 @@
 // handleRecord returns the decision record of a refused request.
 func (api *API) handleRecord(writer http.ResponseWriter, request *http.Request) {
 	requestID := request.PathValue("request")
-	record, found := api.trail.Record(requestID)
+	record, found := api.trail.FindRecord(requestID)
 	if !found {
 		writeJSON(writer, http.StatusNotFound, errorBody{Error: "no record of a refusal of request " + requestID + " is held here"})
 		return
--- a/internal/serve/operators/operators_test.go
+++ b/internal/serve/operators/operators_test.go
@@ -63,8 +63,8 @@
 	for _, bad := range []string{"After=x", "After=-1", "Limit=many", "WaitMillis=1s", "SinceMillis=today"} {
 		require.Equal(t, http.StatusBadRequest, get(api, operators.AuditPath+"?"+bad).Code, bad)
 	}
-	trail.Change(effect.Audit{Kind: effect.AdapterLoaded, Object: "runner-1"})
-	trail.Change(effect.Audit{Kind: effect.LoadFailed, Object: "runner-2"})
+	trail.AddChange(effect.Audit{Kind: effect.AdapterLoaded, Object: "runner-1"})
+	trail.AddChange(effect.Audit{Kind: effect.LoadFailed, Object: "runner-2"})
 	for query, want := range map[string]int{"": 2, "?Kind=LoadFailed": 1, "?Object=runner": 2, "?After=1": 1, "?Limit=1": 1, "?WaitMillis=1&After=2": 0} {
 		var page audit.Page
 		require.NoError(t, json.Unmarshal(get(api, operators.AuditPath+query).Body.Bytes(), &page))
