--- a/internal/integration/daemons/cut_test.go
+++ b/internal/integration/daemons/cut_test.go
@@ -79,7 +79,7 @@
 // middle of an answer. The entry must notice it and end the call.
 func TestFrozenOneWay(t *testing.T) {
 	t.Parallel()
-	for _, faults := range []faultproxy.Faults{{FreezeThere: true}, {FreezeBack: true}} {
+	for _, faults := range []faultproxy.Faults{{FreezeToTarget: true}, {FreezeFromTarget: true}} {
 		t.Run(fmt.Sprintf("%+v", faults), func(t *testing.T) {
 			t.Parallel()
 			testSite := harness.New(t, oneEngineOptions())
--- a/internal/integration/daemons/fault_bench_test.go
+++ b/internal/integration/daemons/fault_bench_test.go
@@ -53,7 +53,7 @@
 // cutDataCentre freezes all links of the owner and of the engine, as when their data
 // centre is cut off.
 func cutDataCentre(testSite *harness.Site, owner, entry int) int {
-	frozen := faultproxy.Faults{FreezeThere: true, FreezeBack: true}
+	frozen := faultproxy.Faults{FreezeToTarget: true, FreezeFromTarget: true}
 	testSite.Isolate(owner, frozen)
 	testSite.EngineProxies[onlyEngine].Set(frozen)
 	return entry
--- a/internal/integration/daemons/killed_test.go
+++ b/internal/integration/daemons/killed_test.go
@@ -118,7 +118,7 @@
 			testSite.Daemons[owner].Freeze()
 			result := openCall.Finish()
 			require.NotEmpty(t, result.Kind, "a frozen peer is noticed")
-			testSite.Daemons[owner].Wake()
+			testSite.Daemons[owner].Unfreeze()
 			testSite.CheckResult(call, result)
 			testSite.WaitFor("calls to be answered again", func() bool {
 				next := harness.NewCall(testSite.AdapterAddress(task), 3).WithKey()
--- a/internal/integration/faultproxy/faultproxy.go
+++ b/internal/integration/faultproxy/faultproxy.go
@@ -17,13 +17,13 @@
 
 // Faults are the faults that a proxy injects. With the zero value, it forwards all bytes.
 type Faults struct {
-	// FreezeThere stops the forwarding of bytes to the target. Connections stay open
+	// FreezeToTarget stops the forwarding of bytes to the target. Connections stay open
 	// and new ones are accepted.
-	FreezeThere bool
-	// FreezeBack does the same for bytes from the target.
-	FreezeBack bool
-	// Refuse closes new connections as soon as they are accepted.
-	Refuse bool
+	FreezeToTarget bool
+	// FreezeFromTarget does the same for bytes from the target.
+	FreezeFromTarget bool
+	// RefuseNew closes new connections as soon as they are accepted.
+	RefuseNew bool
 	// Delay is added to each chunk of bytes read.
 	Delay time.Duration
 	// CutToTarget and CutFromTarget close a connection once that many bytes have
@@ -82,7 +82,7 @@
 		defer proxy.goroutines.Done()
 		<-ctx.Done()
 		_ = listener.Close()
-		proxy.Cut()
+		proxy.CloseConnections()
 	}()
 	return proxy, nil
 }
@@ -106,8 +106,8 @@
 	proxy.changed = make(chan struct{})
 }
 
-// Cut closes every open connection.
-func (proxy *Proxy) Cut() {
+// CloseConnections closes every open connection.
+func (proxy *Proxy) CloseConnections() {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	for connection := range proxy.connections {
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		if faults, _ := proxy.current(); faults.Refuse {
+		if faults, _ := proxy.current(); faults.RefuseNew {
 			_ = client.Close()
 			continue
 		}
@@ -211,7 +211,7 @@
 	delayed := false
 	for {
 		faults, changed := proxy.current()
-		frozen := toTarget && faults.FreezeThere || !toTarget && faults.FreezeBack
+		frozen := toTarget && faults.FreezeToTarget || !toTarget && faults.FreezeFromTarget
 		var after <-chan time.Time
 		switch {
 		case !frozen && (delayed || faults.Delay == 0):
--- a/internal/integration/harness/process.go
+++ b/internal/integration/harness/process.go
@@ -74,8 +74,8 @@
 	return start(t, standIns, nil, arguments...)
 }
 
-// Gateway starts cmd/teaselmoor-gateway with additional environment variables.
-func Gateway(t testing.TB, environment []string, arguments ...string) *Process {
+// StartGateway starts cmd/teaselmoor-gateway with additional environment variables.
+func StartGateway(t testing.TB, environment []string, arguments ...string) *Process {
 	t.Helper()
 	return start(t, gateways, environment, arguments...)
 }
@@ -133,11 +133,11 @@
 // Freeze suspends the process.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
-// Wake resumes a frozen process.
-func (process *Process) Wake() { process.signal(syscall.SIGCONT) }
+// Unfreeze resumes a frozen process.
+func (process *Process) Unfreeze() { process.signal(syscall.SIGCONT) }
 
-// HangUp makes the process read its settings again.
-func (process *Process) HangUp() { process.signal(syscall.SIGHUP) }
+// ReloadSettings makes the process read its settings again.
+func (process *Process) ReloadSettings() { process.signal(syscall.SIGHUP) }
 
 // Terminate requests a graceful shutdown.
 func (process *Process) Terminate() { process.signal(syscall.SIGTERM) }
