--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -26,15 +26,15 @@
 	down             bool
 	suspendedUntil   clock.Millis
 	partitioned      bool         // neither receives nor reaches other daemons
-	undisturbedSince clock.Millis // start of its undisturbed run
+	undisturbedSince clock.Millis // since when it has run without pauses and partitions
 	sentChanges      map[string]int64
 	sentAt           map[string]clock.Millis
 	seeds            []string
 	started          clock.Millis
 }
 
-// site simulates daemons that report to each other over the connections that their
-// memberships ask for. It counts connections, reports and records.
+// site simulates daemons that report to each other over the connections that Links returns.
+// It counts connections, reports and records.
 type site struct {
 	now         clock.Millis
 	daemons     map[string]*daemon
@@ -107,9 +107,9 @@
 	return !from.down && !to.down && !from.partitioned && !to.partitioned && site.now >= from.suspendedUntil && site.now >= to.suspendedUntil
 }
 
-// run simulates a span of time.
-func (site *site) run(span clock.Millis) {
-	for end := site.now + span; site.now < end; {
+// run simulates a duration.
+func (site *site) run(duration clock.Millis) {
+	for end := site.now + duration; site.now < end; {
 		site.now += step
 		for _, name := range site.order {
 			if at := site.daemons[name]; !at.down && site.now >= at.suspendedUntil {
@@ -190,7 +190,7 @@
 	}
 	change := to.ApplyStatus(site.now, status)
 	to.Merge(changed)
-	if peer, heard := from.Peer(to.self.Name); status.Role.SendsOrders() && (!heard || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
+	if peer, known := from.Peer(to.self.Name); status.Role.SendsOrders() && (!known || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
 		to.claims.ApplyHeartbeat(site.now, claims.Heartbeat{
 			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Orderers: from.Orderers(), Idle: status.Role != topology.Candidate,
 		})
@@ -249,11 +249,11 @@
 	return names
 }
 
-// serversWithoutOrders returns how many servers received no order within the last span.
-func (site *site) serversWithoutOrders(span clock.Millis) int {
+// serversWithoutOrders returns how many servers received no order within a duration before now.
+func (site *site) serversWithoutOrders(duration clock.Millis) int {
 	count := 0
 	for _, server := range site.servers {
-		if site.now-site.lastOrders[server].at > span {
+		if site.now-site.lastOrders[server].at > duration {
 			count++
 		}
 	}
