--- a/internal/direct/claims/promote.go
+++ b/internal/direct/claims/promote.go
@@ -23,7 +23,7 @@
 
 // Announced records that this daemon begins to announce to its peers that it may claim
 // servers, and allows no claims until announceLead later. This delays the first claim of a
-// daemon that discovers its peers only at the end of its StartWait or later.
+// daemon that discovers its peers late in its StartWait or after it.
 func (registry *Registry) Announced(now clock.Millis) {
 	registry.started = max(registry.started, now+announceLead-registry.options.StartWait)
 }
