--- a/internal/direct/membership/membership_test.go
+++ b/internal/direct/membership/membership_test.go
@@ -224,25 +224,25 @@
 		site.run(clock.Second)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			name := fmt.Sprint("d", rapid.IntRange(0, min(11, len(site.order)-1)).Draw(t, "daemon"))
-			at := site.daemons[name]
+			daemon := site.daemons[name]
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0:
 				site.kill(name)
 			case 1:
-				if at.down {
+				if daemon.down {
 					site.start(name, "d0", "d1") // its partition ends as well
 				}
 			case 2:
-				if !at.down && !at.partitioned {
-					at.suspendedUntil = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
-					at.undisturbedSince = at.suspendedUntil
+				if !daemon.down && !daemon.partitioned {
+					daemon.suspendedUntil = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
+					daemon.undisturbedSince = daemon.suspendedUntil
 				}
 			case 3:
 				// A partitioned daemon never counts as undisturbed; to the others it is silent.
-				at.partitioned = !at.partitioned
-				at.undisturbedSince = max(site.now, at.suspendedUntil)
-				if at.partitioned {
-					at.undisturbedSince = site.now + clock.Hour
+				daemon.partitioned = !daemon.partitioned
+				daemon.undisturbedSince = max(site.now, daemon.suspendedUntil)
+				if daemon.partitioned {
+					daemon.undisturbedSince = site.now + clock.Hour
 				}
 			}
 			site.run(clock.Millis(rapid.IntRange(1, 25).Draw(t, "pause")) * step)
--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -112,66 +112,66 @@
 	for end := site.now + duration; site.now < end; {
 		site.now += step
 		for _, name := range site.order {
-			if at := site.daemons[name]; !at.down && site.now >= at.suspendedUntil {
-				site.runStep(at)
+			if daemon := site.daemons[name]; !daemon.down && site.now >= daemon.suspendedUntil {
+				site.runStep(daemon)
 			}
 		}
 	}
 }
 
 // runStep runs one step of a daemon.
-func (site *site) runStep(at *daemon) {
-	at.claims.Tick(site.now)
-	for _, name := range at.Tick(site.now) {
-		at.claims.Left(site.now, name)
+func (site *site) runStep(daemon *daemon) {
+	daemon.claims.Tick(site.now)
+	for _, name := range daemon.Tick(site.now) {
+		daemon.claims.Left(site.now, name)
 	}
-	changed, promoted := at.UpdateRole(site.now, len(at.claims.Claims(site.now)) > 0)
+	changed, promoted := daemon.UpdateRole(site.now, len(daemon.claims.Claims(site.now)) > 0)
 	if promoted {
-		at.claims.Promoted(site.now)
+		daemon.claims.Promoted(site.now)
 	}
 	if changed {
-		at.claims.Announced(site.now)
+		daemon.claims.Announced(site.now)
 	}
-	site.connect(at)
-	for _, to := range site.openConnections(at) {
-		if site.now-at.sentAt[to] >= interval {
-			site.report(at, site.daemons[to])
+	site.connect(daemon)
+	for _, to := range site.openConnections(daemon) {
+		if site.now-daemon.sentAt[to] >= interval {
+			site.report(daemon, site.daemons[to])
 		}
 	}
-	site.claim(at)
+	site.claim(daemon)
 }
 
 // connect opens the connections that a daemon wants, and closes the others.
-func (site *site) connect(at *daemon) {
+func (site *site) connect(daemon *daemon) {
 	wanted := make(map[string]bool)
-	for _, linked := range at.Links(site.now) {
+	for _, linked := range daemon.Links(site.now) {
 		wanted[linked.Name] = true
 	}
-	if at.Plan().Mesh || at.Role() != topology.Member || at.Plan().Hub == "" {
-		for _, seed := range at.seeds {
-			wanted[seed] = seed != at.self.Name
+	if daemon.Plan().Mesh || daemon.Role() != topology.Member || daemon.Plan().Hub == "" {
+		for _, seed := range daemon.seeds {
+			wanted[seed] = seed != daemon.self.Name
 		}
 	}
-	for _, to := range site.openConnections(at) {
-		unreachable := !site.connects(at, site.daemons[to]) && site.daemons[to].partitioned != at.partitioned
+	for _, to := range site.openConnections(daemon) {
+		unreachable := !site.connects(daemon, site.daemons[to]) && site.daemons[to].partitioned != daemon.partitioned
 		if !wanted[to] || unreachable {
-			delete(site.connectedTo[at.self.Name], to)
+			delete(site.connectedTo[daemon.self.Name], to)
 		}
 	}
 	for _, to := range slices.Sorted(maps.Keys(wanted)) {
-		if !wanted[to] || site.connectedTo[at.self.Name][to] || !site.connects(at, site.daemons[to]) {
+		if !wanted[to] || site.connectedTo[daemon.self.Name][to] || !site.connects(daemon, site.daemons[to]) {
 			continue
 		}
-		site.connectedTo[at.self.Name][to] = true
+		site.connectedTo[daemon.self.Name][to] = true
 		site.connections++
-		delete(at.sentChanges, to)
-		site.report(at, site.daemons[to])
+		delete(daemon.sentChanges, to)
+		site.report(daemon, site.daemons[to])
 	}
 }
 
 // openConnections returns the daemons that a daemon has opened a connection to.
-func (site *site) openConnections(at *daemon) []string {
-	return slices.Sorted(maps.Keys(site.connectedTo[at.self.Name]))
+func (site *site) openConnections(daemon *daemon) []string {
+	return slices.Sorted(maps.Keys(site.connectedTo[daemon.self.Name]))
 }
 
 // report sends a daemon's status, changed records and claims to another one.
@@ -201,23 +201,23 @@
 }
 
 // claim lets a daemon claim servers and send orders wherever it may.
-func (site *site) claim(at *daemon) {
-	if at.Role() == topology.Candidate && len(at.claims.Claim(site.now, site.servers)) > 0 {
-		for _, to := range site.openConnections(at) {
-			site.report(at, site.daemons[to])
+func (site *site) claim(daemon *daemon) {
+	if daemon.Role() == topology.Candidate && len(daemon.claims.Claim(site.now, site.servers)) > 0 {
+		for _, to := range site.openConnections(daemon) {
+			site.report(daemon, site.daemons[to])
 		}
 	}
-	steady := site.now-at.undisturbedSince >= lease
+	steady := site.now-daemon.undisturbedSince >= lease
 	for _, server := range site.servers {
-		if _, may := at.claims.MayOrder(site.now, server); !may {
+		if _, may := daemon.claims.MayOrder(site.now, server); !may {
 			continue
 		}
-		at.claims.Ordered(site.now, server)
+		daemon.claims.Ordered(site.now, server)
 		before, ok := site.lastOrders[server]
-		if ok && before.daemon != at.self.Name && steady && before.steady && site.now-before.at < lease && site.violation == "" {
-			site.violation = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, at.self.Name, server, site.now-before.at)
+		if ok && before.daemon != daemon.self.Name && steady && before.steady && site.now-before.at < lease && site.violation == "" {
+			site.violation = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, daemon.self.Name, server, site.now-before.at)
 		}
-		site.lastOrders[server] = sentOrder{daemon: at.self.Name, at: site.now, steady: steady}
+		site.lastOrders[server] = sentOrder{daemon: daemon.self.Name, at: site.now, steady: steady}
 	}
 }
 
@@ -226,12 +226,12 @@
 func (site *site) withoutHub() []string {
 	var names []string
 	for _, name := range site.order {
-		at := site.daemons[name]
-		if at.down {
+		daemon := site.daemons[name]
+		if daemon.down {
 			continue
 		}
-		hub, ok := site.daemons[at.Plan().Hub]
-		if at.Plan().Hub == "" && at.Role() != topology.Candidate || ok && (hub.down || hub.Plan().Hub != "") {
+		hub, ok := site.daemons[daemon.Plan().Hub]
+		if daemon.Plan().Hub == "" && daemon.Role() != topology.Candidate || ok && (hub.down || hub.Plan().Hub != "") {
 			names = append(names, name)
 		}
 	}
@@ -242,7 +242,7 @@
 func (site *site) candidates() []string {
 	var names []string
 	for _, name := range site.order {
-		if at := site.daemons[name]; !at.down && at.Role() == topology.Candidate {
+		if daemon := site.daemons[name]; !daemon.down && daemon.Role() == topology.Candidate {
 			names = append(names, name)
 		}
 	}
