--- a/internal/direct/topology/topology.go
+++ b/internal/direct/topology/topology.go
@@ -110,8 +110,9 @@
 }
 
 // PlanFor returns the plan of self. The known daemons are those considered live, and the
-// reporting ones are those of them that report to self directly; neither needs to include self. The
-// parameter sendsOrders reports whether the current role of self lets it send orders.
+// reporting ones are those of them that report to self directly; neither needs to include
+// self. The parameter sendsOrders reports whether the current role of self lets it send
+// orders.
 func PlanFor(self Daemon, known []Daemon, reporting []Peer, sendsOrders bool) Plan {
 	all := append(slices.Clone(known), self)
 	if len(all) <= MeshLimit {
