--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -79,6 +79,8 @@
 	}
 }
 
+// TestEncodeAndDecode checks that every field of a message is the same after encoding and
+// decoding.
 func TestEncodeAndDecode(t *testing.T) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
