--- a/internal/direct/claims/tenure.go
+++ b/internal/direct/claims/tenure.go
@@ -204,7 +204,7 @@
 // sent until peers have had time to report what has changed.
 func (registry *Registry) Tick(now clock.Millis) {
 	if now-registry.lastTick > registry.options.Pause {
-		registry.Paused(now)
+		registry.recordPause(now)
 	}
 	registry.lastTick = now
 	if now-registry.claimsSentAt >= registry.options.Stale || registry.silence(now) >= registry.options.Stale {
@@ -235,10 +235,10 @@
 	return max(0, now-latest)
 }
 
-// Paused stops orders for Options.Settle after the process was suspended. During the
+// recordPause stops orders for Options.Settle after the process was suspended. During the
 // suspension other daemons may have claimed servers and sent orders without this one
 // receiving their heartbeats.
-func (registry *Registry) Paused(now clock.Millis) {
+func (registry *Registry) recordPause(now clock.Millis) {
 	registry.noOrdersBefore = now + registry.options.Settle
 	registry.started = now // new claims wait as they do after a start
 	clear(registry.firstContact)
