--- a/internal/direct/claims/tenure.go
+++ b/internal/direct/claims/tenure.go
@@ -63,7 +63,8 @@
 // orderTransitTime is how long an order may take to reach a server.
 const orderTransitTime = 200 * clock.Millisecond
 
-// staleMargin is how much earlier claims expire than others may take the servers over.
+// staleMargin is the time between the expiry of claims and the earliest time at which others
+// may take the servers over.
 const staleMargin = 300 * clock.Millisecond
 
 // DefaultOptions returns the options for a lease. The parameter fenced reports whether
@@ -107,7 +108,7 @@
 	lastContact        map[string]clock.Millis // time of each peer's last heartbeat, plus any excess of its Interval over updateInterval
 	firstContact       map[string]clock.Millis // time of each peer's first heartbeat since the last start, pause or promotion
 	orderSendersByPeer map[string][]string     // daemons that may send orders, as last reported by each peer
-	idle               map[string]bool         // peers that own servers but claim no more
+	idle               map[string]bool         // whether each peer keeps its servers but claims no more
 	// minStartWait is the minimum time between started and the first claims.
 	minStartWait clock.Millis
 	servers      map[string]*serverState
@@ -368,9 +369,9 @@
 	return fence, true
 }
 
-// isolated reports whether all peers have been silent for Silence, and were not yet when
-// the server was claimed: others may be about to take it over. A claim made after that time
-// is not affected, as this daemon is then the one that remains.
+// isolated reports whether all peers have been silent for Silence: others may be about to take
+// the server over. A server claimed when they had been silent for that long already is not
+// affected, as this daemon is then the one that remains.
 func (registry *Registry) isolated(now clock.Millis, server string) bool {
 	silence := registry.silence(now)
 	return silence >= registry.options.Silence && registry.servers[server].claimedAt <= now-silence+registry.options.Silence
--- a/internal/direct/membership/links.go
+++ b/internal/direct/membership/links.go
@@ -11,7 +11,7 @@
 
 // Links returns the daemons to keep a connection to, and records since when: those of the
 // plan, peers that want a connection to this daemon and are not silent, and those that this
-// daemon wants itself (see Wants).
+// daemon wants itself.
 func (membership *Membership) Links(now clock.Millis) []topology.Daemon {
 	linked := make(map[string]topology.Daemon)
 	for _, daemon := range membership.plan.Links {
--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -1,8 +1,8 @@
 // Package membership tracks the daemons of a site as one daemon knows them: which exist,
 // which of them are live, and which to connect to. What is known about a daemon is held in a
 // record, which every daemon forwards once over each connection; a newer record replaces an
-// older one. The roles and connections of daemons are computed in package topology, and the
-// owners of servers in package claims. The package does no I/O and reads no clock.
+// older one. The daemon's plan (role, hub and connections) is computed in package topology,
+// and package claims decides who owns a server. The package does no I/O and reads no clock.
 package membership
 
 import (
@@ -189,8 +189,8 @@
 	return true
 }
 
-// refute raises the number of this daemon's own record above that of a record that has a
-// wrong state of this daemon.
+// refute raises the number of this daemon's own record above that of a forwarded record of it
+// whose state is wrong.
 func (membership *Membership) refute(claimed Record) {
 	if claimed.Incarnation == membership.self.Incarnation && claimed.Number >= membership.self.Number && claimed.State != membership.self.State {
 		membership.self.Number = claimed.Number + 1
