--- a/internal/direct/claims/promote_test.go
+++ b/internal/direct/claims/promote_test.go
@@ -19,7 +19,7 @@
 	daemon.Promoted(now)
 	for promoted := now; now < promoted+options.Quiet; now += 100 {
 		daemon.Tick(now)
-		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{}})
+		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{}})
 		require.Empty(t, daemon.Claim(now, []string{"s1", "s2", "s3", "s4"}))
 	}
 	daemon.Tick(now)
@@ -74,12 +74,12 @@
 	now := clock.Millis(1_000_000)
 	options := claims.DefaultOptions(lease, true)
 	daemon := claims.New(options, "a", now, wallAt(&now))
-	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a", "c"}})
+	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a", "c"}})
 	for range options.StartWait / 100 {
 		now += 100
 		daemon.Tick(now)
 	}
 	require.Empty(t, daemon.Claim(now, servers), "c sent no heartbeat")
-	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a"}})
+	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a"}})
 	require.NotEmpty(t, daemon.Claim(now, servers))
 }
--- a/internal/direct/claims/tenure.go
+++ b/internal/direct/claims/tenure.go
@@ -129,10 +129,10 @@
 	Peer string
 	// Interval is the maximum time until the peer's next heartbeat; until then it may
 	// send orders without a further heartbeat.
-	Interval clock.Millis
-	Claims   []Claim  // all claims of the peer
-	Orderers []string // daemons that may send orders, as far as the peer knows; nil: unchanged
-	Idle     bool     // the peer keeps its servers but claims no more
+	Interval     clock.Millis
+	Claims       []Claim  // all claims of the peer
+	OrderSenders []string // daemons that may send orders, as far as the peer knows; nil: unchanged
+	Idle         bool     // the peer keeps its servers but claims no more
 }
 
 // ApplyHeartbeat applies a heartbeat received from a peer.
@@ -143,8 +143,8 @@
 	if _, ok := registry.firstContact[peer]; !ok {
 		registry.firstContact[peer] = now
 	}
-	if heartbeat.Orderers != nil {
-		registry.orderSendersByPeer[peer] = heartbeat.Orderers
+	if heartbeat.OrderSenders != nil {
+		registry.orderSendersByPeer[peer] = heartbeat.OrderSenders
 	}
 	registry.idle[peer] = heartbeat.Idle
 	for server, state := range registry.servers {
--- a/internal/direct/claims/tenure_test.go
+++ b/internal/direct/claims/tenure_test.go
@@ -245,7 +245,7 @@
 	}
 	for _, to := range all {
 		if to != from && !to.stopped && now >= to.suspendedUntil {
-			to.ApplyHeartbeat(now, claims.Heartbeat{Peer: from.name, Interval: 500, Claims: from.Claims(now), Orderers: names})
+			to.ApplyHeartbeat(now, claims.Heartbeat{Peer: from.name, Interval: 500, Claims: from.Claims(now), OrderSenders: names})
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	for now < 1_000_000+options.StartWait-100 {
 		now += 100
 		daemon.Tick(now)
-		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a", "b"}})
+		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a", "b"}})
 		require.Empty(t, daemon.Claim(now, servers))
 	}
 	var peerClaims []claims.Claim
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -76,7 +76,7 @@
 	}
 	if update.Claimed && update.Role.SendsOrders() {
 		core.claims.ApplyHeartbeat(now, claims.Heartbeat{
-			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, Orderers: update.Orderers,
+			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, OrderSenders: update.OrderSenders,
 			Idle: update.Role != topology.Candidate,
 		})
 	}
--- a/internal/direct/membership/links.go
+++ b/internal/direct/membership/links.go
@@ -18,13 +18,13 @@
 		linked[daemon.Name] = daemon
 	}
 	for name, peer := range membership.peers {
-		wantedByPeer := peer.Wants && now-peer.LastContactAt < membership.options.Silence
-		if wantedByPeer || membership.Wants(name) {
+		wantedByPeer := peer.WantsConnection && now-peer.LastContactAt < membership.options.Silence
+		if wantedByPeer || membership.WantsConnection(name) {
 			linked[name] = peer.Daemon
 		}
 	}
 	for name, entry := range membership.entries {
-		if membership.Wants(name) {
+		if membership.WantsConnection(name) {
 			linked[name] = entry.Daemon
 		}
 		_, wanted := linked[name]
@@ -37,9 +37,9 @@
 	return slices.SortedFunc(maps.Values(linked), func(a, b topology.Daemon) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Wants reports whether this daemon itself wants a connection to another one, rather than
+// WantsConnection reports whether this daemon itself wants a connection to another one, rather than
 // only answering the other's connection.
-func (membership *Membership) Wants(name string) bool {
+func (membership *Membership) WantsConnection(name string) bool {
 	entry, ok := membership.entries[name]
 	if ok && entry.State == Gone {
 		return false
--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -39,16 +39,16 @@
 // Status is what a daemon reports about itself to the daemons that it is connected to.
 type Status struct {
 	Record
-	Role     topology.Role
-	Hub      string       // the daemon chosen as hub; empty: none
-	Wants    bool         // the sender itself wants the connection, rather than only answering
-	Interval clock.Millis // maximum time until the next report
-	Era      int64        // era of the store that Revision belongs to
-	Revision int64        // store revision up to which the sender knows all changes
-	Version  int64        // configuration version in force at that revision
-	// Orderers are the daemons that may send orders, as far as the sender knows, without
+	Role            topology.Role
+	Hub             string       // the daemon chosen as hub; empty: none
+	WantsConnection bool         // the sender itself wants the connection, rather than only answering
+	Interval        clock.Millis // maximum time until the next report
+	Era             int64        // era of the store that Revision belongs to
+	Revision        int64        // store revision up to which the sender knows all changes
+	Version         int64        // configuration version in force at that revision
+	// OrderSenders are the daemons that may send orders, as far as the sender knows, without
 	// the sender itself; nil: unchanged.
-	Orderers []string
+	OrderSenders []string
 }
 
 // Options holds the timing parameters of a membership.
@@ -219,8 +219,8 @@
 	membership.merge(status.Record)
 	change := StatusChange{Current: true, New: !ok || before.Incarnation != status.Incarnation}
 	peer := &Peer{Status: status, LastContactAt: now + max(0, status.Interval-membership.options.Usual)}
-	if !change.New && status.Orderers == nil {
-		peer.Orderers = before.Orderers
+	if !change.New && status.OrderSenders == nil {
+		peer.OrderSenders = before.OrderSenders
 	}
 	if !change.New {
 		stopped := status.State == Leaving && before.State != Leaving
@@ -302,10 +302,10 @@
 	return records, membership.changeNumber
 }
 
-// Orderers returns the sorted names of the peers that may send orders according to their
+// OrderSenders returns the sorted names of the peers that may send orders according to their
 // last report, which is no older than Options.Memory. A starting daemon waits for a report
 // of each of them.
-func (membership *Membership) Orderers() []string {
+func (membership *Membership) OrderSenders() []string {
 	names := []string{}
 	for name, peer := range membership.peers {
 		// A daemon that has announced that it leaves sends no more orders.
@@ -414,7 +414,7 @@
 			continue
 		}
 		reporting = append(reporting, topology.Peer{Daemon: peer.Daemon, Role: peer.Role, Hub: peer.Hub})
-		for _, name := range peer.Orderers {
+		for _, name := range peer.OrderSenders {
 			membership.reportedOrderSenders[name] = true
 		}
 	}
--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -179,8 +179,8 @@
 	from.sentAt[to.self.Name] = site.now
 	status := from.Status()
 	status.Interval = interval
-	status.Wants = from.Wants(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
-	status.Orderers = from.Orderers()
+	status.WantsConnection = from.WantsConnection(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
+	status.OrderSenders = from.OrderSenders()
 	var changed []membership.Record
 	changed, from.sentChanges[to.self.Name] = from.RecordsSince(from.sentChanges[to.self.Name])
 	site.reports++
@@ -192,7 +192,7 @@
 	to.Merge(changed)
 	if peer, known := from.Peer(to.self.Name); status.Role.SendsOrders() && (!known || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
 		to.claims.ApplyHeartbeat(site.now, claims.Heartbeat{
-			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Orderers: from.Orderers(), Idle: status.Role != topology.Candidate,
+			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), OrderSenders: from.OrderSenders(), Idle: status.Role != topology.Candidate,
 		})
 	}
 	if change.Left {
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -195,9 +195,9 @@
 
 func encodeUpdate(update *Update) *wireUpdate {
 	wire := &wireUpdate{
-		Self: encodeRecord(update.Record), Role: int(update.Role), Hub: update.Hub, Wants: update.Wants,
+		Self: encodeRecord(update.Record), Role: int(update.Role), Hub: update.Hub, Wants: update.WantsConnection,
 		Interval: int64(update.Interval), Revision: update.Revision, Version: update.Version,
-		Orderers: update.Orderers, Claimed: update.Claimed,
+		Orderers: update.OrderSenders, Claimed: update.Claimed,
 	}
 	for _, record := range update.Members {
 		wire.Members = append(wire.Members, encodeRecord(record))
@@ -452,8 +452,8 @@
 func decodeUpdate(wire *wireUpdate) *Update {
 	update := &Update{
 		Status: membership.Status{
-			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, Wants: wire.Wants,
-			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, Orderers: wire.Orderers,
+			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, WantsConnection: wire.Wants,
+			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, OrderSenders: wire.Orderers,
 		},
 		Claimed: wire.Claimed,
 	}
