--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -1,5 +1,6 @@
 // Package fleet holds a daemon's view of the backend servers: which ones exist, which may
 // take new work, what each holds, and which of them fail. It does no I/O and reads no clock.
+// The requests in progress at the servers are counted by package inflight.
 package fleet
 
 import (
@@ -155,7 +156,7 @@
 		return false
 	}
 	isNew := !known || revision > member.Revision
-	server.Draining = fleet.isDraining(server)
+	server.Draining = fleet.updateDraining(server)
 	if !known {
 		member = &Member{
 			Hash: xxhash.Sum64String(server.ID), table: fleet.tables[server.ID], recent: make(map[platformapi.Adapter]int), onDisk: make(map[string]bool),
@@ -165,7 +166,7 @@
 		fleet.sorted = nil
 	}
 	if member.StartedAt != server.StartedAt {
-		clear(member.recent) // it has restarted
+		clear(member.recent) // the server has restarted
 	}
 	indexChanged := !known || member.Draining != server.Draining || member.Service != server.Service
 	stale := member.StartedAt != server.StartedAt || member.table.Fence == 0
@@ -361,8 +362,8 @@
 }
 
 // rebuildIndex rebuilds the servers that may take new work, by service. Usable calls it when needed.
-// It is not rebuilt with each added server, as a daemon that starts before 3,000 servers
-// learns of them one after another.
+// It is not rebuilt with each added server, as a starting daemon reads up to 3,000 entries one
+// after another.
 func (fleet *Fleet) rebuildIndex() {
 	fleet.byService = make(map[string][]*Member)
 	for _, member := range fleet.Members() {
