--- a/internal/direct/throttle/throttle_test.go
+++ b/internal/direct/throttle/throttle_test.go
@@ -94,6 +94,8 @@
 	require.True(t, limits.Allows(now, "other"), "it has no limit")
 }
 
+// TestLimitIsLiftedByALaterAnswer: a response to a request sent before the limit was
+// known does not lift it, and a response of an earlier process changes nothing.
 func TestLimitIsLiftedByALaterAnswer(t *testing.T) {
 	limits := throttle.New("d")
 	limited, lifted := throttle.ServerLimit{Server: "s", StartedAt: 5, Limited: true, Rate: 2}, throttle.ServerLimit{Server: "s", StartedAt: 5}
