--- a/internal/direct/loading/modelrate.go
+++ b/internal/direct/loading/modelrate.go
@@ -35,8 +35,8 @@
 	return 2 * modelRate.fullSpeedLoads
 }
 
-// ObserveInFlight updates the estimate with a load that is still in flight and started when inFlight
-// loads were, itself included. So a slow load counts even if its server leaves before
+// ObserveInFlight updates the estimate with a load that is still in flight and started when
+// inFlight loads were, itself included. So a slow load counts even if its server leaves before
 // the load has ended.
 func (modelRate *ModelRate) ObserveInFlight(inFlight int, since, loadTime clock.Millis) {
 	if inFlight > modelRate.fullSpeedLoads && float64(since) > modelSlack*float64(loadTime) {
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -123,8 +123,9 @@
 	return planner.fenceKnown && !planner.reportValid, planner.lastOrderAt + planner.options.ReportLag
 }
 
-// HoldingsKnown reports whether the planner knows what its server holds: it has read the report, or
-// the server has accepted the load of its base model and so holds nothing yet.
+// HoldingsKnown reports whether the planner knows what its server holds: it has read the
+// report, or the server has accepted the load of its base model and so holds nothing yet.
+// An order to load it that was not answered counts as accepted.
 func (planner *Planner) HoldingsKnown() bool {
 	return planner.reportValid || len(planner.modelLoads) > 0
 }
--- a/internal/direct/loading/rate.go
+++ b/internal/direct/loading/rate.go
@@ -31,8 +31,8 @@
 // store counts as saturated. Estimates of the load time are off by that much.
 const rateSlack = 1.2
 
-// firstCheckShare is the share of its expected duration after which a load is first checked. It is
-// below 1 because an estimate that is too high is noticed only by checking early.
+// firstCheckShare is the share of its expected duration after which a load is first checked.
+// It is below 1 because an estimate that is too high is noticed only by checking early.
 const firstCheckShare = 0.9
 
 // NewLoadRate returns the initial estimates.
@@ -54,7 +54,8 @@
 	return loadRate.LoadTime()/recentSpeedup + 1
 }
 
-// FullSpeedLoads returns how many adapters the weight store sends at full speed at the same time.
+// FullSpeedLoads returns how many adapters the weight store sends at full speed at the same
+// time.
 func (loadRate *LoadRate) FullSpeedLoads(servers int) int {
 	return int(loadRate.fullSpeed(servers))
 }
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -49,7 +49,8 @@
 	return turns.rate.FullSpeedLoads()
 }
 
-// TrialLoads returns how many loads may start together to find out whether they run at full speed.
+// TrialLoads returns how many loads may start together to find out whether they run at full
+// speed.
 func (turns *Turns) TrialLoads() int {
 	return turns.rate.TrialLoads()
 }
@@ -139,8 +140,8 @@
 	return true
 }
 
-// worthStarting reports whether a load that starts now ends earlier, by minGain at least, than one
-// that waits for the next load in flight to end.
+// worthStarting reports whether a load that starts now ends earlier, by minGain at least, than
+// one that waits for the next load in flight to end.
 func (turns *Turns) worthStarting(now clock.Millis, models Models) bool {
 	if len(turns.ends) < models.FullSpeedLoads || len(turns.ends) < models.TrialLoads && turns.startedTogether(now, models) {
 		return true
