--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// removeHolder removes a server from the holders of an adapter. It makes a new slice, as the old one
-// may be in use.
+// removeHolder removes a server from the holders of an adapter. It makes a new slice, as the
+// old one may be in use.
 func (fleet *Fleet) removeHolder(member *Member, adapter platformapi.Adapter) {
 	left := make([]*Member, 0, len(fleet.holders[adapter]))
 	for _, holder := range fleet.holders[adapter] {
@@ -183,8 +183,8 @@
 	return isNew
 }
 
-// updateHoldings updates the holdings from the owner's table. If there is none, or the server has
-// restarted since, it uses the server's own report, or its entry if there is no report.
+// updateHoldings updates the holdings from the owner's table. If there is none, or the server
+// has restarted since, it uses the server's own report, or its entry if there is no report.
 func (member *Member) updateHoldings() {
 	if member.hasTable() {
 		member.setHoldings(member.table.Models, member.table.Slots)
@@ -272,8 +272,8 @@
 	return fleet.outageEnd
 }
 
-// MarkMissing records that a server refused a request because it does not hold the adapter or base
-// model that this daemon expected there.
+// MarkMissing records that a server refused a request because it does not hold the adapter or
+// base model that this daemon expected there.
 func (fleet *Fleet) MarkMissing(id string, adapter platformapi.Adapter) {
 	member, ok := fleet.members[id]
 	if !ok {
@@ -341,7 +341,7 @@
 }
 
 // Tick removes servers whose entries were not restored in time, and returns their ids. It
-// also drops expired tombstones, drain notices and pauses.
+// also drops expired tombstones with their tables, drain records and pauses.
 func (fleet *Fleet) Tick(now clock.Millis) []string {
 	var dropped []string
 	for id, member := range fleet.members {
@@ -361,9 +361,9 @@
 	return dropped
 }
 
-// rebuildIndex rebuilds the servers that may take new work, by service. Usable calls it when needed.
-// It is not rebuilt with each added server, as a starting daemon reads up to 3,000 entries one
-// after another.
+// rebuildIndex rebuilds the servers that may take new work, by service. Usable calls it when
+// needed. It is not rebuilt with each added server, as a starting daemon reads up to 3,000
+// entries one after another.
 func (fleet *Fleet) rebuildIndex() {
 	fleet.byService = make(map[string][]*Member)
 	for _, member := range fleet.Members() {
--- a/internal/direct/fleet/fleet_test.go
+++ b/internal/direct/fleet/fleet_test.go
@@ -198,7 +198,7 @@
 	require.False(t, member.HoldingsUnknown())
 	require.True(t, member.HoldsModel("m"))
 	require.Len(t, servers.Holders(held), 1)
-	loaded := platformapi.Adapter{Model: "m", Name: "loaded"}
+	loaded := platformapi.Adapter{Model: "m", Name: "told"}
 	servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 1, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: loaded, Version: 1}}})
 	servers.SetReport("a", 100, holdings)
 	require.Empty(t, servers.Holders(held), "the owner's table takes precedence")
