--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -5,9 +5,9 @@
 // reads no clock.
 //
 // Daemons share a limit without negotiating. They send each other the limits of servers, and
-// the hash of server and daemon selects a few daemons, so few that a request sent by each of them at the
-// same moment is within what the site tolerates. Each of these has an equal share of the rate,
-// in a bucket that holds one request; the other daemons send that server nothing.
+// the hash of server and daemon selects a few daemons, so few that a request sent by each of
+// them at the same moment is within what the site tolerates. Each of these has an equal share
+// of the rate, in a bucket that holds one request; the other daemons send that server nothing.
 package throttle
 
 import (
