--- a/internal/direct/account/account.go
+++ b/internal/direct/account/account.go
@@ -19,8 +19,8 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// shortBytes is the length in bytes of the short form of a digest, enough to distinguish the keys of a
-// site.
+// shortBytes is the length in bytes of the short form of a digest, enough to distinguish the
+// keys of a site.
 const shortBytes = 4
 
 // String returns the short form of the digest for logs.
