--- a/internal/direct/ending/ending.go
+++ b/internal/direct/ending/ending.go
@@ -1,6 +1,7 @@
 // Package ending defines the messages with which a gateway logs the course of a request, the
-// reasons for which a request ends, and what each means to the caller. Messages and reasons are
-// a log format that other programs read.
+// reasons for which a request ends, and what each means to the caller. It does not decide when a
+// request ends. Messages and reasons are a log format that other programs read, so their texts
+// must not change.
 package ending
 
 import "teaselmoor/internal/decide/outcome"
@@ -58,7 +59,7 @@
 	StreamBroken     Reason = "StreamBroken" // a stream broke off and could not be resumed
 )
 
-// outcomeReasons maps each reason to the one in the caller's record.
+// outcomeReasons maps each reason to the one that the caller's outcome shows.
 var outcomeReasons = map[Reason]outcome.Reason{
 	Complete: outcome.Complete, ServerFailure: outcome.ServerFailed, NoConfiguration: outcome.NoConfiguration,
 	NoRoute: outcome.UnknownPath, BadRequest: outcome.BadRequest, TooLarge: outcome.BodyTooLarge,
--- a/internal/direct/ending/ending_test.go
+++ b/internal/direct/ending/ending_test.go
@@ -31,6 +31,8 @@
 	require.False(t, known)
 }
 
+// TestEveryReasonHasASentence guards against a reason that has no outcome, or whose outcome has
+// no sentence that explains it.
 func TestEveryReasonHasASentence(t *testing.T) {
 	for _, reason := range ending.Reasons() {
 		result, known := ending.Ending{Reason: reason}.Outcome()
--- a/internal/direct/gateway/accounts.go
+++ b/internal/direct/gateway/accounts.go
@@ -9,7 +9,8 @@
 )
 
 // admit identifies the caller's account by its key and charges the request to the account's
-// limit before any of the body is read. A status other than 0 refuses the request.
+// limit before any of the body is read. If the request is refused, admit returns the status and
+// reason to answer with; otherwise the status is 0.
 func (gateway *Gateway) admit(job *job, config *catalog.Catalog) (int, ending.Reason) {
 	if config.Accounts == nil {
 		return 0, ""
@@ -32,22 +33,23 @@
 
 // refuseUnknownKey refuses a request whose key is not in the configuration. If this
 // configuration may be stale, the caller gets a status that it retries on: another daemon may
-// know the key, and callers do not retry after being told that the key is wrong.
+// have a configuration with the key, and callers do not retry after a status that says that the
+// key is wrong.
 func (gateway *Gateway) refuseUnknownKey(job *job) (int, ending.Reason) {
 	core := gateway.core
 	core.mutex.Lock()
-	old := core.configurationAge(job.arrived) > core.options.AccountsAge
+	stale := core.configurationAge(job.arrived) > core.options.AccountsAge
 	core.mutex.Unlock()
-	if old {
+	if stale {
 		return http.StatusServiceUnavailable, ending.StaleAccounts
 	}
 	return http.StatusUnauthorized, ending.UnknownKey
 }
 
-// configurationAge is the time since the store last confirmed the configuration in force. The
-// mutex must be held.
+// configurationAge is the time since the store last answered this daemon or the one that reads
+// the store for it, and so confirmed the configuration in force. The mutex must be held.
 func (core *core) configurationAge(now clock.Millis) clock.Millis {
-	return now - max(core.store.readAt, core.store.coveredAt)
+	return now - max(core.store.readAt, core.store.readerReadAt)
 }
 
 // chargeAccount charges a request to its account's limit, and refuses it if the limit is
@@ -70,8 +72,8 @@
 	return http.StatusTooManyRequests, ending.AccountLimit
 }
 
-// refundUnrun refunds an account's charge for a request that no server ran.
-func (gateway *Gateway) refundUnrun(job *job) {
+// refundIfNotRun refunds an account's charge for a request that no server can have run.
+func (gateway *Gateway) refundIfNotRun(job *job) {
 	if job.charged == 0 || job.mayHaveRun > 0 {
 		return
 	}
--- a/internal/direct/gateway/wants.go
+++ b/internal/direct/gateway/adapterrequests.go
@@ -57,7 +57,7 @@
 	owner, known := core.claims.Owner(now, request.Server)
 	peer, connected := core.members.Peer(owner)
 	if !core.inGroup(from) || !known || !connected {
-		return // the peer will ask again
+		return // the peer repeats its request
 	}
 	relayed, ok := core.relayedAdapterRequests[request.Server]
 	if !ok {
--- a/internal/direct/gateway/patience.go
+++ b/internal/direct/gateway/adapterwait.go
@@ -7,8 +7,8 @@
 	"teaselmoor/internal/direct/platformapi"
 )
 
-// maxAdapterWait is how long a request may wait for its adapter. Callers abandon a stream that
-// is silent for too long compared with its goals.
+// maxAdapterWait is how long a request may wait for its adapter: the share LoadPatience of the
+// time until its deadline, or until the caller is expected to abandon the silent stream.
 func (core *core) maxAdapterWait(now clock.Millis, job *job) clock.Millis {
 	silence := max(minSilence, goalSilenceFactor*job.route.Goal, gapSilenceFactor*job.route.GapGoal)
 	byCaller := clock.Millis(core.options.LoadPatience * float64(job.lastEventAt+silence-now))
@@ -25,7 +25,7 @@
 )
 
 // loadTooLate reports whether an adapter that has not been requested yet would arrive too late
-// on a server.
+// on a server. The mutex must be held.
 func (core *core) loadTooLate(server *fleet.Member, maxWait clock.Millis) bool {
 	inFlight, queued := core.incomingAdapters()
 	return loading.LoadTooLate(inFlight+queued, core.expectedLoadTime(server), maxWait)
@@ -33,7 +33,7 @@
 
 // expectedLoadTime estimates how long an adapter that has not been requested yet takes to
 // arrive on a server. Both the weight store and the server limit the number of concurrent
-// loads, and loads that already wait go first.
+// loads, and loads that already wait go first. The mutex must be held.
 func (core *core) expectedLoadTime(server *fleet.Member) clock.Millis {
 	options := core.options.Loading
 	loading, queued := core.incomingAdapters()
--- a/internal/direct/gateway/copies.go
+++ b/internal/direct/gateway/copies.go
@@ -17,14 +17,15 @@
 // the request to reach the server's owner, and for the table to come back through a hub.
 const copyVisibilityDelay = 400 * clock.Millisecond
 
-// requestedCopies is the number of copies of an adapter that were last requested, and when.
+// requestedCopies records how many copies of an adapter were being loaded after the last request
+// for copies, the requested ones included, and when that request was made.
 type requestedCopies struct {
 	count int
 	at    clock.Millis
 }
 
 // requestCopies has adapters loaded on additional servers if more work waits for them on the
-// servers that this daemon owns than those can handle. It is needed at sites with hubs; in a
+// servers that this daemon owns than those can handle. It does so only at sites with hubs: in a
 // mesh the daemons that place requests see the backlog themselves in time. The mutex must be
 // held.
 func (gateway *Gateway) requestCopies(now clock.Millis) {
@@ -52,8 +53,8 @@
 	return clock.Millis(float64(core.work.Load(server).Reading) / core.readRate.TokensPerMS())
 }
 
-// demand returns the backlog of the servers that hold an adapter, and how many hold it or are
-// loading it. The mutex must be held.
+// demand returns the backlog of the servers that hold an adapter or are loading it, and the
+// numbers of both. The mutex must be held.
 func (core *core) demand(now clock.Millis, adapter platformapi.Adapter) loading.Demand {
 	demand := loading.Demand{}
 	for _, member := range core.fleet.Holders(adapter) {
@@ -70,22 +71,22 @@
 	return demand
 }
 
-// requestCopiesOf requests further copies of an adapter that a server holds. The mutex must be
-// held.
-func (gateway *Gateway) requestCopiesOf(now clock.Millis, from *fleet.Member, adapter platformapi.Adapter, count int) {
+// requestCopiesOf requests further copies of an adapter, because the server that it is given is
+// too busy. The mutex must be held.
+func (gateway *Gateway) requestCopiesOf(now clock.Millis, busy *fleet.Member, adapter platformapi.Adapter, count int) {
 	core := gateway.core
 	if count == 0 || gateway.storeBusy() {
 		return
 	}
 	query := choose.Query{
-		Now: now, Service: from.Service, DataCentre: from.DataCentre, Adapter: adapter, AdapterSlots: core.adapterSlots(from.Service),
+		Now: now, Service: busy.Service, DataCentre: busy.DataCentre, Adapter: adapter, AdapterSlots: core.adapterSlots(busy.Service),
 		HasOwner: func(server string) bool { _, ok := core.ownerOf(now, server); return ok },
 	}
 	targets := core.weights().CopyTargets(query, adapterHash(adapter), core.fleet, core.work, count)
 	core.copiesRequested[adapter] = requestedCopies{count: core.demand(now, adapter).Loading + len(targets), at: now}
 	for _, target := range targets {
 		owner, _ := core.ownerOf(now, target.ID)
-		core.log.Info("adapter copy requested", "Server", target.ID, "Adapter", adapter.Name, "Owner", owner, "Busy", from.ID, "Copies", count)
+		core.log.Info("adapter copy requested", "Server", target.ID, "Adapter", adapter.Name, "Owner", owner, "Busy", busy.ID, "Copies", count)
 		gateway.sendAdapterRequest(owner, peers.AdapterRequest{Server: target.ID, Adapter: adapter, Version: core.newestVersion(adapter), Rank: copyRank, Left: copyRequestLifetime})
 	}
 }
--- a/internal/direct/gateway/core.go
+++ b/internal/direct/gateway/core.go
@@ -43,10 +43,10 @@
 	versions map[platformapi.Adapter]namedVersion
 
 	// Use of callers' accounts.
-	ledger         *quota.Ledger
-	usageReports   map[string]usageReport // by daemon that sent it
-	lastHub        string                 // the last hub of this daemon
-	limitsPrunedAt clock.Millis           // when unused accounts were last removed
+	ledger           *quota.Ledger
+	usageReports     map[string]usageReport // by daemon that sent it
+	lastHub          string                 // the last hub of this daemon
+	accountsPrunedAt clock.Millis           // when unused accounts were last removed
 
 	// Backend servers and their work.
 	fleet             *fleet.Fleet
@@ -59,14 +59,14 @@
 	requestedAt       map[platformapi.Adapter]clock.Millis // when callers last requested an adapter here
 	reportRequestedAt map[string]clock.Millis              // when a server's report was last requested because its table is unknown
 	quarantine        *quarantine.List                     // contents that servers have crashed on
-	lostRequests      map[string]*lostAtServer             // by server, recent ones
+	lostRequests      map[string]*serverLosses             // by server, recent ones
 	serverLimits      *throttle.Limits                     // request rates that servers have announced
 	holdingsChanged   chan struct{}                        // closed and replaced when holdings change
 
 	// Ownership of servers, and the servers that this daemon owns.
 	claims                 *claims.Registry
 	orderWorkers           map[string]*orderWorker   // by server that this daemon owns
-	modelTurns             map[string]*loading.Turns // for loading base models, by service
+	modelTurns             map[string]*loading.Turns // base model loads, by service
 	owners                 map[string]string         // by server: as received from this daemon's hub, or as a hub sends them
 	relayedAdapterRequests map[string]waitingPeers   // by server: peers for which this hub has forwarded a request to the owner
 	copiesRequested        map[platformapi.Adapter]requestedCopies
@@ -76,9 +76,9 @@
 	members       *membership.Membership
 	hub           string            // whose aggregated counts are used; empty: each daemon sends its own
 	lastHubAt     clock.Millis      // when this daemon last had a hub, or its start if it never had one
-	peerNames     map[string]string // name of the daemon at each connected address
-	seedAddresses map[string]bool   // seed addresses with a connection
-	leaving       bool
+	peerNames     map[string]string // names of the daemons that connections are kept to, by address
+	seedAddresses map[string]bool   // seed addresses that connections are kept to
+	leaving       bool              // this daemon is stopping
 
 	// Work of other daemons as they report it.
 	snapshots map[string]peers.DaemonShare       // by daemon, this one included
@@ -91,8 +91,8 @@
 	groupChanges  inflight.Share        // difference to the previous group snapshot
 	ownersVersion int64                 // incremented when owners or learnedRates change on this daemon as a hub
 	learnedRates  loading.RateEstimate  // of the weight store, as this daemon sends them as a hub
-	sentReading   map[string]int        // prompt tokens being read by server, as last sent to peers
-	sentTokens    map[string]int        // prompt tokens sent by server since peers were last sent them
+	sentReading   map[string]int        // prompt tokens being read, by server, as last sent to peers
+	sentTokens    map[string]int        // prompt tokens of requests sent, by server, not yet reported to peers
 	workChanged   chan struct{}         // holds a token when this daemon's work has changed
 	usageChanged  chan struct{}         // holds a token when the use of accounts has changed
 	deltaDue      chan struct{}         // holds a token when a delta should be sent soon
@@ -139,7 +139,7 @@
 		promptBuckets:     choose.NewPromptBucket(),
 		requestedAt:       make(map[platformapi.Adapter]clock.Millis),
 		reportRequestedAt: make(map[string]clock.Millis),
-		lostRequests:      make(map[string]*lostAtServer),
+		lostRequests:      make(map[string]*serverLosses),
 		quarantine:        quarantine.New(options.Quarantine, settings.Name),
 		serverLimits:      throttle.New(settings.Name),
 		holdingsChanged:   make(chan struct{}),
@@ -199,8 +199,8 @@
 	}
 }
 
-// isReady reports whether the daemon can serve: it has a configuration and has read the list of
-// servers.
+// isReady reports whether the daemon can take new requests: it has a configuration and the
+// store's items, and is not stopping.
 func (core *core) isReady() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -228,8 +228,9 @@
 	return core.versions[adapter].version
 }
 
-// requiredVersion returns the lowest version of an adapter that may serve now: the newest one,
-// once there was time to load it. The mutex must be held.
+// requiredVersion returns the lowest version of an adapter that may be used now. It is the
+// newest one that operators named, or 0 for any version until VersionGrace has passed since this
+// daemon learned of that one. The mutex must be held.
 func (core *core) requiredVersion(now clock.Millis, adapter platformapi.Adapter) int {
 	named := core.versions[adapter]
 	if now-named.at < core.options.VersionGrace {
@@ -238,8 +239,8 @@
 	return named.version
 }
 
-// adapterHash determines the servers that are preferred for an adapter. All daemons must
-// compute the same value.
+// adapterHash returns the hash by which the preferred servers of an adapter are chosen. All
+// daemons must compute the same value.
 func adapterHash(adapter platformapi.Adapter) uint64 {
 	return xxhash.Sum64String(adapter.Model + "/" + adapter.Name)
 }
--- a/internal/direct/gateway/counters.go
+++ b/internal/direct/gateway/counters.go
@@ -13,11 +13,11 @@
 	"teaselmoor/internal/direct/ending"
 )
 
-// maxSeries bounds the number of label sets, so that names sent by callers or many routes do
-// not grow memory without limit.
+// maxSeries bounds the number of label sets of a metric, so that many services or accounts, or
+// many statuses sent by servers, do not grow memory without limit.
 const maxSeries = 200
 
-// counters counts ended requests and records their latencies.
+// counters counts ended requests and records the latencies of successful ones.
 type counters struct {
 	mutex   sync.Mutex // guards the maps
 	ends    map[endLabels]int64
@@ -57,20 +57,20 @@
 	counters.latency.observe(job.service, at-job.arrived)
 }
 
-// latencyRange is the highest latency that a histogram distinguishes, in milliseconds with two
-// significant figures.
-const latencyRange = 60_000
+// maxLatencyMillis is the highest latency that a histogram distinguishes, with two significant
+// figures.
+const maxLatencyMillis = 60_000
 
-func (histograms histograms) observe(service string, span clock.Millis) {
+func (histograms histograms) observe(service string, value clock.Millis) {
 	histogram, ok := histograms[service]
 	if !ok {
 		if len(histograms) >= maxSeries {
 			return
 		}
-		histogram = hdrhistogram.New(1, latencyRange, 2)
+		histogram = hdrhistogram.New(1, maxLatencyMillis, 2)
 		histograms[service] = histogram
 	}
-	_ = histogram.RecordValue(min(max(int64(span), 1), latencyRange)) // always in range
+	_ = histogram.RecordValue(min(max(int64(value), 1), maxLatencyMillis)) // always in range
 }
 
 // write writes quantiles and counts under a metric name.
--- a/internal/direct/gateway/spread.go
+++ b/internal/direct/gateway/deltas.go
@@ -24,26 +24,26 @@
 	return versionStamp.major > other.major || versionStamp.major == other.major && versionStamp.minor > other.minor
 }
 
-// sentState records what a peer has been sent on the current connection, or has sent itself and
-// so knows.
+// sentState records what a peer has been sent on the current connection, or has sent itself, so
+// that it is not sent again.
 type sentState struct {
-	members   int64                                  // number of membership changes sent
-	orderers  []string                               // last sent; nil: none yet
-	updateAt  clock.Millis                           // when the last update was sent
-	snapshots map[string]versionStamp                // last version sent, by daemon
-	group     int64                                  // number of the last group snapshot sent
-	owners    int64                                  // version of the owners last sent
-	reported  map[string]int64                       // process start in the last holdings sent from a server's own report, by server
-	tables    map[string]versionStamp                // last version sent, by server
-	tablesAt  int64                                  // number of table changes when tables were last compared
-	reports   int64                                  // number of servers' reports when they were last compared
-	sums      map[string]inflight.Sum                // last sent, by server; nil: none yet
-	uses      map[string]map[platformapi.Adapter]int // last sent, by server
-	era       int64                                  // of the store
-	revision  int64                                  // of the store, in that era
-	usage     quota.SentTotals
-	usageAt   clock.Millis // when usage was last sent
-	warnings  warningsSent
+	members        int64                                  // number of membership changes sent
+	orderers       []string                               // last sent; nil: none yet
+	updateAt       clock.Millis                           // when the last update was sent
+	snapshots      map[string]versionStamp                // last version sent, by daemon
+	group          int64                                  // number of the last group snapshot sent
+	owners         int64                                  // version of the owners last sent
+	reportedStarts map[string]int64                       // process start in the last holdings sent from a server's own report, by server
+	tables         map[string]versionStamp                // last version sent, by server
+	tableChange    int64                                  // number for the next call of fleet.TablesSince
+	reportCount    int64                                  // number of servers' reports applied when they were last compared
+	sums           map[string]inflight.Sum                // last sent, by server; nil: none yet
+	uses           map[string]map[platformapi.Adapter]int // last sent, by server
+	era            int64                                  // of the store
+	revision       int64                                  // of the store, in that era
+	usage          quota.SentTotals
+	usageAt        clock.Millis // when usage was last sent
+	warnings       warningsSent
 }
 
 // sentTo returns the record of what the peer at an address has been sent. The mutex must be
@@ -59,7 +59,7 @@
 
 func newSentState() *sentState {
 	return &sentState{
-		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reported: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[platformapi.Adapter]int),
+		usage: make(quota.SentTotals), snapshots: make(map[string]versionStamp), reportedStarts: make(map[string]int64), tables: make(map[string]versionStamp), uses: make(map[string]map[platformapi.Adapter]int),
 	}
 }
 
@@ -144,7 +144,8 @@
 	return core.hub != ""
 }
 
-// updateOwnSnapshot records what this daemon has in progress, unless it had and has nothing.
+// updateOwnSnapshot records what this daemon has in progress, unless it has nothing now and had
+// nothing at the last call.
 func (core *core) updateOwnSnapshot() {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -198,7 +199,8 @@
 	return delta
 }
 
-// addWork adds the requests in progress that a target is to be sent. The mutex must be held.
+// addWork adds to a delta the requests in progress in the form that its target needs: aggregated
+// counts, a group's snapshot or this daemon's own. The mutex must be held.
 func (core *core) addWork(now clock.Millis, delta *peers.Delta, target topology.Target, sent *sentState) {
 	switch target.Scope {
 	case topology.Sums:
@@ -226,10 +228,10 @@
 func (core *core) unsentTables(now clock.Millis, target topology.Target, sent *sentState) []fleet.Table {
 	since := int64(0)
 	if target.Scope == topology.Sums {
-		since = sent.tablesAt // such a target is sent every table
+		since = sent.tableChange // the target was sent every table; for others sendsTable may change
 	}
 	changed, changes := core.fleet.TablesSince(since)
-	sent.tablesAt = changes
+	sent.tableChange = changes
 	var unsent []fleet.Table
 	for _, table := range changed {
 		version := tableVersion(table)
@@ -251,7 +253,7 @@
 	return scope == topology.Group && (!known || core.inGroup(owner))
 }
 
-// inGroup reports whether this daemon is the hub of another daemon. The mutex must be held.
+// inGroup reports whether another daemon has chosen this one as its hub. The mutex must be held.
 func (core *core) inGroup(name string) bool {
 	peer, ok := core.members.Peer(name)
 	return ok && peer.Hub == core.settings.Name
@@ -301,7 +303,7 @@
 		core.applyPeerWork(now, from, delta.Loads)
 	}
 	gateway.applyTables(sent, delta.Tables)
-	core.applyReported(delta.Reported)
+	core.applyReports(delta.Reported)
 	if delta.Owners != nil && from == core.hub {
 		core.owners = delta.Owners.By
 		if !core.members.Role().SendsOrders() {
@@ -319,8 +321,8 @@
 	}
 }
 
-// applyTables applies servers' tables from a peer, and records that the peer knows them. The
-// mutex must be held.
+// applyTables applies servers' tables from a peer, records that the peer has them, and sends new
+// ones to the peers that wait for them. The mutex must be held.
 func (gateway *Gateway) applyTables(sent *sentState, tables []fleet.Table) {
 	core := gateway.core
 	changed := false
@@ -350,12 +352,12 @@
 	}
 }
 
-// countUses passes uses of adapters through other daemons to the planners. The mutex must be
-// held.
+// countUses reports to the planners the uses of adapters by requests of other daemons. The mutex
+// must be held.
 func (core *core) countUses(now clock.Millis, uses map[inflight.Use]int) {
-	for use, more := range uses {
+	for use, count := range uses {
 		if worker, ok := core.orderWorkers[use.Server]; ok {
-			worker.planner.RecordUse(now, use.Adapter, more)
+			worker.planner.RecordUse(now, use.Adapter, count)
 		}
 	}
 }
@@ -369,8 +371,8 @@
 	if !core.applyStoreItems(received.StoreItems) {
 		return
 	}
-	core.store.coveredAt = max(core.store.coveredAt, now-received.Age)
-	core.store.readerHeardAt = now
+	core.store.readerReadAt = max(core.store.readerReadAt, now-received.Age)
+	core.store.readerUpdateAt = now
 }
 
 // NextTurn implements mirror.Sink.
@@ -380,10 +382,10 @@
 	now := core.now()
 	reads := core.options.Mirror.ShouldRead(mirror.ReaderState{
 		ReadsForOthers: core.members.Plan().ReadsStore, HasData: core.store.revision > 0, HasHub: core.hub != "",
-		HubReadAge: now - core.store.coveredAt, HubSilence: now - core.store.readerHeardAt, LastCallFailed: core.store.lostAt > 0, SinceLastCall: now - core.store.triedAt,
+		HubReadAge: now - core.store.readerReadAt, HubSilence: now - core.store.readerUpdateAt, LastCallFailed: core.store.failingSince > 0, SinceLastCall: now - core.store.calledAt,
 	})
 	if reads {
-		core.store.triedAt = now
+		core.store.calledAt = now
 	}
 	return reads, mirror.Position{Era: core.store.era, Revision: core.store.revision}
 }
--- a/internal/direct/gateway/dispatch.go
+++ b/internal/direct/gateway/dispatch.go
@@ -21,8 +21,8 @@
 type tryResult struct {
 	done        bool          // the caller has its answer or has disconnected
 	retry       bool          // another try is allowed
-	status      int           // to answer with if there is no other try
-	reason      ending.Reason // to report if there is no other try
+	status      int           // sent to the caller if there is no other try
+	reason      ending.Reason // of the request's end if there is no other try
 	needsBudget bool          // another try counts against the retry budget
 }
 
@@ -59,7 +59,7 @@
 	panic(http.ErrAbortHandler) // prevents an aborted answer from looking complete
 }
 
-// takeRetryBudget takes one retry from the service's budget, and reports whether there was one.
+// takeRetryBudget takes one retry from the service's budget, and reports whether one was left.
 func (gateway *Gateway) takeRetryBudget(job *job) bool {
 	core := gateway.core
 	core.mutex.Lock()
@@ -113,8 +113,8 @@
 // it, only the request's own deadline applies: with two timers that expire within a millisecond
 // of each other, the try's could fire first, and a late answer would be recorded as a lost one.
 func (job *job) tryContext(ctx context.Context, left clock.Millis) (context.Context, context.CancelFunc) {
-	if span := job.tryTime(left); span < left {
-		return context.WithTimeout(ctx, span.Duration())
+	if timeout := job.tryTime(left); timeout < left {
+		return context.WithTimeout(ctx, timeout.Duration())
 	}
 	return context.WithCancel(ctx)
 }
@@ -125,14 +125,14 @@
 
 // forwardedRequest returns the request as it is sent to a server.
 func (gateway *Gateway) forwardedRequest(ctx context.Context, job *job, to assignment, left clock.Millis) *http.Request {
-	sending := platformapi.ForwardHeaders{Server: to.server.ID, TimeLeft: left, Version: to.version, Urgency: -1, LastEventID: job.lastEventID}
+	added := platformapi.ForwardHeaders{Server: to.server.ID, TimeLeft: left, Version: to.version, Urgency: -1, LastEventID: job.lastEventID}
 	if job.engine {
-		sending.Urgency = min(urgencyBase+job.rank, 9)
+		added.Urgency = min(urgencyBase+job.rank, 9)
 	}
-	sending.AccountsListed, sending.Account = job.accountsListed, job.account.Name
+	added.AccountsListed, added.Account = job.accountsListed, job.account.Name
 	request := &http.Request{
 		Method: job.incoming.Method, URL: &url.URL{Opaque: job.incoming.RequestURI}, Host: job.incoming.Host,
-		Header: gateway.protocol.ForwardedHeader(job.incoming.Header, sending), ContentLength: int64(len(job.body)),
+		Header: gateway.protocol.ForwardedHeader(job.incoming.Header, added), ContentLength: int64(len(job.body)),
 	}
 	if len(job.body) > 0 {
 		request.Body = io.NopCloser(bytes.NewReader(job.body))
@@ -140,13 +140,13 @@
 	return request.WithContext(ctx)
 }
 
-// answerMatcher accepts an answer that carries this request's attempt, and an unsigned answer
-// without one if it is the first on its connection, so that it cannot belong to another
-// request.
+// answerMatcher returns a function that reports whether an answer belongs to a request: it
+// carries the id of the request's attempt, or it is unsigned, carries no id and is the first
+// answer on its connection, so that it cannot belong to another request.
 func (gateway *Gateway) answerMatcher(job *job) upstream.Matches {
 	return func(response *http.Response, first bool) bool {
-		reply := gateway.protocol.ParseAnswer(response)
-		return reply.Attempt == job.headers.Attempt || reply.Attempt == "" && first && !reply.Signed
+		headers := gateway.protocol.ParseAnswer(response)
+		return headers.Attempt == job.headers.Attempt || headers.Attempt == "" && first && !headers.Signed
 	}
 }
 
@@ -191,17 +191,17 @@
 
 // handleAnswer evaluates the head of an answer, and passes the answer on.
 func (gateway *Gateway) handleAnswer(ctx context.Context, writer http.ResponseWriter, job *job, to assignment, active *activeRequest, answer *upstream.Answer) tryResult {
-	reply := gateway.protocol.ParseAnswer(answer.Response)
-	gateway.handleLimit(to, answer.StatusCode, reply)
-	gateway.handleLeaving(to.server, reply.Leaving, "request "+job.headers.Attempt)
-	gateway.core.recordPause(to.server.ID, reply.Pause)
-	if reply.NotRun {
+	headers := gateway.protocol.ParseAnswer(answer.Response)
+	gateway.handleLimit(to, answer.StatusCode, headers)
+	gateway.handleLeaving(to.server, headers.Leaving, "request "+job.headers.Attempt)
+	gateway.core.recordPause(to.server.ID, headers.Pause)
+	if headers.NotRun {
 		gateway.drain(answer)
-		return gateway.handleNotRun(job, to, answer.StatusCode, reply)
+		return gateway.handleNotRun(job, to, answer.StatusCode, headers)
 	}
 	success := answer.StatusCode/100 == 2
 	job.mayHaveRun++
-	if success && (!reply.Signed || answer.Header.Get("Content-Encoding") != "") {
+	if success && (!headers.Signed || answer.Header.Get("Content-Encoding") != "") {
 		answer.Close(false)
 		gateway.recordOutcome(to, true)
 		job.triedServers = append(job.triedServers, to.server.ID)
@@ -230,14 +230,14 @@
 	core.fleet.RecordAnswer(core.now(), to.server.ID, failed)
 }
 
-// handleNotRun decides how to go on with a request that a server says it did not run.
-func (gateway *Gateway) handleNotRun(job *job, to assignment, status int, reply platformapi.AnswerHeaders) tryResult {
-	gateway.log.Info(ending.MessageServerDeclined, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", status, "Absent", reply.Absent, "RestMillis", reply.Pause)
+// handleNotRun decides how to go on with a request that a server states it did not run.
+func (gateway *Gateway) handleNotRun(job *job, to assignment, status int, headers platformapi.AnswerHeaders) tryResult {
+	gateway.log.Info(ending.MessageServerDeclined, "Request", job.headers.Attempt, "Server", to.server.ID, "Status", status, "Absent", headers.Absent, "RestMillis", headers.Pause)
 	core := gateway.core
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	now := core.now()
-	if reply.Absent && job.engine {
+	if headers.Absent && job.engine {
 		gateway.handleMissingAdapter(now, job, to)
 	} else {
 		core.fleet.RecordAnswer(now, to.server.ID, true)
@@ -246,8 +246,9 @@
 	return tryResult{retry: true, needsBudget: true, status: http.StatusServiceUnavailable, reason: ending.TriesUsed}
 }
 
-// handleMissingAdapter records that a server lacks an adapter that it was believed to hold, and
-// requests a load from its owner. The mutex must be held.
+// handleMissingAdapter records that a server lacks an adapter that this daemon expected there,
+// and requests it from the server's owner. Without a known owner, the request is not sent to
+// this server again. The mutex must be held.
 func (gateway *Gateway) handleMissingAdapter(now clock.Millis, job *job, to assignment) {
 	core := gateway.core
 	core.fleet.MarkMissing(to.server.ID, job.adapter)
--- a/internal/direct/gateway/era.go
+++ b/internal/direct/gateway/era.go
@@ -5,10 +5,10 @@
 	"teaselmoor/internal/direct/platformapi"
 )
 
-// enterEra prepares for items of a store era, and reports whether they are to be applied. Items
-// of an earlier era are not. A later era must begin with a listing of all items: the store's
-// revisions went back, so the known revision does not tell which items are missing. The mutex
-// must be held.
+// enterEra prepares for items of a store era, and reports whether they are to be applied; whole
+// states that they are all items of the store. Items of an earlier era are not applied. A later
+// era must begin with a listing of all items: the store's revisions went back, so the known
+// revision does not show which items are missing. The mutex must be held.
 func (core *core) enterEra(era int64, whole bool) bool {
 	switch {
 	case era == core.store.era:
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -76,7 +76,7 @@
 	}
 	if update.Claimed && update.Role.SendsOrders() {
 		core.claims.ApplyHeartbeat(now, claims.Heartbeat{
-			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, Orderers: update.Orderers,
+			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, OrderSenders: update.OrderSenders,
 			Idle: update.Role != topology.Candidate,
 		})
 	}
@@ -90,7 +90,7 @@
 	return true
 }
 
-// handlePull sends store items to a peer that cannot read the store.
+// handlePull sends a peer that cannot read the store the items that it lacks, if there are any.
 func (gateway *Gateway) handlePull(from string, pull peers.Pull) {
 	core := gateway.core
 	core.mutex.Lock()
@@ -157,7 +157,7 @@
 	if changed {
 		gateway.sendUpdate(now, gateway.network.ConnectedAddresses())
 	}
-	gateway.sendWarnings() // includes newly connected peers
+	gateway.sendWarnings() // also to newly connected peers
 	gateway.readUnknownHoldings(now)
 	gateway.updateClaims(now)
 	if address != "" {
@@ -165,16 +165,17 @@
 	}
 }
 
-// pullDelay is how long the store must be unreachable before peers are asked for its items. It
-// is longer than reconnecting a watch takes.
+// pullDelay is how long the store must be unreachable before its items are requested from a
+// peer. It is longer than reconnecting a watch takes.
 const pullDelay = 700 * clock.Millisecond
 
-// choosePullPeer selects the peer that knows most of the store, if this daemon cannot read the
-// store itself. The mutex must be held.
+// choosePullPeer returns a request for store items, and the address of the live peer that has
+// the newest ones. The address is empty if this daemon can read the store itself, or if no peer
+// has newer items. The mutex must be held.
 func (core *core) choosePullPeer(now clock.Millis) (peers.Pull, string) {
 	pull := peers.Pull{After: core.store.revision, Era: core.store.era}
-	behind := core.store.lostAt > 0 && now-core.store.lostAt >= pullDelay || pull.After == 0
-	if !behind {
+	needed := core.store.failingSince > 0 && now-core.store.failingSince >= pullDelay || pull.After == 0
+	if !needed {
 		return peers.Pull{}, ""
 	}
 	address, newest := "", versionStamp{pull.Era, pull.After}
--- a/internal/direct/gateway/group.go
+++ b/internal/direct/gateway/group.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// updateOwners records, on a hub, the owner of each server and the load rates learned from the
-// weight store. The mutex must be held.
+// updateOwners records, on a hub, the owner of each server and the rates of loads from the
+// weight store, as they are sent to other daemons. The mutex must be held.
 func (core *core) updateOwners(now clock.Millis) {
 	if core.members.Plan().Mesh || core.hub != "" {
 		return
@@ -106,23 +106,23 @@
 // unsentReports returns the holdings from servers' own reports that a target has not been sent.
 // They are used for servers without an owner's table. The mutex must be held.
 func (core *core) unsentReports(sent *sentState) []peers.ServerReport {
-	if sent.reports == core.fleet.ReportCount() {
+	if sent.reportCount == core.fleet.ReportCount() {
 		return nil
 	}
-	sent.reports = core.fleet.ReportCount()
+	sent.reportCount = core.fleet.ReportCount()
 	var unsent []peers.ServerReport
 	for _, member := range core.fleet.Members() {
 		startedAt, holdings, ok := member.Reported()
-		if ok && sent.reported[member.ID] < startedAt {
-			sent.reported[member.ID] = startedAt
+		if ok && sent.reportedStarts[member.ID] < startedAt {
+			sent.reportedStarts[member.ID] = startedAt
 			unsent = append(unsent, peers.ServerReport{Server: member.ID, Born: startedAt, Holdings: holdings})
 		}
 	}
 	return unsent
 }
 
-// applyReported applies holdings from servers' own reports. The mutex must be held.
-func (core *core) applyReported(reports []peers.ServerReport) {
+// applyReports applies holdings from servers' own reports. The mutex must be held.
+func (core *core) applyReports(reports []peers.ServerReport) {
 	for _, reported := range reports {
 		core.fleet.SetReport(reported.Server, reported.Born, reported.Holdings)
 	}
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -21,7 +21,7 @@
 	incoming       *http.Request
 	body           []byte
 	content        content.ID
-	config         int64 // version of the configuration that the request is served with
+	configVersion  int64 // version of the configuration that the request is served with
 	route          *catalog.Route
 	service        string
 	engine         bool
@@ -33,7 +33,7 @@
 	adapterHash    uint64
 	adapterSlots   int // of each server of the service
 	arrived        clock.Millis
-	deadline       clock.Millis // the earlier of the caller's and the route's
+	deadline       clock.Millis // by the caller's and the route's time limits, and maxTimeout
 
 	triedServers []string     // servers that are not tried again
 	mayHaveRun   int          // number of servers that may have run the request
@@ -41,12 +41,11 @@
 	waited       clock.Millis // total wait for an adapter or for other prompts
 	holdTime     clock.Millis // part of waited in which the engine was reading (prefilling) other prompts
 	headSent     bool         // the head of an answer has been sent to the caller
-	lastEventAt  clock.Millis // when the caller was last sent something; the arrival until then
+	lastEventAt  clock.Millis // when the caller was last sent something; initially the arrival
 	lastEventID  string       // of the last complete event sent to the caller
-	firstEventAt clock.Millis
-	// longestGap is the longest time between two events of the answer as they arrived.
-	longestGap clock.Millis
-	retryAfter clock.Millis // sent to a refused caller
+	firstEventAt clock.Millis // when the head of a streamed answer was sent; 0: not yet
+	longestGap   clock.Millis // longest time between two events of the answer as they arrived
+	retryAfter   clock.Millis // sent to a refused caller
 }
 
 // ServeHTTP serves a caller's request.
@@ -64,7 +63,7 @@
 		return
 	}
 	job, status, reason := gateway.accept(writer, request, config)
-	defer gateway.refundUnrun(job)
+	defer gateway.refundIfNotRun(job)
 	if status != 0 {
 		gateway.refuse(writer, job, status, reason)
 		return
@@ -72,12 +71,12 @@
 	gateway.dispatch(writer, job)
 }
 
-// accept finds the route of a request, admits the caller and reads the body. A status other
-// than 0 refuses the request.
+// accept finds the route of a request, admits the caller and reads the body. If the request is
+// refused, accept returns the status and reason to answer with; otherwise the status is 0.
 func (gateway *Gateway) accept(writer http.ResponseWriter, request *http.Request, config *catalog.Catalog) (*job, int, ending.Reason) {
 	core := gateway.core
 	now := core.now()
-	job := &job{incoming: request, arrived: now, lastEventAt: now, config: config.Version}
+	job := &job{incoming: request, arrived: now, lastEventAt: now, configVersion: config.Version}
 	headers, err := gateway.protocol.ParseRequest(request)
 	job.headers = headers
 	if err != nil || strings.HasPrefix(request.RequestURI, "//") {
@@ -126,21 +125,22 @@
 	return name
 }
 
-// defaultTimeout applies to a request whose caller and route set no time limit.
-const defaultTimeout = 60 * clock.Second
+// maxTimeout bounds the time that a request may take, whatever its caller and its route allow.
+// It is the only bound if they set no time limit.
+const maxTimeout = 60 * clock.Second
 
 func deadlineOf(job *job) clock.Millis {
-	span := defaultTimeout
+	timeout := maxTimeout
 	if job.headers.TimeLeft > 0 {
-		span = min(span, job.headers.TimeLeft)
+		timeout = min(timeout, job.headers.TimeLeft)
 	}
 	if job.route.Timeout > 0 {
-		span = min(span, job.route.Timeout)
+		timeout = min(timeout, job.route.Timeout)
 	}
-	return job.arrived + span
+	return job.arrived + timeout
 }
 
-// refuse answers a request that no server answers.
+// refuse answers a request with a status and a reason in place of a server's answer.
 func (gateway *Gateway) refuse(writer http.ResponseWriter, job *job, status int, reason ending.Reason) {
 	if ending.PromisesNotRun(status) && job.retryAfter == 0 {
 		job.retryAfter = gateway.options.RetryAfter
@@ -155,7 +155,7 @@
 	now := gateway.core.now()
 	line := []any{
 		"Request", job.headers.Attempt, "Status", status, "Reason", string(reason), "Millis", now - job.arrived,
-		"Offers", job.timesSent, "WaitedMillis", job.waited, "Config", job.config, "Daemon", gateway.settings.Name,
+		"Offers", job.timesSent, "WaitedMillis", job.waited, "Config", job.configVersion, "Daemon", gateway.settings.Name,
 	}
 	if job.retryAfter > 0 {
 		line = append(line, "RetryAfterMillis", job.retryAfter)
--- a/internal/direct/gateway/holdings.go
+++ b/internal/direct/gateway/holdings.go
@@ -9,17 +9,18 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// maxConcurrentReports bounds the number of reports that are read at a time. When a daemon of a
-// large site starts alone, it receives most tables from its peers before it would have read
-// them.
-const maxConcurrentReports = 16
+// maxReportsPerTick bounds the number of reports that one call of readUnknownHoldings starts to
+// read. When a single daemon of a large site starts, it receives most tables from its peers
+// before it would have read the reports.
+const maxReportsPerTick = 16
 
 // reportRetryInterval is the wait before a report that could not be read is read again.
 const reportRetryInterval = clock.Second
 
-// readUnknownHoldings reads the reports of servers whose holdings nobody has sent yet. Only
-// orders need a claim; any daemon may read what a server holds. Otherwise, after a loss of all
-// daemons, the adapters on a server would stay unknown until the server is claimed and read.
+// readUnknownHoldings reads the reports of servers whose holdings no peer has sent yet. Sending
+// orders to a server requires a claim, reading its report does not: otherwise, after a loss of
+// all daemons, the adapters on a server would stay unknown until an owner has claimed it and
+// read its report.
 func (gateway *Gateway) readUnknownHoldings(now clock.Millis) {
 	core := gateway.core
 	core.mutex.Lock()
@@ -39,15 +40,15 @@
 	if core.catalog == nil || !core.mayReadReports(now) {
 		return nil
 	}
-	var unread []*fleet.Member
+	var unknown []*fleet.Member
 	for _, member := range core.fleet.Members() {
 		lastRequest, ok := core.reportRequestedAt[member.ID]
 		due := core.isEngine(member.Service) && member.HoldingsUnknown() && (!ok || now-lastRequest >= reportRetryInterval)
-		if due && !member.Suspect(now) && member.PausedFor(now) == 0 && len(unread) < maxConcurrentReports {
-			unread = append(unread, member)
+		if due && !member.Suspect(now) && member.PausedFor(now) == 0 && len(unknown) < maxReportsPerTick {
+			unknown = append(unknown, member)
 		}
 	}
-	return unread
+	return unknown
 }
 
 // soloReportDelay is how long a daemon waits for other daemons, or for a hub, before it reads
@@ -75,7 +76,7 @@
 // together would each read all reports.
 const meshReportDelay = 300 * clock.Millisecond
 
-// readHoldings reads the report of a server that nobody has sent holdings of.
+// readHoldings reads a server's report and applies the holdings in it.
 func (gateway *Gateway) readHoldings(ctx context.Context, target platformapi.Server) {
 	report, err := gateway.servers.ReadReport(ctx, target)
 	target.StartedAt = max(report.StartedAt, target.StartedAt)
--- a/internal/direct/gateway/leaving.go
+++ b/internal/direct/gateway/leaving.go
@@ -7,24 +7,25 @@
 	"teaselmoor/internal/direct/platformapi"
 )
 
-// handleLeaving checks whether an answer says that its server is leaving, and notifies peers:
-// the store may show that late, when the server is already gone. The parameter answered names
+// handleLeaving records and forwards to peers that a server is leaving, if its answer says so:
+// the store may show it only when the server has already ended. The answered parameter names
 // what the answer belongs to.
 func (gateway *Gateway) handleLeaving(server platformapi.Server, leaving bool, answered string) {
-	if leaving && gateway.core.markLeavingByReply(server, answered) {
+	if leaving && gateway.core.markLeavingFromAnswer(server, answered) {
 		gateway.sendWarnings()
 	}
 }
 
-// markLeavingByReply records that a server is leaving, and reports whether that is new.
-func (core *core) markLeavingByReply(server platformapi.Server, answered string) bool {
+// markLeavingFromAnswer records that a server is leaving according to its answer, and reports
+// whether that is new.
+func (core *core) markLeavingFromAnswer(server platformapi.Server, answered string) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.markLeaving(core.now(), fleet.DrainNotice{Server: server.ID, StartedAt: server.StartedAt}, answered)
 }
 
-// markLeaving records a server's notice that it is leaving, and reports whether that is new; by
-// names the source of the notice. The mutex must be held.
+// markLeaving records a server's notice that it is leaving, and reports whether that is new. The
+// by parameter names the source of the notice. The mutex must be held.
 func (core *core) markLeaving(now clock.Millis, notice fleet.DrainNotice, by string) bool {
 	if !core.fleet.ApplyDrainNotice(now, notice) {
 		return false
--- a/internal/direct/gateway/losses.go
+++ b/internal/direct/gateway/losses.go
@@ -13,8 +13,8 @@
 	"teaselmoor/internal/direct/upstream"
 )
 
-// probeDelay is the time between a lost request and the probe of its server. Requests lost
-// together with it are then known too.
+// probeDelay is the time between the loss of a request and the probe of its server. Other
+// requests lost at the same time are recorded by then.
 const probeDelay = 20 * clock.Millisecond
 
 // A probe may be inconclusive if packets are lost or a link is cut. It is repeated for some
@@ -31,26 +31,26 @@
 // maxEarlierLosses bounds the losses that are kept of one server.
 const maxEarlierLosses = 256
 
-// lostAtServer holds requests that were recently lost at one server.
-type lostAtServer struct {
-	unprobed []content.ID // lost since the last probe
+// serverLosses holds requests that were recently lost at one server.
+type serverLosses struct {
+	unprobed []content.ID // lost since the last probe ended
 	earlier  []content.ID // lost before a probe that was accepted or inconclusive
 	lastAt   clock.Millis // time of the last loss
 	probing  bool         // a probe of the server is running
 }
 
 // add records a lost request.
-func (lostAtServer *lostAtServer) add(now clock.Millis, id content.ID) {
-	lostAtServer.lastAt = now
-	lostAtServer.unprobed = append(lostAtServer.unprobed, id)
+func (serverLosses *serverLosses) add(now clock.Millis, id content.ID) {
+	serverLosses.lastAt = now
+	serverLosses.unprobed = append(serverLosses.unprobed, id)
 }
 
 // keepAsEarlier keeps the losses after a probe that did not show that the server has ended.
-func (lostAtServer *lostAtServer) keepAsEarlier() {
-	lostAtServer.earlier = append(lostAtServer.earlier, lostAtServer.unprobed...)
-	lostAtServer.earlier = lostAtServer.earlier[max(0, len(lostAtServer.earlier)-maxEarlierLosses):]
-	lostAtServer.unprobed = nil
-	lostAtServer.probing = false
+func (serverLosses *serverLosses) keepAsEarlier() {
+	serverLosses.earlier = append(serverLosses.earlier, serverLosses.unprobed...)
+	serverLosses.earlier = serverLosses.earlier[max(0, len(serverLosses.earlier)-maxEarlierLosses):]
+	serverLosses.unprobed = nil
+	serverLosses.probing = false
 }
 
 // recordLoss records that a server closed the connection before its answer was complete, and
@@ -64,7 +64,7 @@
 	defer core.mutex.Unlock()
 	lost, ok := core.lostRequests[server.ID]
 	if !ok {
-		lost = &lostAtServer{}
+		lost = &serverLosses{}
 		core.lostRequests[server.ID] = lost
 	}
 	lost.add(core.now(), job.content)
@@ -103,16 +103,16 @@
 	core.handleServerEnd(server, lost.unprobed)
 }
 
-// handleRestart records that a server has restarted without announcing that it would leave. The
-// mutex must be held.
+// handleRestart records the requests that were lost at a server that has restarted without
+// announcing that it would leave. The mutex must be held.
 func (core *core) handleRestart(server platformapi.Server) {
 	if lost, ok := core.lostRequests[server.ID]; ok {
 		core.handleServerEnd(server, append(lost.earlier, lost.unprobed...))
 	}
 }
 
-// handleServerEnd records the requests that were lost when a server ended. The mutex must be
-// held.
+// handleServerEnd records in the quarantine which contents were lost when a server ended. The
+// mutex must be held.
 func (core *core) handleServerEnd(server platformapi.Server, lost []content.ID) {
 	now := core.now()
 	delete(core.lostRequests, server.ID)
@@ -130,10 +130,11 @@
 
 // pruneLosses removes losses at servers that have not ended. The mutex must be held.
 func (core *core) pruneLosses(now clock.Millis) {
-	maps.DeleteFunc(core.lostRequests, func(_ string, lost *lostAtServer) bool { return !lost.probing && now-lost.lastAt >= lossRetention })
+	maps.DeleteFunc(core.lostRequests, func(_ string, lost *serverLosses) bool { return !lost.probing && now-lost.lastAt >= lossRetention })
 }
 
-// hasEnded reports whether the address of a server refuses connections.
+// hasEnded reports whether the address of a server refuses connections. It repeats a check that
+// is inconclusive.
 func (gateway *Gateway) hasEnded(ctx context.Context, server platformapi.Server) bool {
 	pause := probeDelay
 	for range probeTries {
@@ -142,8 +143,8 @@
 			return false
 		case <-time.After(pause.Duration()):
 		}
-		if shown := gateway.pool.Check(ctx, server.Address); shown != upstream.Unknown {
-			return shown == upstream.ConnectionRefused
+		if result := gateway.pool.Check(ctx, server.Address); result != upstream.Unknown {
+			return result == upstream.ConnectionRefused
 		}
 		pause = probeRetryInterval
 	}
--- a/internal/direct/gateway/metrics.go
+++ b/internal/direct/gateway/metrics.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// writeUse writes an account's use of its limit. Account names come from the configuration.
+// writeUse writes an account's use of its limit. Account names come from the configuration, not
+// from callers.
 func writeUse(out io.Writer, status quota.Status) {
 	for _, each := range []gauge{
 		{"teaselmoor_account_rate", status.Rate}, {"teaselmoor_account_limit", status.Limit}, {"teaselmoor_account_left", status.Left},
@@ -67,14 +68,14 @@
 	if core.catalog != nil {
 		version = core.catalog.Version
 	}
-	lost := clock.Millis(0)
-	if core.store.lostAt > 0 {
-		lost = now - core.store.lostAt
+	unreachable := clock.Millis(0)
+	if core.store.failingSince > 0 {
+		unreachable = now - core.store.failingSince
 	}
 	loading, queued := core.incomingAdapters()
-	own := 0
+	inProgress := 0
 	for _, load := range core.work.Own().Loads {
-		own += load.Runs
+		inProgress += load.Runs
 	}
 	return []gauge{
 		{"teaselmoor_servers_limited", float64(core.serverLimits.Limited())},
@@ -82,13 +83,13 @@
 		{"teaselmoor_contents_refused", float64(core.quarantine.RefusedCount(now))},
 		{"teaselmoor_config_version", float64(version)},
 		{"teaselmoor_store_revision", float64(core.store.revision)},
-		{"teaselmoor_store_away_millis", float64(lost)},
+		{"teaselmoor_store_away_millis", float64(unreachable)},
 		{"teaselmoor_peers", float64(len(core.members.Peers()))},
 		{"teaselmoor_servers", float64(len(core.fleet.Members()))},
 		{"teaselmoor_servers_ordered", float64(len(core.orderWorkers))},
 		{"teaselmoor_adapters_loading", float64(loading)},
 		{"teaselmoor_adapters_queued", float64(queued)},
-		{"teaselmoor_requests_in_progress", float64(own)},
+		{"teaselmoor_requests_in_progress", float64(inProgress)},
 		{"teaselmoor_orders_total", float64(core.ordersSent)},
 		{"teaselmoor_limit_daemons_counted", float64(core.ledger.Site().Reached)},
 	}
--- a/internal/direct/gateway/models.go
+++ b/internal/direct/gateway/models.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// turnsOf returns the turns for loading base models on a service's servers. The mutex must be
-// held.
+// turnsOf returns the record of the base model loads on a service's servers, which decides when
+// the next one may start. The mutex must be held.
 func (core *core) turnsOf(service string) *loading.Turns {
 	turns, ok := core.modelTurns[service]
 	if !ok {
--- a/internal/direct/gateway/orders.go
+++ b/internal/direct/gateway/orders.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// claimServers updates claims, and reports whether any server was newly claimed.
+// claimServers updates claims and the workers that send orders, and reports whether any server
+// was newly claimed.
 func (gateway *Gateway) claimServers(now clock.Millis) bool {
 	core := gateway.core
 	core.mutex.Lock()
@@ -47,15 +48,15 @@
 			servers = append(servers, member.ID)
 		}
 	}
-	taken := core.claims.Claim(now, servers)
-	for _, server := range taken {
+	claimed := core.claims.Claim(now, servers)
+	for _, server := range claimed {
 		gateway.startOrderWorker(server)
 	}
-	return len(taken) > 0
+	return len(claimed) > 0
 }
 
-// dropOrderWorkers stops the workers of servers that are gone or that another daemon has
-// claimed. The mutex must be held.
+// dropOrderWorkers stops the workers of servers that are no longer known or that this daemon no
+// longer claims. The mutex must be held.
 func (core *core) dropOrderWorkers() {
 	for server, worker := range core.orderWorkers {
 		_, claimed := core.claims.Holds(server)
@@ -90,7 +91,8 @@
 	gateway.tasks.Go("orders "+server, func(context.Context) error { return gateway.runOrderWorker(ctx, server, worker) })
 }
 
-// engineLimits returns what a server of a service can hold.
+// engineLimits returns how much a server of a service can hold, and the sizes and load times of
+// its models.
 func engineLimits(service *catalog.Service) loading.Limits {
 	limits := loading.Limits{
 		ModelMB: make(map[string]float64), AdapterMB: make(map[string]float64), ModelTime: make(map[string]clock.Millis),
@@ -108,7 +110,8 @@
 	return limits
 }
 
-// idleCheckInterval is how often a worker that may not send orders checks whether it may again.
+// idleCheckInterval is how often a worker that may not send orders checks whether it may again,
+// and how long it waits after a report that could not be read.
 const idleCheckInterval = 100 * clock.Millisecond
 
 // runOrderWorker sends a server its orders, one at a time, until the context ends.
@@ -129,8 +132,8 @@
 	return nil
 }
 
-// orderOnce reads the server's report or sends an order if one is due. It returns the time to
-// wait before the next call.
+// orderOnce reads the server's report if it is needed, or else sends an order if one is due. It
+// returns the time to wait before the next call.
 func (gateway *Gateway) orderOnce(ctx context.Context, server string, worker *orderWorker) clock.Millis {
 	core := gateway.core
 	core.mutex.Lock()
@@ -218,7 +221,8 @@
 	return loading.Traffic{InFlight: inFlight, Servers: core.engineCount()}
 }
 
-// engineCount is the number of servers that adapters are loaded on. The mutex must be held.
+// engineCount is the number of servers with an owner's table, on which adapters are loaded. The
+// mutex must be held.
 func (core *core) engineCount() int {
 	return len(core.fleet.Tables())
 }
@@ -240,7 +244,8 @@
 	}
 }
 
-// readReport reads what a server holds before it is sent orders.
+// readReport reads what a server holds, which its planner needs before it sends orders. It
+// returns the time to wait before the next call of orderOnce.
 func (gateway *Gateway) readReport(ctx context.Context, target platformapi.Server, worker *orderWorker) clock.Millis {
 	report, err := gateway.servers.ReadReport(ctx, target)
 	target.StartedAt = max(report.StartedAt, target.StartedAt)
--- a/internal/direct/gateway/rest.go
+++ b/internal/direct/gateway/pause.go
@@ -5,16 +5,16 @@
 	"teaselmoor/internal/direct/ending"
 )
 
-// recordPause records that a server wants no requests from this daemon for a while, and has the
-// requests that wait there placed again.
-func (core *core) recordPause(server string, rest clock.Millis) {
-	if rest == 0 {
+// recordPause records that a server asked this daemon to send no requests for a while, and wakes
+// the requests that wait there, so that they are placed again.
+func (core *core) recordPause(server string, pause clock.Millis) {
+	if pause == 0 {
 		return
 	}
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.fleet.Pause(server, core.now()+rest)
-	core.log.Info(ending.MessageServerPaused, "Server", server, "Millis", rest)
+	core.fleet.Pause(server, core.now()+pause)
+	core.log.Info(ending.MessageServerPaused, "Server", server, "Millis", pause)
 	core.wakeWaitingRequests()
 }
 
@@ -32,8 +32,8 @@
 	return first
 }
 
-// pausedServers is the number of servers that want no requests from this daemon now. The mutex
-// must be held.
+// pausedServers is the number of servers that asked this daemon to send no requests now. The
+// mutex must be held.
 func (core *core) pausedServers(now clock.Millis) int {
 	count := 0
 	for _, member := range core.fleet.Members() {
--- a/internal/direct/gateway/place.go
+++ b/internal/direct/gateway/place.go
@@ -86,8 +86,9 @@
 	core.markWorkChanged()
 }
 
-// place chooses a server for a request, and waits for the adapter if the server does not hold
-// it.
+// place chooses a server for a request. It waits for the adapter if the server does not hold it,
+// and for prompts that the server is still reading. If the request cannot be placed, place
+// returns the result of the try instead.
 func (gateway *Gateway) place(ctx context.Context, job *job) (assignment, *tryResult) {
 	core := gateway.core
 	core.mutex.Lock()
@@ -169,7 +170,7 @@
 }
 
 // query returns the inputs for choosing a server; waiting is the server at which the request
-// waits already. The mutex must be held.
+// already waits, if any. The mutex must be held.
 func (core *core) query(now clock.Millis, job *job, waiting string, frequent bool) choose.Query {
 	return choose.Query{
 		Now:          now,
@@ -214,7 +215,8 @@
 // copyRequestLifetime is how long a request for a copy stays valid: a few load times.
 const copyRequestLifetime = 1 * clock.Second
 
-// requestCopy requests a further copy of an adapter. The mutex must be held.
+// requestCopy requests a further copy of a request's adapter, unless the weight store is busy.
+// The mutex must be held.
 func (gateway *Gateway) requestCopy(job *job, server *fleet.Member, now clock.Millis) {
 	if gateway.storeBusy() {
 		return
@@ -234,8 +236,8 @@
 	gateway.sendAdapterRequest(owner, request)
 }
 
-// waitForChange releases the mutex until holdings change, the time is over or the context ends.
-// The mutex must be held.
+// waitForChange releases the mutex until holdings change, the timeout expires or the context
+// ends. The mutex must be held.
 func (gateway *Gateway) waitForChange(ctx context.Context, timeout clock.Millis) {
 	core := gateway.core
 	changed := core.holdingsChanged
--- a/internal/direct/gateway/quarantine.go
+++ b/internal/direct/gateway/quarantine.go
@@ -21,7 +21,8 @@
 	return &tryResult{status: http.StatusServiceUnavailable, reason: ending.Quarantined}
 }
 
-// recordSuccess records that a server has answered a request completely and successfully.
+// recordSuccess records that a server has answered a request completely and successfully, which
+// ends the quarantine of its content.
 func (gateway *Gateway) recordSuccess(job *job, to assignment) {
 	core := gateway.core
 	core.mutex.Lock()
--- a/internal/direct/gateway/run.go
+++ b/internal/direct/gateway/run.go
@@ -186,8 +186,9 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// shutDown stops the daemon. It reports not ready, still accepts connections for LeaveSpan, and
-// ends once the requests in progress have. It releases its servers at once: the later their
+// shutDown stops the daemon once stop is closed. The daemon reports that it is not ready, still
+// accepts connections for LeaveSpan, and exits when the requests in progress have ended, or
+// shortly before the end of the grace period. It releases its servers at once: the later their
 // owners change, the more servers are without an owner while daemons are replaced one after
 // another.
 func (gateway *Gateway) shutDown(ctx context.Context, stop <-chan struct{}, callers *http.Server) error {
@@ -209,8 +210,8 @@
 	core.mutex.Lock()
 	grace := core.settings.Grace
 	core.mutex.Unlock()
-	rest := grace - gateway.options.LeaveSpan - gateway.options.ExitMargin
-	ctx, cancel := context.WithTimeout(ctx, rest.Duration())
+	remaining := grace - gateway.options.LeaveSpan - gateway.options.ExitMargin
+	ctx, cancel := context.WithTimeout(ctx, remaining.Duration())
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
 		gateway.log.Warn("requests cut off by the end of the grace span", "Error", err.Error())
--- a/internal/direct/gateway/settings.go
+++ b/internal/direct/gateway/settings.go
@@ -38,7 +38,7 @@
 	Capacity       int          // in thousandths of a core
 	Fenced         bool         // servers check the fencing numbers of orders
 	Lease          clock.Millis // time without orders before another daemon may send orders to a server
-	Grace          clock.Millis // time between the signal to stop and the kill
+	Grace          clock.Millis // time between the signal to stop and the kill of the process
 	Retry          retry.Limits
 	Quota          quota.Tolerance // how far accounts may exceed their limits
 }
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Changes returns the names of the settings that differ.
+// Changes returns the names of the settings that differ from those in after.
 func (settings Settings) Changes(after Settings) []string {
 	var changed []string
 	before, now := reflect.ValueOf(settings), reflect.ValueOf(after)
@@ -78,9 +78,9 @@
 }
 
 // Reload applies the settings that may change at run time: seeds, the retry budget, the
-// tolerance of accounts' limits and the grace span. It returns all changed settings, and those
+// tolerance of accounts' limits and the grace period. It returns all changed settings, and those
 // that need a restart.
-func (gateway *Gateway) Reload(after Settings) (changed, waiting []string) {
+func (gateway *Gateway) Reload(after Settings) (changed, needRestart []string) {
 	core := gateway.core
 	core.mutex.Lock()
 	before := core.settings
@@ -90,10 +90,10 @@
 		budget.SetLimits(after.Retry)
 	}
 	core.ledger.SetTolerance(after.Quota)
-	waiting = core.settings.Changes(after)
+	needRestart = core.settings.Changes(after)
 	core.mutex.Unlock()
 	gateway.updateConnections()
-	return before.Changes(after), waiting
+	return before.Changes(after), needRestart
 }
 
 // Options are the daemon's own limits and intervals.
@@ -135,17 +135,18 @@
 	// WantInterval is the time between two requests for the same adapter. It is requested again
 	// in case the owner of the server has changed.
 	WantInterval clock.Millis
-	// RetryAfter is the time after which a refused caller is told to retry.
+	// RetryAfter is the time that a refused caller is told to wait before it retries, unless the
+	// reason for the refusal implies another one.
 	RetryAfter clock.Millis
 	// AccountsAge is the age of the store's last answer, to this daemon or to the one that
 	// reads the store for it, from which on an unknown key may belong to a newer configuration.
 	AccountsAge clock.Millis
-	// MostSends bounds the number of servers that a request is sent to.
+	// MostSends bounds the number of times that a request is sent to a server.
 	MostSends int
 	// LeaveSpan is how long a stopping daemon still accepts connections. The platform's load
 	// balancer needs two checks, a second apart, to stop using it.
 	LeaveSpan clock.Millis
-	// ExitMargin is the part of the grace span that is left for the process to exit.
+	// ExitMargin is the part of the grace period that is left for the process to exit.
 	ExitMargin clock.Millis
 	// IdleTimeout is the time after which idle connections of callers are closed.
 	IdleTimeout clock.Millis
@@ -160,11 +161,11 @@
 	LoneDaemons int
 	// LogLines is the number of log lines that may be queued for writing.
 	LogLines int
-	// Dropped returns the number of dropped log lines; nil if nobody counts them.
+	// Dropped returns the number of dropped log lines; nil if they are not counted.
 	Dropped func() int64 `yaml:"-"`
 }
 
-// DefaultOptions returns the default options for the lease in the settings.
+// DefaultOptions returns the default options for the lease and the fencing in the settings.
 func DefaultOptions(settings Settings) Options {
 	return Options{
 		Fleet: fleet.DefaultOptions(), Weights: choose.DefaultWeights(), Hold: choose.DefaultDelayPolicy(), Loading: loading.DefaultOptions(),
--- a/internal/direct/gateway/store.go
+++ b/internal/direct/gateway/store.go
@@ -41,17 +41,17 @@
 	defer core.mutex.Unlock()
 	now := core.now()
 	if err == nil {
-		if core.store.lostAt > 0 {
-			core.log.Info("store reachable again", "AwayMillis", now-core.store.lostAt)
+		if core.store.failingSince > 0 {
+			core.log.Info("store reachable again", "AwayMillis", now-core.store.failingSince)
 		}
-		core.store.lostAt = 0
+		core.store.failingSince = 0
 		core.store.readAt = now
 		core.fleet.StoreAvailable(now)
 		return
 	}
-	if core.store.lostAt == 0 {
+	if core.store.failingSince == 0 {
 		core.log.Warn("store unreachable", "Error", err.Error())
-		core.store.lostAt = now
+		core.store.failingSince = now
 	}
 	core.fleet.StoreUnavailable(now)
 }
--- a/internal/direct/gateway/storecopy.go
+++ b/internal/direct/gateway/storecopy.go
@@ -10,14 +10,14 @@
 // storeCopy holds what this daemon has read of the store or received of it from peers. Items
 // are kept in the form in which they are sent to peers. All are of one era.
 type storeCopy struct {
-	items         map[string]peers.Item // including removed ones, with the revision of the removal
-	era           int64
-	revision      int64        // all changes up to it are known
-	lostAt        clock.Millis // since when calls have failed; 0: the last call was answered
-	readAt        clock.Millis // when the store last answered this daemon
-	triedAt       clock.Millis // when this daemon last called the store
-	readerHeardAt clock.Millis // when the peer that reads the store for this daemon was last heard from
-	coveredAt     clock.Millis // when the store last answered that peer
+	items          map[string]peers.Item // including removed ones, with the revision of the removal
+	era            int64
+	revision       int64        // all changes up to it are known
+	failingSince   clock.Millis // since when calls have failed; 0: the last call was answered
+	readAt         clock.Millis // when the store last answered this daemon
+	calledAt       clock.Millis // when this daemon last called the store
+	readerUpdateAt clock.Millis // when the peer that reads the store for this daemon was last sent a store update
+	readerReadAt   clock.Millis // when the store last answered that peer
 }
 
 func newStoreCopy() *storeCopy {
@@ -57,7 +57,7 @@
 }
 
 // startEra begins a later era of the store. Known items get revision 0, so that any item read
-// in the new era replaces them and they are not sent to peers before.
+// in the new era replaces them, and they are not sent to peers until then.
 func (storeCopy *storeCopy) startEra(era int64) {
 	storeCopy.era, storeCopy.revision = era, 0
 	for key, item := range storeCopy.items {
@@ -74,7 +74,8 @@
 // that lag further behind read the store themselves.
 const tombstoneRevisions = 20_000
 
-// pruneTombstones forgets items that were removed long ago. The mutex must be held.
+// pruneTombstones deletes the records of items that were removed long ago. The mutex must be
+// held.
 func (core *core) pruneTombstones() {
 	for key, item := range core.store.items {
 		if item.Deleted && item.Revision < core.store.revision-tombstoneRevisions {
--- a/internal/direct/gateway/sums.go
+++ b/internal/direct/gateway/sums.go
@@ -9,7 +9,7 @@
 )
 
 // unsentSums returns the aggregated counts that a daemon has not been sent, and the uses of
-// adapters by others on the servers that it owns. The mutex must be held.
+// adapters by other daemons on the servers that it owns. The mutex must be held.
 func (core *core) unsentSums(now clock.Millis, target string, sent *sentState) *peers.Sums {
 	sums := core.work.SumsExcept(target)
 	unsent := &peers.Sums{Whole: sent.sums == nil, Servers: changedSums(sent.sums, sums)}
@@ -84,8 +84,8 @@
 	}
 	core.work.ClearHubSums()
 	if peer, ok := core.members.Peer(hub); ok {
-		// A hub that had lost contact with this daemon has dropped its work, so it is sent
-		// again.
+		// The new hub may have lost contact with this daemon and dropped its work, so it is
+		// sent again.
 		delete(core.sentTo(peer.Address).snapshots, core.settings.Name)
 	}
 	if hub != "" {
--- a/internal/direct/gateway/unplaced.go
+++ b/internal/direct/gateway/unplaced.go
@@ -10,7 +10,8 @@
 	"teaselmoor/internal/direct/fleet"
 )
 
-// noServerResult returns the reason why no server can take a request. The mutex must be held.
+// noServerResult returns the result of a try for which no server can take the request, with the
+// reason for it. The mutex must be held.
 func (core *core) noServerResult(now clock.Millis, job *job) *tryResult {
 	result := &tryResult{status: http.StatusServiceUnavailable, reason: ending.NoServer}
 	for _, member := range core.fleet.Usable(job.service) {
@@ -40,7 +41,8 @@
 		"LoadingHere", loadingHere, "QueuedHere", queuedHere)
 }
 
-// waitEndedResult returns the reason why a request's wait for its adapter ended.
+// waitEndedResult returns the result of a try that stopped waiting for its adapter, with the
+// reason for it.
 func waitEndedResult(ctx context.Context, job *job) *tryResult {
 	if job.incoming.Context().Err() != nil {
 		return &tryResult{done: false, status: http.StatusServiceUnavailable, reason: ending.CallerLeft}
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -11,7 +11,7 @@
 
 // Daemons that claim servers send each other updates each UpdateInterval, and less often if
 // they are many, as the number of messages grows with the square of their number. 12 daemons
-// send 22 messages a second each, 30 send 29.
+// send 22 messages a second each (to 11 peers each 500 ms), 30 send 19 (to 29 peers each 1.5 s).
 const (
 	orderersPerIntervalStep = 12
 	maxIntervalFactor       = 4 // with an update each 2 s the servers of a daemon that died wait 1.5 s longer for an owner
@@ -24,13 +24,13 @@
 // updateIntervalFactor is the factor on UpdateInterval for updates to daemons that claim
 // servers. The mutex must be held.
 func (core *core) updateIntervalFactor() int {
-	orderers := len(core.members.Orderers()) + 1
+	orderers := len(core.members.OrderSenders()) + 1
 	return min((orderers+orderersPerIntervalStep-1)/orderersPerIntervalStep, maxIntervalFactor)
 }
 
 // audience determines the contents of an update, so that each variant is encoded only once.
 type audience struct {
-	wants  bool // this daemon wants the connection, rather than only accepting the peer's wish for it
+	wants  bool // this daemon needs the connection itself, rather than only the peer
 	claims bool // the peer claims servers, may soon do so, or has not reported its role
 }
 
@@ -54,7 +54,7 @@
 	}
 	peer, known := core.members.Peer(name)
 	return audience{
-		wants:  core.members.Wants(name) || core.seedAddresses[address],
+		wants:  core.members.WantsConnection(name) || core.seedAddresses[address],
 		claims: !known || peer.Role.SendsOrders() || core.members.InPlan(name),
 	}
 }
@@ -119,20 +119,20 @@
 // addUnsent adds the membership changes that a peer has not been sent, and reports whether
 // there are any. The mutex must be held.
 func (core *core) addUnsent(update *peers.Update, sent *sentState) bool {
-	orderers := core.members.Orderers()
+	orderers := core.members.OrderSenders()
 	if sent.orderers == nil || !slices.Equal(sent.orderers, orderers) {
 		sent.orderers = orderers
-		update.Orderers = orderers
+		update.OrderSenders = orderers
 	}
 	update.Members, sent.members = core.members.RecordsSince(sent.members)
-	return update.Orderers != nil || len(update.Members) > 0
+	return update.OrderSenders != nil || len(update.Members) > 0
 }
 
 // update returns an update without membership changes. The mutex must be held.
 func (core *core) update(now clock.Millis, audience audience) *peers.Update {
 	update := &peers.Update{Status: core.members.Status()}
 	update.Interval = core.updateInterval(audience)
-	update.Wants = audience.wants
+	update.WantsConnection = audience.wants
 	update.Era, update.Revision = core.store.era, core.store.revision
 	if core.catalog != nil {
 		update.Version = core.catalog.Version
@@ -174,8 +174,8 @@
 	return core.updateHub(now) || changed
 }
 
-// updateConnections keeps the connections that this daemon or its peers want, and closes the
-// others.
+// updateConnections opens and keeps the connections that this daemon or its peers need, and
+// closes the others.
 func (gateway *Gateway) updateConnections() {
 	core := gateway.core
 	core.mutex.Lock()
@@ -186,7 +186,7 @@
 	}
 	clear(core.seedAddresses)
 	if !core.hasJoinedGroup() {
-		// Seeds let daemons that know nothing of each other connect.
+		// Seeds let daemons connect that have not discovered each other.
 		for _, seed := range core.settings.Seeds {
 			if seed != core.settings.PeerAddress {
 				core.seedAddresses[seed] = true
--- a/internal/direct/gateway/usage.go
+++ b/internal/direct/gateway/usage.go
@@ -11,16 +11,15 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// usageReport records when a daemon last reported the use of accounts, and which daemons it
-// covers.
+// usageReport records when a daemon last reported the use of accounts, and for which daemons.
 type usageReport struct {
 	at      clock.Millis
 	scope   quota.Scope
-	daemons int // that the report covers
+	daemons int // number of daemons that the report covers
 }
 
 // usageInterval is the longest time between two reports on accounts; a daemon that sends none
-// is considered cut off. Reports are not part of the regular deltas, as a hub of a site with
+// is considered disconnected. Reports are not part of the regular deltas, as a hub of a site with
 // thousands of servers sends those less often.
 const usageInterval = 250 * clock.Millisecond
 
@@ -148,11 +147,11 @@
 		site.Daemons = core.options.LoneDaemons
 	}
 	for name, report := range core.usageReports {
-		cutOff := core.hub == "" && name == core.lastHub && report.scope == quota.Others
-		if !cutOff && !core.addsUpUsage(name, report.scope) {
+		lostHub := core.hub == "" && name == core.lastHub && report.scope == quota.Others
+		if !lostHub && !core.addsUpUsage(name, report.scope) {
 			continue
 		}
-		source := quota.Source{Live: !cutOff && now-report.at < quota.SourceTimeout, LastReportAt: report.at, Daemons: report.daemons}
+		source := quota.Source{Live: !lostHub && now-report.at < quota.SourceTimeout, LastReportAt: report.at, Daemons: report.daemons}
 		site.Sources[name] = source
 		if source.Live {
 			site.Reached += source.Daemons
@@ -165,14 +164,15 @@
 	return site
 }
 
-// updateLimitSite updates which daemons share the accounts' limits. The mutex must be held.
+// updateLimitSite updates which daemons share the accounts' limits, and removes unused accounts
+// and the reports of unknown daemons. The mutex must be held.
 func (core *core) updateLimitSite(now clock.Millis) {
 	if !core.ledger.Limited() {
 		return
 	}
 	core.ledger.SetSite(now, core.limitSite(now))
-	if now-core.limitsPrunedAt >= accountPruneInterval {
-		core.limitsPrunedAt = now
+	if now-core.accountsPrunedAt >= accountPruneInterval {
+		core.accountsPrunedAt = now
 		core.ledger.Prune(now)
 	}
 	maps.DeleteFunc(core.usageReports, func(name string, _ usageReport) bool {
--- a/internal/direct/gateway/warnings.go
+++ b/internal/direct/gateway/warnings.go
@@ -11,9 +11,9 @@
 	quarantine, limits, drainNotices int64
 }
 
-// afterReceiving returns what a peer has after it sent warnings that changed this daemon's
-// numbers from before to after. For each kind of which the peer had everything before, it has
-// everything after.
+// afterReceiving returns the record of a peer after its warnings have changed this daemon's
+// numbers from before to after. A peer that had every warning of a kind before still has every
+// one, as the new ones come from it.
 func (warningsSent warningsSent) afterReceiving(before, after warningsSent) warningsSent {
 	if warningsSent.quarantine == before.quarantine {
 		warningsSent.quarantine = after.quarantine
--- a/internal/direct/platformapi/port.go
+++ b/internal/direct/platformapi/port.go
@@ -1,6 +1,6 @@
-// Package platformapi defines the boundary between the gateway and the platform that it runs on: types
-// for what the platform sends and expects, independent of its formats, and the interfaces that
-// the code for a platform implements. It makes no decisions.
+// Package platformapi defines the boundary between the gateway and the platform that it runs on:
+// types for what the platform sends and expects, and the interfaces that the code for a platform
+// implements. It is independent of the platform's formats and makes no decisions.
 package platformapi
 
 import (
@@ -43,7 +43,7 @@
 	Version     int // required version of the adapter; 0: any
 	Urgency     int // 0 to 9, 0 is the most urgent; negative: the engine's default
 	LastEventID string
-	// AccountsListed reports that the configuration lists accounts. The caller's key is then not
+	// AccountsListed is true if the configuration lists accounts. The caller's key is then not
 	// forwarded, and the server receives Account instead, which is empty for a caller without
 	// one.
 	AccountsListed bool
@@ -57,10 +57,10 @@
 	Absent  bool   // the server is a different one, or does not hold the model, adapter or version
 	Signed  bool   // the answer carries the server's signature
 	Leaving bool   // the server announces that it will end soon
-	// Pause is how long the server wants no requests from this daemon; 0 if it does not say.
+	// Pause is how long the server asks this daemon to send no requests; 0: not stated.
 	Pause clock.Millis
-	// HasLimit reports that the server takes no more than Limit requests a second from all
-	// daemons together.
+	// HasLimit is true if the server takes no more than Limit requests a second from all daemons
+	// together.
 	HasLimit bool
 	Limit    float64
 }
@@ -73,8 +73,8 @@
 	ForwardedHeader(incoming http.Header, added ForwardHeaders) http.Header
 	// ParseAnswer reads the head of a backend server's answer.
 	ParseAnswer(response *http.Response) AnswerHeaders
-	// SetRefusalHeaders sets the headers of a refusal; after is the time until the caller may retry, or 0
-	// if unknown.
+	// SetRefusalHeaders sets the headers of a refusal; after is the time until the caller may
+	// retry, or 0 if unknown.
 	SetRefusalHeaders(header http.Header, after clock.Millis)
 }
 
@@ -176,8 +176,8 @@
 	Version int
 }
 
-// Order tells a server to load or unload an adapter, or a base model if Adapter's name is
-// empty.
+// Order is a command to a server to load or unload an adapter, or a base model if the adapter's
+// name is empty.
 type Order struct {
 	Load    bool
 	Adapter Adapter
@@ -186,7 +186,7 @@
 	Fence   int64
 }
 
-// Result is the result of an order.
+// Result classifies a server's answer to an order.
 type Result int
 
 // Results of orders.
@@ -196,11 +196,11 @@
 	NothingToDo                // the server is already in the ordered state
 	Conflict                   // another order is in progress
 	Fenced                     // the server has seen a higher fencing number
-	InvalidOrder               // the server does not know such an order
+	InvalidOrder               // the server does not support the order
 	WrongServer                // the address belongs to another server
 )
 
-// String implements fmt.Stringer.
+// String returns the name of a result in the log.
 func (result Result) String() string {
 	return [...]string{"Unknown", "Accepted", "Holds", "Conflict", "Fenced", "Invalid", "Other"}[result]
 }
@@ -211,13 +211,13 @@
 	Leaving bool // the server announces that it will end soon
 }
 
-// Report is a server's state, some hundred milliseconds old.
+// Report is a server's state as it was some hundred milliseconds ago.
 type Report struct {
 	Leaving   bool // the server announces that it will end soon
 	StartedAt int64
 	Busy      bool // a model is being loaded or unloaded
 	Models    []Holding
-	Incoming  []Adapter
+	Incoming  []Adapter // being loaded
 }
 
 // ServerClient sends orders to model engines and reads their reports.
