--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -146,7 +146,7 @@
 	pull, address := core.choosePullPeer(now)
 	core.quarantine.Prune(now)
 	core.pruneLosses(now)
-	if core.serverLimits.Limited() > 0 {
+	if core.serverLimits.LimitedCount() > 0 {
 		core.serverLimits.SetDaemons(now, core.members.AliveNames())
 	}
 	core.serverLimits.Retain(func(server string) bool { _, ok := core.fleet.Member(server); return ok })
--- a/internal/direct/retry/budget.go
+++ b/internal/direct/retry/budget.go
@@ -37,8 +37,8 @@
 	budget.limits = limits
 }
 
-// Request counts a request of a caller.
-func (budget *Budget) Request(now clock.Millis) {
+// RecordRequest counts a request of a caller.
+func (budget *Budget) RecordRequest(now clock.Millis) {
 	budget.advance(now)
 	budget.requests[budget.newest%(bucketCount+1)]++
 }
--- a/internal/direct/retry/budget_test.go
+++ b/internal/direct/retry/budget_test.go
@@ -45,7 +45,7 @@
 				}
 				continue
 			}
-			budget.Request(now)
+			budget.RecordRequest(now)
 			requests = append(requests, now)
 		}
 		for _, end := range retries {
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -138,8 +138,8 @@
 	return &entry{}
 }
 
-// Limited returns how many servers have a limit.
-func (limits *Limits) Limited() int {
+// LimitedCount returns how many servers have a limit.
+func (limits *Limits) LimitedCount() int {
 	return limits.limited
 }
 
