--- a/internal/integration/daemons/cut_test.go
+++ b/internal/integration/daemons/cut_test.go
@@ -11,89 +11,89 @@
 	"teaselmoor/internal/integration/harness"
 )
 
-// serveAgain waits until calls for an adapter are answered again; every answer
-// until then is judged.
-func serveAgain(running *harness.Site, entry *harness.Daemon, model string) {
-	running.WaitFor("service again", func() bool {
-		call := harness.NewCall(model, 3).Keyed()
-		told := entry.Do(call)
-		running.Judge(call, told)
-		return told.Kind == outcome.Answered
+// waitUntilServing waits until calls for an adapter are answered again. It checks
+// every result until then.
+func waitUntilServing(testSite *harness.Site, entry *harness.Daemon, model string) {
+	testSite.WaitFor("calls to be answered again", func() bool {
+		call := harness.NewCall(model, 3).WithKey()
+		result := entry.Do(call)
+		testSite.CheckResult(call, result)
+		return result.Kind == outcome.Answered
 	})
 }
 
-// TestCutAroundDispatch cuts the connection to the engine after so many bytes
-// of a run's request, from its first byte to well into the answer. What the
-// caller is told must hold against the ledger at every one.
+// TestCutAroundDispatch cuts the connection to the engine at many points, from the
+// first byte of a run's request to well into the answer. Wherever the cut falls,
+// the result that the caller gets must agree with the engine's ledger.
 func TestCutAroundDispatch(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
-	waitVouched(running, daemon, model)
-	proxy := running.EngineProxies[onlyEngine]
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
+	waitUntilVouched(testSite, daemon, model)
+	proxy := testSite.EngineProxies[onlyEngine]
 	cuts := []faultproxy.Faults{}
-	for at := int64(1); at < 900; at += 60 {
+	for limit := int64(1); limit < 900; limit += 60 {
 		cuts = append(cuts,
-			faultproxy.Faults{CutThere: at, CountFrom: "POST /v1/completions"}, faultproxy.Faults{CutBack: at})
+			faultproxy.Faults{CutToTarget: limit, CountFrom: "POST /v1/completions"}, faultproxy.Faults{CutFromTarget: limit})
 	}
-	told := map[outcome.Kind]int{}
+	counts := map[outcome.Kind]int{}
 	for _, faults := range cuts {
 		proxy.Set(faults)
-		call := harness.NewCall(model, 20).Streamed().Keyed()
-		said := daemon.Do(call)
+		call := harness.NewCall(model, 20).WithStreaming().WithKey()
+		result := daemon.Do(call)
 		proxy.Set(faultproxy.Faults{})
-		running.Judge(call, said)
-		told[said.Kind]++
+		testSite.CheckResult(call, result)
+		counts[result.Kind]++
 	}
-	t.Log("told", told)
-	serveAgain(running, daemon, model)
-	running.JudgeEngines()
+	t.Log("results by kind", counts)
+	waitUntilServing(testSite, daemon, model)
+	testSite.CheckEngines()
 }
 
-// TestCutBetweenDaemons cuts the connections between entry and owner after so
-// many bytes in either direction.
+// TestCutBetweenDaemons cuts the connection between entry and owner at many points
+// in either direction.
 func TestCutBetweenDaemons(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	owner, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
-	waitVouched(running, daemon, model)
-	link := running.Link(owner, entry)
-	for at := int64(1); at < 1200; at += 150 {
-		for _, faults := range []faultproxy.Faults{{CutThere: at}, {CutBack: at}} {
+	testSite := harness.New(t, oneEngineOptions())
+	owner, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
+	waitUntilVouched(testSite, daemon, model)
+	link := testSite.Link(owner, entry)
+	for limit := int64(1); limit < 1200; limit += 150 {
+		for _, faults := range []faultproxy.Faults{{CutToTarget: limit}, {CutFromTarget: limit}} {
 			t.Run(fmt.Sprintf("%+v", faults), func(t *testing.T) {
 				link.Set(faults)
-				call := harness.NewCall(model, 20).Streamed().Keyed()
-				told := daemon.Do(call)
+				call := harness.NewCall(model, 20).WithStreaming().WithKey()
+				result := daemon.Do(call)
 				link.Set(faultproxy.Faults{})
-				running.Judge(call, told)
+				testSite.CheckResult(call, result)
 			})
 		}
 	}
-	serveAgain(running, daemon, model)
-	running.JudgeEngines()
+	waitUntilServing(testSite, daemon, model)
+	testSite.CheckEngines()
 }
 
-// TestFrozenOneWay holds the bytes between entry and owner in one direction in
-// the middle of an answer; the silence is noticed.
+// TestFrozenOneWay freezes the link between entry and owner in one direction in the
+// middle of an answer. The entry must notice it and end the call.
 func TestFrozenOneWay(t *testing.T) {
 	t.Parallel()
-	for _, faults := range []faultproxy.Faults{{FreezeThere: true}, {FreezeBack: true}} {
+	for _, faults := range []faultproxy.Faults{{FreezeToTarget: true}, {FreezeFromTarget: true}} {
 		t.Run(fmt.Sprintf("%+v", faults), func(t *testing.T) {
 			t.Parallel()
-			running := harness.New(t, oneEngine())
-			owner, entry := ownerAndEntry(running)
-			daemon, model := running.Daemons[entry], running.AdapterAddress("review")
-			call := harness.NewCall(model, 20*longTokens).Streamed()
-			open := beginLong(t, daemon, call)
-			running.Link(owner, entry).Set(faults)
-			told := open.Finish()
-			require.NotEmpty(t, told.Kind, "the silence is noticed")
-			running.Link(owner, entry).Set(faultproxy.Faults{})
-			running.Judge(call, told)
-			waitVouched(running, daemon, model)
-			running.JudgeEngines()
+			testSite := harness.New(t, oneEngineOptions())
+			owner, entry := ownerAndEntry(testSite)
+			daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
+			call := harness.NewCall(model, 20*longTokens).WithStreaming()
+			openCall := startStream(t, daemon, call)
+			testSite.Link(owner, entry).Set(faults)
+			result := openCall.Finish()
+			require.NotEmpty(t, result.Kind, "the frozen link is noticed")
+			testSite.Link(owner, entry).Set(faultproxy.Faults{})
+			testSite.CheckResult(call, result)
+			waitUntilVouched(testSite, daemon, model)
+			testSite.CheckEngines()
 		})
 	}
 }
--- a/internal/integration/daemons/engine_test.go
+++ b/internal/integration/daemons/engine_test.go
@@ -11,70 +11,73 @@
 	"teaselmoor/internal/standin/modelengine"
 )
 
-// TestEngineRestarted restarts the engine cold in the middle of an answer.
+// TestEngineRestarted restarts the engine, with no adapter loaded, in the middle of
+// an answer.
 func TestEngineRestarted(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("quote")
-	waitVouched(running, daemon, model)
-	call := harness.NewCall(model, longTokens).Streamed().Keyed()
-	open := beginLong(t, daemon, call)
-	running.Engines[onlyEngine].Restart()
-	told := open.Finish()
-	require.Equal(t, outcome.Unknown, told.Kind, "%+v", told)
-	running.Judge(call, told)
-	serveAgain(running, daemon, model)
-	running.JudgeEngines()
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("quote")
+	waitUntilVouched(testSite, daemon, model)
+	call := harness.NewCall(model, longTokens).WithStreaming().WithKey()
+	openCall := startStream(t, daemon, call)
+	testSite.Engines[onlyEngine].Restart()
+	result := openCall.Finish()
+	require.Equal(t, outcome.Unknown, result.Kind, "%+v", result)
+	testSite.CheckResult(call, result)
+	waitUntilServing(testSite, daemon, model)
+	testSite.CheckEngines()
 }
 
-// TestSwappedVersion lets the engine answer with another version than asked
-// for. Not a word of it reaches the caller.
+// TestSwappedVersion lets the engine answer with another adapter version than the
+// request names. None of its text may reach the caller.
 func TestSwappedVersion(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
 	for _, stream := range []bool{false, true} {
-		running.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: running.AdapterAddress("draft")})
+		testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{SwapTo: testSite.AdapterAddress("draft")})
 		call := harness.NewCall(model, 5)
 		call.Stream = stream
-		told := daemon.Do(call)
-		require.NotEqual(t, outcome.Answered, told.Kind)
-		require.Empty(t, told.Text)
-		running.Judge(call, told)
+		result := daemon.Do(call)
+		require.NotEqual(t, outcome.Answered, result.Kind)
+		require.Empty(t, result.Text)
+		testSite.CheckResult(call, result)
 	}
 }
 
-// TestTruncatedStream lets the engine end every answer before its end.
+// TestTruncatedStream lets the engine close every stream before the answer is
+// complete.
 func TestTruncatedStream(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
-	running.Engines[onlyEngine].SetFaults(modelengine.Faults{TruncateAfter: 3})
-	call := harness.NewCall(model, 20).Streamed()
-	told := daemon.Do(call)
-	require.Equal(t, outcome.Unknown, told.Kind, "%+v", told)
-	running.Judge(call, told)
-	running.Engines[onlyEngine].SetFaults(modelengine.Faults{})
-	waitVouched(running, daemon, model)
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
+	testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{TruncateAfter: 3})
+	call := harness.NewCall(model, 20).WithStreaming()
+	result := daemon.Do(call)
+	require.Equal(t, outcome.Unknown, result.Kind, "%+v", result)
+	testSite.CheckResult(call, result)
+	testSite.Engines[onlyEngine].SetFaults(modelengine.Faults{})
+	waitUntilVouched(testSite, daemon, model)
 }
 
-// TestEngineFrozen freezes the engine: the daemons notice and say so, without
-// piling up calls, and serve again once it wakes.
+// TestEngineFrozen freezes the engine. Its owner must show the age of the last
+// report in its status, have at most one report call open, and serve again once the
+// engine resumes.
 func TestEngineFrozen(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	owner, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("review")
-	engine := running.Engines[onlyEngine]
+	testSite := harness.New(t, oneEngineOptions())
+	owner, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("review")
+	engine := testSite.Engines[onlyEngine]
 	engine.SetFaults(modelengine.Faults{Frozen: true})
-	running.WaitFor("the report to grow old", func() bool {
-		owned := running.Daemons[owner].Status().Owned
+	testSite.WaitFor("the last report to be older than 5 s", func() bool {
+		owned := testSite.Daemons[owner].Status().Owned
 		return len(owned) == 1 && owned[0].ReportAge > 5*clock.Second
 	})
-	require.LessOrEqual(t, engine.BlockedCalls(), int64(1), "one report call at a time")
+	require.LessOrEqual(t, engine.BlockedCalls(), int64(1), "at most one report call is open")
 	engine.SetFaults(modelengine.Faults{})
-	waitVouched(running, daemon, model)
+	waitUntilVouched(testSite, daemon, model)
 }
--- a/internal/integration/daemons/fault_bench_test.go
+++ b/internal/integration/daemons/fault_bench_test.go
@@ -15,134 +15,136 @@
 )
 
 const (
-	// observed is the span after a fault in which calls are counted.
-	observed = 15 * time.Second
-	// callInterval paces the calls of a measurement.
+	// observationTime is how long calls are made after a fault.
+	observationTime = 15 * time.Second
+	// callInterval is the time between two calls of a measurement.
 	callInterval = 20 * time.Millisecond
-	// listSpan is how long after a VM's end the VM list shows it.
-	listSpan = time.Second
+	// listDelay is the time until the VM list no longer names a killed daemon.
+	listDelay = time.Second
 )
 
-// fault is one measured fault.
+// fault is one fault to measure.
 type fault struct {
 	checksFencing bool
 	options       func(*site.Options)
-	// strike brings the fault about; it returns the daemon that is called then.
-	strike func(running *harness.Site, owner, entry int) int
+	// inject injects the fault and returns the index of the daemon to call after it.
+	inject func(testSite *harness.Site, owner, entry int) int
 }
 
-func killOwner(running *harness.Site, owner, entry int) int {
-	running.Daemons[owner].Kill()
-	time.AfterFunc(listSpan, func() { running.SetVMs(running.Without(owner)) })
+func killOwner(testSite *harness.Site, owner, entry int) int {
+	testSite.Daemons[owner].Kill()
+	time.AfterFunc(listDelay, func() { testSite.SetVMs(testSite.VMsWithout(owner)) })
 	return entry
 }
 
-// killOwnerUnlisted leaves the VM list as it is: nobody takes over an engine
-// that ignores fencing numbers. It is the baseline.
-func killOwnerUnlisted(running *harness.Site, owner, entry int) int {
-	running.Daemons[owner].Kill()
+// killOwnerUnlisted kills the owner and leaves the VM list as it is, so that no
+// daemon takes over an engine that ignores fencing numbers. It is the baseline.
+func killOwnerUnlisted(testSite *harness.Site, owner, entry int) int {
+	testSite.Daemons[owner].Kill()
 	return entry
 }
 
-func killEntry(running *harness.Site, owner, entry int) int {
-	running.Daemons[entry].Kill()
-	time.AfterFunc(listSpan, func() { running.SetVMs(running.Without(entry)) })
-	return running.OtherThan(entry)
+func killEntry(testSite *harness.Site, owner, entry int) int {
+	testSite.Daemons[entry].Kill()
+	time.AfterFunc(listDelay, func() { testSite.SetVMs(testSite.VMsWithout(entry)) })
+	return testSite.OtherThan(entry)
 }
 
-// cutDataCentre loses the owner's data centre: its daemon and its engine.
-func cutDataCentre(running *harness.Site, owner, entry int) int {
-	frozen := faultproxy.Faults{FreezeThere: true, FreezeBack: true}
-	running.Isolate(owner, frozen)
-	running.EngineProxies[onlyEngine].Set(frozen)
+// cutDataCentre freezes all links of the owner and of the engine, as when their data
+// centre is cut off.
+func cutDataCentre(testSite *harness.Site, owner, entry int) int {
+	frozen := faultproxy.Faults{FreezeToTarget: true, FreezeFromTarget: true}
+	testSite.Isolate(owner, frozen)
+	testSite.EngineProxies[onlyEngine].Set(frozen)
 	return entry
 }
 
-// BenchmarkFaultToService measures, at a steady rate of repeatable calls, the
-// time from a fault to the first answer to a call made after it, and what the
-// callers were told within the observed span.
+// BenchmarkFaultToService makes repeatable calls at a steady rate. It measures the
+// time from a fault to the first answer to a call made after it, and the results of
+// the calls made within observationTime.
 func BenchmarkFaultToService(b *testing.B) {
 	threeCentres := func(options *site.Options) {
 		options.Engines = 3
 		options.Deployments[0].DataCentres = []string{"north-a", "north-b", "north-c"}
 	}
-	for name, measured := range map[string]fault{
-		"owner-killed/fencing-checked":    {checksFencing: true, strike: killOwner},
-		"owner-killed/fencing-ignored":    {strike: killOwner},
-		"owner-killed/no-takeover":        {strike: killOwnerUnlisted},
-		"entry-killed":                    {strike: killEntry},
-		"data-centre-cut":                 {checksFencing: true, options: threeCentres, strike: cutDataCentre},
-		"data-centre-cut/fencing-ignored": {options: threeCentres, strike: cutDataCentre},
+	for name, fault := range map[string]fault{
+		"owner-killed/fencing-checked":    {checksFencing: true, inject: killOwner},
+		"owner-killed/fencing-ignored":    {inject: killOwner},
+		"owner-killed/no-takeover":        {inject: killOwnerUnlisted},
+		"entry-killed":                    {inject: killEntry},
+		"data-centre-cut":                 {checksFencing: true, options: threeCentres, inject: cutDataCentre},
+		"data-centre-cut/fencing-ignored": {options: threeCentres, inject: cutDataCentre},
 	} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				measure(b, measured)
+				measureFault(b, fault)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, measured fault) {
-	options := oneEngine()
-	options.Engine.ChecksFencing = measured.checksFencing
+func measureFault(b *testing.B, fault fault) {
+	options := oneEngineOptions()
+	options.Engine.ChecksFencing = fault.checksFencing
 	options.Engine.StepInterval = 2 * time.Millisecond
-	if measured.options != nil {
-		measured.options(&options)
+	if fault.options != nil {
+		fault.options(&options)
 	}
-	running := harness.Prepare(b, options)
-	for _, daemon := range running.Daemons {
+	testSite := harness.Prepare(b, options)
+	for _, daemon := range testSite.Daemons {
 		daemon.Start()
 	}
-	for _, daemon := range running.Daemons {
+	for _, daemon := range testSite.Daemons {
 		daemon.WaitReady()
 	}
-	owner, entry := ownerAndEntry(running)
-	model := servedBy(running, running.Daemons[entry], onlyEngine)
-	from := time.Now()
-	at := measured.strike(running, owner, entry)
-	calls := observe(running, running.Daemons[at], model)
-	report(b, running, from, calls)
+	owner, entry := ownerAndEntry(testSite)
+	model := adapterServedBy(testSite, testSite.Daemons[entry], onlyEngine)
+	injectedAt := time.Now()
+	called := fault.inject(testSite, owner, entry)
+	calls := callSteadily(testSite, testSite.Daemons[called], model)
+	reportFault(b, testSite, injectedAt, calls)
 }
 
-// servedBy finds a repeatable adapter whose calls run on an engine.
-func servedBy(running *harness.Site, daemon *harness.Daemon, engine ident.EngineID) string {
-	for _, adapter := range running.Config.Adapters {
+// adapterServedBy returns a repeatable adapter whose calls run at an engine.
+func adapterServedBy(testSite *harness.Site, daemon *harness.Daemon, engine ident.EngineID) string {
+	for _, adapter := range testSite.Config.Adapters {
 		model := adapter.Address().String()
 		if adapter.Labels["task"] != "review" {
 			continue
 		}
 		call := harness.NewCall(model, 1)
-		running.WaitFor("an answer", func() bool { return daemon.Do(call).Kind == outcome.Answered })
-		for _, entry := range running.Engines[engine].Ledger() {
+		testSite.WaitFor("an answer", func() bool { return daemon.Do(call).Kind == outcome.Answered })
+		for _, entry := range testSite.Engines[engine].Ledger() {
 			if entry.Prompt == call.Prompt {
 				return model
 			}
 		}
 	}
-	require.FailNow(running.T, "no adapter runs there", "%s", engine)
+	require.FailNow(testSite.T, "no adapter runs at the engine", "%s", engine)
 	return ""
 }
 
 // observedCall is one call after a fault.
 type observedCall struct {
-	call  harness.Call
-	told  harness.Told
-	ended time.Time
+	call   harness.Call
+	result harness.Result
+	ended  time.Time
 }
 
-// observe calls at a steady rate for the observed span and waits for all ends.
-func observe(running *harness.Site, daemon *harness.Daemon, model string) []observedCall {
-	count := int(observed / callInterval)
+// callSteadily makes calls at a steady rate for observationTime and waits until all
+// have ended.
+func callSteadily(testSite *harness.Site, daemon *harness.Daemon, model string) []observedCall {
+	count := int(observationTime / callInterval)
 	calls := make([]observedCall, count)
 	ticker := time.NewTicker(callInterval)
 	defer ticker.Stop()
 	var ended sync.WaitGroup
 	for i := range calls {
-		calls[i].call = harness.NewCall(model, 10).Streamed()
+		calls[i].call = harness.NewCall(model, 10).WithStreaming()
 		ended.Add(1)
 		go func() {
 			defer ended.Done()
-			calls[i].told = daemon.Do(calls[i].call)
+			calls[i].result = daemon.Do(calls[i].call)
 			calls[i].ended = time.Now()
 		}()
 		<-ticker.C
@@ -151,20 +153,20 @@
 	return calls
 }
 
-func report(b *testing.B, running *harness.Site, from time.Time, calls []observedCall) {
-	told := map[outcome.Kind]int{}
+func reportFault(b *testing.B, testSite *harness.Site, injectedAt time.Time, calls []observedCall) {
+	counts := map[outcome.Kind]int{}
 	first := time.Duration(0)
 	for _, each := range calls {
-		running.Judge(each.call, each.told)
-		told[each.told.Kind]++
-		if took := each.ended.Sub(from); each.told.Kind == outcome.Answered && (first == 0 || took < first) {
+		testSite.CheckResult(each.call, each.result)
+		counts[each.result.Kind]++
+		if took := each.ended.Sub(injectedAt); each.result.Kind == outcome.Answered && (first == 0 || took < first) {
 			first = took
 		}
 	}
-	require.Len(b, calls, told[outcome.Answered]+told[outcome.NotRun]+told[outcome.Unknown]+told[""])
+	require.Len(b, calls, counts[outcome.Answered]+counts[outcome.NotRun]+counts[outcome.Unknown]+counts[""])
 	b.ReportMetric(float64(first.Milliseconds()), "ms-to-service")
-	b.ReportMetric(100*float64(told[outcome.Answered])/float64(len(calls)), "%answered")
-	b.ReportMetric(100*float64(told[outcome.NotRun])/float64(len(calls)), "%not-run")
-	b.ReportMetric(100*float64(told[outcome.Unknown]+told[""])/float64(len(calls)), "%unknown")
-	running.JudgeEngines()
+	b.ReportMetric(100*float64(counts[outcome.Answered])/float64(len(calls)), "%answered")
+	b.ReportMetric(100*float64(counts[outcome.NotRun])/float64(len(calls)), "%not-run")
+	b.ReportMetric(100*float64(counts[outcome.Unknown]+counts[""])/float64(len(calls)), "%unknown")
+	testSite.CheckEngines()
 }
--- a/internal/integration/daemons/killed_test.go
+++ b/internal/integration/daemons/killed_test.go
@@ -10,143 +10,147 @@
 	"teaselmoor/internal/integration/harness"
 )
 
-// beginLong begins a streamed answer at an entry and reads its first tokens.
-func beginLong(t *testing.T, entry *harness.Daemon, call harness.Call) *harness.Open {
+// startStream sends a streamed call to an entry and reads the first tokens of the
+// answer.
+func startStream(t *testing.T, entry *harness.Daemon, call harness.Call) *harness.OpenCall {
 	t.Helper()
-	open, told := entry.Begin(call)
-	require.NotNil(t, open, "told %+v", told)
-	readSome(open)
-	return open
+	openCall, result := entry.Begin(call)
+	require.NotNil(t, openCall, "result %+v", result)
+	readFirstTokens(openCall)
+	return openCall
 }
 
-// beginKeyed starts a site and begins a long streamed answer under a key, at an
-// entry that is not the engine's owner.
-func beginKeyed(t *testing.T, task string) (*harness.Site, harness.Call, *harness.Open) {
+// startKeyedStream starts a site and a long streamed call with an idempotency key, at
+// an entry that is not the engine's owner.
+func startKeyedStream(t *testing.T, task string) (*harness.Site, harness.Call, *harness.OpenCall) {
 	t.Helper()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	model := running.AdapterAddress(task)
-	waitVouched(running, running.Daemons[entry], model)
-	call := harness.NewCall(model, longTokens).Streamed().Keyed()
-	return running, call, beginLong(t, running.Daemons[entry], call)
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	model := testSite.AdapterAddress(task)
+	waitUntilVouched(testSite, testSite.Daemons[entry], model)
+	call := harness.NewCall(model, longTokens).WithStreaming().WithKey()
+	return testSite, call, startStream(t, testSite.Daemons[entry], call)
 }
 
-// waitVouched waits until a key that is issued now is vouched for.
-func waitVouched(running *harness.Site, entry *harness.Daemon, model string) {
-	running.WaitFor("keys vouched for", func() bool {
-		call := harness.NewCall(model, 1).Keyed()
-		told := entry.Do(call)
-		running.Judge(call, told)
-		return told.Kind == outcome.Answered
+// waitUntilVouched waits until a call with a new idempotency key is answered, which
+// requires that a daemon vouches for the key.
+func waitUntilVouched(testSite *harness.Site, entry *harness.Daemon, model string) {
+	testSite.WaitFor("new keys to be vouched for", func() bool {
+		call := harness.NewCall(model, 1).WithKey()
+		result := entry.Do(call)
+		testSite.CheckResult(call, result)
+		return result.Kind == outcome.Answered
 	})
 }
 
 // TestOwnerKilled kills the owner of an engine in the middle of an answer. The
-// caller is told the truth, and a run that must not be repeated runs once.
+// caller's result must agree with the ledger, and a call with an idempotency key may
+// run only once.
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
 	for _, task := range []string{"review", "quote"} {
 		t.Run(task, func(t *testing.T) {
 			t.Parallel()
-			running, call, open := beginKeyed(t, task)
-			owner, _ := ownerAndEntry(running)
-			running.Daemons[owner].Kill()
-			running.SetVMs(running.Without(owner))
-			told := open.Finish()
-			require.NotEmpty(t, told.Kind, "the caller is told something")
-			running.Judge(call, told)
-			running.JudgeEngines()
+			testSite, call, openCall := startKeyedStream(t, task)
+			owner, _ := ownerAndEntry(testSite)
+			testSite.Daemons[owner].Kill()
+			testSite.SetVMs(testSite.VMsWithout(owner))
+			result := openCall.Finish()
+			require.NotEmpty(t, result.Kind, "the caller gets an outcome")
+			testSite.CheckResult(call, result)
+			testSite.CheckEngines()
 		})
 	}
 }
 
-// TestEntryKilled kills the entry in the middle of an answer. The run ends at
-// the engine, and the owner serves on.
+// TestEntryKilled kills the entry in the middle of an answer. The run must be
+// cancelled at the engine, and the owner must go on serving.
 func TestEntryKilled(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	owner, entry := ownerAndEntry(running)
-	model := running.AdapterAddress("review")
-	call := harness.NewCall(model, 100*longTokens).Streamed()
-	open := beginLong(t, running.Daemons[entry], call)
-	running.Daemons[entry].Kill()
-	told := open.Finish()
-	require.Empty(t, told.Kind)
-	running.Judge(call, told)
-	running.WaitFor("the run to be cancelled", func() bool {
-		ran := running.Ran(call)
-		return len(ran) == 1 && ran[0].Ended != ""
+	testSite := harness.New(t, oneEngineOptions())
+	owner, entry := ownerAndEntry(testSite)
+	model := testSite.AdapterAddress("review")
+	call := harness.NewCall(model, 100*longTokens).WithStreaming()
+	openCall := startStream(t, testSite.Daemons[entry], call)
+	testSite.Daemons[entry].Kill()
+	result := openCall.Finish()
+	require.Empty(t, result.Kind)
+	testSite.CheckResult(call, result)
+	testSite.WaitFor("the run to be cancelled", func() bool {
+		entries := testSite.LedgerEntries(call)
+		return len(entries) == 1 && entries[0].Ended != ""
 	})
 	next := harness.NewCall(model, 3)
-	told = running.Daemons[owner].Do(next)
-	require.Equal(t, outcome.Answered, told.Kind)
-	running.Judge(next, told)
-	running.JudgeEngines()
+	result = testSite.Daemons[owner].Do(next)
+	require.Equal(t, outcome.Answered, result.Kind)
+	testSite.CheckResult(next, result)
+	testSite.CheckEngines()
 }
 
-// TestEntryRestarted kills and restarts the entry: stream ids of its former
-// life must not be taken for those of the new one.
+// TestEntryRestarted kills and restarts the entry. Other daemons must not mistake
+// stream ids that it used before the restart for those that it uses after it.
 func TestEntryRestarted(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	_, entry := ownerAndEntry(running)
-	daemon := running.Daemons[entry]
-	former := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
-	open := beginLong(t, daemon, former)
+	testSite := harness.New(t, oneEngineOptions())
+	_, entry := ownerAndEntry(testSite)
+	daemon := testSite.Daemons[entry]
+	former := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
+	openCall := startStream(t, daemon, former)
 	daemon.Kill()
-	running.Judge(former, open.Finish())
+	testSite.CheckResult(former, openCall.Finish())
 	daemon.Start()
 	daemon.WaitReady()
-	call := harness.NewCall(running.AdapterAddress("draft"), longTokens).Streamed()
-	told := daemon.Do(call)
-	require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
-	running.Judge(call, told)
+	call := harness.NewCall(testSite.AdapterAddress("draft"), longTokens).WithStreaming()
+	result := daemon.Do(call)
+	require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
+	testSite.CheckResult(call, result)
 }
 
-// TestOwnerFrozen freezes the owner in the middle of an answer and wakes it
-// after the entry has given up on it.
+// TestOwnerFrozen freezes the owner in the middle of an answer and resumes it after
+// the entry has ended the call.
 func TestOwnerFrozen(t *testing.T) {
 	t.Parallel()
 	for _, task := range []string{"review", "quote"} {
 		t.Run(task, func(t *testing.T) {
 			t.Parallel()
-			running, call, open := beginKeyed(t, task)
-			owner, entry := ownerAndEntry(running)
-			running.Daemons[owner].Freeze()
-			told := open.Finish()
-			require.NotEmpty(t, told.Kind, "a frozen peer is noticed")
-			running.Daemons[owner].Wake()
-			running.Judge(call, told)
-			running.WaitFor("service again", func() bool {
-				next := harness.NewCall(running.AdapterAddress(task), 3).Keyed()
-				told := running.Daemons[entry].Do(next)
-				running.Judge(next, told)
-				return told.Kind == outcome.Answered
+			testSite, call, openCall := startKeyedStream(t, task)
+			owner, entry := ownerAndEntry(testSite)
+			testSite.Daemons[owner].Freeze()
+			result := openCall.Finish()
+			require.NotEmpty(t, result.Kind, "a frozen peer is noticed")
+			testSite.Daemons[owner].Unfreeze()
+			testSite.CheckResult(call, result)
+			testSite.WaitFor("calls to be answered again", func() bool {
+				next := harness.NewCall(testSite.AdapterAddress(task), 3).WithKey()
+				result := testSite.Daemons[entry].Do(next)
+				testSite.CheckResult(next, result)
+				return result.Kind == outcome.Answered
 			})
-			running.JudgeEngines()
+			testSite.CheckEngines()
 		})
 	}
 }
 
-// TestCallersLeaveAtOnce sends many calls whose callers leave before an answer
-// can begin. A cancel must not overtake the request that it is for: nothing is
-// left at the owner in the end, and slots and batch are free again.
+// TestCallersLeaveAtOnce sends many calls whose callers disconnect before an answer
+// can begin. If a cancel overtook its request on the way to the owner, the request
+// would stay there. At the end, the owner must have no request left, and its slots
+// and batch must be free.
 func TestCallersLeaveAtOnce(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	owner, entry := ownerAndEntry(running)
-	model := running.AdapterAddress("draft")
-	serveAgain(running, running.Daemons[entry], model)
+	testSite := harness.New(t, oneEngineOptions())
+	owner, entry := ownerAndEntry(testSite)
+	model := testSite.AdapterAddress("draft")
+	waitUntilServing(testSite, testSite.Daemons[entry], model)
 	const abandoned = 100
 	for range abandoned {
-		running.Daemons[entry].Abandon(harness.NewCall(model, 100*longTokens).Streamed())
+		testSite.Daemons[entry].Abandon(harness.NewCall(model, 100*longTokens).WithStreaming())
 	}
-	running.WaitFor("every caller's end to be noticed", func() bool {
-		return strings.Count(running.Daemons[entry].Log(), `"Cause":"CallerGone"`) >= abandoned
+	testSite.WaitFor("every disconnect to be noticed", func() bool {
+		return strings.Count(testSite.Daemons[entry].Log(), `"Cause":"CallerGone"`) >= abandoned
 	})
-	running.WaitFor("an idle owner", func() bool {
-		owned := running.Daemons[owner].Status().Owned
+	testSite.WaitFor("an idle owner", func() bool {
+		owned := testSite.Daemons[owner].Status().Owned
 		return len(owned) == 1 && owned[0].Running == 0 && owned[0].Queued == 0
 	})
-	serveAgain(running, running.Daemons[entry], model)
+	waitUntilServing(testSite, testSite.Daemons[entry], model)
 }
--- a/internal/integration/daemons/leaving_test.go
+++ b/internal/integration/daemons/leaving_test.go
@@ -14,8 +14,8 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// TestTerminateCutsNothing stops daemons gracefully in the middle of answers:
-// the owner, the entry, and both at once.
+// TestTerminateCutsNothing stops daemons gracefully in the middle of an answer: the
+// owner, the entry, and both. The answer must complete.
 func TestTerminateCutsNothing(t *testing.T) {
 	t.Parallel()
 	for name, choose := range map[string]func(owner, entry int) []int{
@@ -25,40 +25,41 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			running := harness.New(t, oneEngine())
-			owner, entry := ownerAndEntry(running)
-			call := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
-			open := beginLong(t, running.Daemons[entry], call)
-			for _, at := range choose(owner, entry) {
-				running.Daemons[at].Terminate()
+			testSite := harness.New(t, oneEngineOptions())
+			owner, entry := ownerAndEntry(testSite)
+			call := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
+			openCall := startStream(t, testSite.Daemons[entry], call)
+			for _, index := range choose(owner, entry) {
+				testSite.Daemons[index].Terminate()
 			}
-			told := open.Finish()
-			require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
-			running.Judge(call, told)
-			for _, at := range choose(owner, entry) {
-				require.Zero(t, running.Daemons[at].ExitCode())
+			result := openCall.Finish()
+			require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
+			testSite.CheckResult(call, result)
+			for _, index := range choose(owner, entry) {
+				require.Zero(t, testSite.Daemons[index].ExitCode())
 			}
-			running.JudgeEngines()
+			testSite.CheckEngines()
 		})
 	}
 }
 
-// leave marks daemons as leaving in the VM list.
-func leave(running *harness.Site, leaving int) {
-	vms := running.VMs()
-	vms[leaving].State = members.Leaving
-	running.SetVMs(vms)
+// markLeaving marks a daemon as leaving in the VM list.
+func markLeaving(testSite *harness.Site, index int) {
+	vms := testSite.VMs()
+	vms[index].State = members.Leaving
+	testSite.SetVMs(vms)
 }
 
-// TestRollingReplacement replaces every daemon, one after the other, while
-// callers go on calling through those that the balancer still offers.
+// TestRollingReplacement restarts every daemon, one after the other, while callers
+// call the daemons that the load balancer would still offer. No call may end with
+// an unknown outcome.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	options := site.DefaultOptions()
 	options.Engine.AllowsUnloadInUse = true
-	running := harness.New(t, options)
-	model := running.AdapterAddress("review")
-	var replacing atomic.Int64 // index of the daemon that takes no new calls
+	testSite := harness.New(t, options)
+	model := testSite.AdapterAddress("review")
+	var replacing atomic.Int64 // index of the daemon that gets no new calls, or -1
 	replacing.Store(-1)
 	var answered, notRun, unknown atomic.Int64
 	stop := make(chan struct{})
@@ -73,14 +74,14 @@
 					return
 				default:
 				}
-				at := i % len(running.Daemons)
-				if int64(at) == replacing.Load() {
+				index := i % len(testSite.Daemons)
+				if int64(index) == replacing.Load() {
 					continue
 				}
-				call := harness.NewCall(model, 10).Streamed()
-				told := running.Daemons[at].Do(call)
-				running.Judge(call, told)
-				switch told.Kind {
+				call := harness.NewCall(model, 10).WithStreaming()
+				result := testSite.Daemons[index].Do(call)
+				testSite.CheckResult(call, result)
+				switch result.Kind {
 				case outcome.Answered:
 					answered.Add(1)
 				case outcome.NotRun:
@@ -91,65 +92,66 @@
 			}
 		}()
 	}
-	for at, daemon := range running.Daemons {
+	for index, daemon := range testSite.Daemons {
 		before := answered.Load()
-		running.WaitFor("answers", func() bool { return answered.Load() > before })
-		replacing.Store(int64(at))
-		leave(running, at)
+		testSite.WaitFor("answers", func() bool { return answered.Load() > before })
+		replacing.Store(int64(index))
+		markLeaving(testSite, index)
 		daemon.Terminate()
 		<-daemon.Exited()
 		daemon.Start()
-		running.SetVMs(running.VMs())
+		testSite.SetVMs(testSite.VMs())
 		daemon.WaitReady()
 		replacing.Store(-1)
 	}
 	close(stop)
 	callers.Wait()
 	t.Logf("answered %d, not run %d, unknown %d", answered.Load(), notRun.Load(), unknown.Load())
-	require.Zero(t, unknown.Load(), "a planned replacement cuts nothing")
-	running.JudgeEngines()
+	require.Zero(t, unknown.Load(), "a planned replacement interrupts no call")
+	testSite.CheckEngines()
 }
 
-// TestDaemonLeaving marks a daemon as leaving in the list: its engines move to
-// others, and it serves what it has.
+// TestDaemonLeaving marks a daemon as leaving in the VM list. It must finish the
+// requests that it has, and its engines must move to other owners.
 func TestDaemonLeaving(t *testing.T) {
 	t.Parallel()
-	running := harness.New(t, oneEngine())
-	owner, entry := ownerAndEntry(running)
-	call := harness.NewCall(running.AdapterAddress("review"), longTokens).Streamed()
-	open := beginLong(t, running.Daemons[entry], call)
-	leave(running, owner)
-	told := open.Finish()
-	require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
-	running.Judge(call, told)
-	running.WaitFor("another owner", func() bool {
-		now := running.OwnerOf(onlyEngine)
-		return now >= 0 && now != owner
+	testSite := harness.New(t, oneEngineOptions())
+	owner, entry := ownerAndEntry(testSite)
+	call := harness.NewCall(testSite.AdapterAddress("review"), longTokens).WithStreaming()
+	openCall := startStream(t, testSite.Daemons[entry], call)
+	markLeaving(testSite, owner)
+	result := openCall.Finish()
+	require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
+	testSite.CheckResult(call, result)
+	testSite.WaitFor("another owner", func() bool {
+		current := testSite.OwnerOf(onlyEngine)
+		return current >= 0 && current != owner
 	})
-	serveAgain(running, running.Daemons[entry], running.AdapterAddress("review"))
-	running.JudgeEngines()
+	waitUntilServing(testSite, testSite.Daemons[entry], testSite.AdapterAddress("review"))
+	testSite.CheckEngines()
 }
 
-// TestConfigurationServiceAway serves on while the configuration service is
-// down or stale, and takes in what was published once it is back.
+// TestConfigurationServiceAway checks that daemons go on serving while the
+// configuration service is down or stale, and apply what was published meanwhile
+// once it is available again.
 func TestConfigurationServiceAway(t *testing.T) {
 	t.Parallel()
 	for name, mode := range map[string]platform.Mode{"down": platform.Down, "stale": platform.Stale} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			running := harness.New(t, oneEngine())
-			daemon := running.Daemons[0]
+			testSite := harness.New(t, oneEngineOptions())
+			daemon := testSite.Daemons[0]
 			before := daemon.Status().ConfigVersion
-			running.Platform.SetMode(mode)
-			require.NoError(t, running.Publish())
-			call := harness.NewCall(running.AdapterAddress("review"), 3)
-			told := daemon.Do(call)
-			require.Equal(t, outcome.Answered, told.Kind)
-			running.Judge(call, told)
+			testSite.Platform.SetMode(mode)
+			require.NoError(t, testSite.Publish())
+			call := harness.NewCall(testSite.AdapterAddress("review"), 3)
+			result := daemon.Do(call)
+			require.Equal(t, outcome.Answered, result.Kind)
+			testSite.CheckResult(call, result)
 			require.Equal(t, before, daemon.Status().ConfigVersion)
-			running.Platform.SetMode(platform.Up)
-			for _, each := range running.Daemons {
-				running.WaitFor("the new configuration", func() bool { return each.Status().ConfigVersion > before })
+			testSite.Platform.SetMode(platform.Up)
+			for _, each := range testSite.Daemons {
+				testSite.WaitFor("the new configuration", func() bool { return each.Status().ConfigVersion > before })
 			}
 		})
 	}
--- a/internal/integration/daemons/main_test.go
+++ b/internal/integration/daemons/main_test.go
@@ -1,5 +1,5 @@
-// Package daemons_test holds the proofs with real processes: daemons that are
-// killed, frozen and cut off from each other, judged by the engines' ledgers.
+// Package daemons_test tests daemons as real processes that are killed, frozen and
+// cut off from each other. Results are checked against the engines' ledgers.
 package daemons_test
 
 import (
@@ -20,12 +20,13 @@
 
 const onlyEngine = ident.EngineID("engine-0")
 
-// longTokens is the length of an answer that a fault shall meet halfway.
+// longTokens is the length of an answer that is long enough for a fault to occur in
+// the middle.
 const longTokens = 400
 
-// oneEngine returns a site of three daemons before one engine, whose answers
-// take long enough to be interrupted.
-func oneEngine() site.Options {
+// oneEngineOptions returns the options of a site of three daemons and one engine,
+// whose answers take long enough to be interrupted.
+func oneEngineOptions() site.Options {
 	options := site.DefaultOptions()
 	options.Engines = 1
 	options.Engine.StepInterval = 5 * time.Millisecond
@@ -33,17 +34,18 @@
 	return options
 }
 
-// ownerAndEntry returns the engine's owner and another daemon.
-func ownerAndEntry(running *harness.Site) (owner, entry int) {
-	running.WaitFor("an owner", func() bool { return running.OwnerOf(onlyEngine) >= 0 })
-	owner = running.OwnerOf(onlyEngine)
-	return owner, running.OtherThan(owner)
+// ownerAndEntry waits until the engine has an owner and returns the indices of the
+// owner and of another daemon.
+func ownerAndEntry(testSite *harness.Site) (owner, entry int) {
+	testSite.WaitFor("an owner", func() bool { return testSite.OwnerOf(onlyEngine) >= 0 })
+	owner = testSite.OwnerOf(onlyEngine)
+	return owner, testSite.OtherThan(owner)
 }
 
-// readSome reads the first tokens of a streamed answer.
-func readSome(open *harness.Open) {
+// readFirstTokens reads the first tokens of a streamed answer.
+func readFirstTokens(openCall *harness.OpenCall) {
 	for range 5 {
-		if _, more := open.Next(); !more {
+		if _, more := openCall.ReadToken(); !more {
 			return
 		}
 	}
--- a/internal/integration/daemons/relay_bench_test.go
+++ b/internal/integration/daemons/relay_bench_test.go
@@ -22,92 +22,92 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// instantEngine answers at once, so that a measurement sees the daemons alone.
-// Streamed answers have the asked number of tokens, in pieces of a few.
+// instantEngine is an engine that answers without delay, so that only the daemons
+// are benchSite. It sends tokensPerChunk tokens of a streamed answer per write.
 type instantEngine struct {
-	model string
-	hold  chan struct{} // closed: answers end; until then streams stay open
+	model  string
+	finish chan struct{} // streams stay open until it is closed
 }
 
-const tokensPerPiece = 4
+const tokensPerChunk = 4
 
 func (engine *instantEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == protocol.StatePath {
 		_ = json.NewEncoder(writer).Encode(protocol.StateReport{BootID: "1", Loaded: []string{engine.model}})
 		return
 	}
-	var asked struct {
+	var body struct {
 		Stream    bool `json:"stream"`
 		MaxTokens int  `json:"max_tokens"`
 	}
-	_ = json.NewDecoder(request.Body).Decode(&asked)
+	_ = json.NewDecoder(request.Body).Decode(&body)
 	run := request.Header.Get(protocol.RunHeader)
 	writer.Header().Set(protocol.RunHeader, run)
-	chunk := fmt.Sprintf(`{"id":%q,"model":%q,"choices":[{"index":0,"text":"token "}]}`, run, engine.model)
-	if !asked.Stream {
+	event := fmt.Sprintf(`{"id":%q,"model":%q,"choices":[{"index":0,"text":"token "}]}`, run, engine.model)
+	if !body.Stream {
 		writer.Header().Set("Content-Type", "application/json")
-		_, _ = io.WriteString(writer, chunk)
+		_, _ = io.WriteString(writer, event)
 		return
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(writer)
-	piece := strings.Repeat("data: "+chunk+"\n\n", tokensPerPiece)
-	for range asked.MaxTokens / tokensPerPiece {
-		if _, err := io.WriteString(writer, piece); err != nil {
+	chunk := strings.Repeat("data: "+event+"\n\n", tokensPerChunk)
+	for range body.MaxTokens / tokensPerChunk {
+		if _, err := io.WriteString(writer, chunk); err != nil {
 			return
 		}
 		_ = control.Flush()
 	}
 	select {
-	case <-engine.hold:
+	case <-engine.finish:
 		_, _ = io.WriteString(writer, "data: [DONE]\n\n")
 	case <-request.Context().Done():
 	}
 }
 
-// measured is a site before one instant engine.
-type measured struct {
+// benchSite is a site with one instantEngine.
+type benchSite struct {
 	*harness.Site
-	owner, entry int
-	model        string
-	engine       string // address
-	instant      *instantEngine
+	owner, entry  int
+	model         string
+	engineAddress string
+	engine        *instantEngine
 }
 
-func newMeasured(b *testing.B) *measured {
+func newBenchSite(b *testing.B) *benchSite {
 	options := site.DefaultOptions()
 	options.Engines = 1
-	running := harness.Prepare(b, options)
-	instant := &instantEngine{model: running.AdapterAddress("review"), hold: make(chan struct{})}
-	server := httptest.NewServer(instant)
+	testSite := harness.Prepare(b, options)
+	engine := &instantEngine{model: testSite.AdapterAddress("review"), finish: make(chan struct{})}
+	server := httptest.NewServer(engine)
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	running.Config.Engines[0].Address = address
-	running.Config.Engines[0].MaxRuns = 1 << 20
-	require.NoError(b, running.Publish())
-	for _, daemon := range running.Daemons {
+	testSite.Config.Engines[0].Address = address
+	testSite.Config.Engines[0].MaxRuns = 1 << 20
+	require.NoError(b, testSite.Publish())
+	for _, daemon := range testSite.Daemons {
 		daemon.Start()
 	}
-	for _, daemon := range running.Daemons {
+	for _, daemon := range testSite.Daemons {
 		daemon.WaitReady()
 	}
-	owner, entry := ownerAndEntry(running)
-	ready := &measured{Site: running, owner: owner, entry: entry, model: instant.model, engine: address, instant: instant}
-	running.WaitFor("an answer", func() bool {
-		return ready.post(http.DefaultClient, ready.caller(entry), 1, false) == nil
+	owner, entry := ownerAndEntry(testSite)
+	ready := &benchSite{Site: testSite, owner: owner, entry: entry, model: engine.model, engineAddress: address, engine: engine}
+	testSite.WaitFor("an answer", func() bool {
+		return ready.post(http.DefaultClient, ready.callerAddress(entry), 1, false) == nil
 	})
 	return ready
 }
 
-func (measured *measured) caller(at int) string {
-	return measured.Daemons[at].Settings.CallerAddress
+func (benchSite *benchSite) callerAddress(index int) string {
+	return benchSite.Daemons[index].Settings.CallerAddress
 }
 
-var benchRuns atomic.Uint64
+var lastRunID atomic.Uint64
 
-// post sends a request to a daemon or to the engine and reads the answer.
-func (measured *measured) post(client *http.Client, address string, tokens int, stream bool) error {
-	response, err := measured.open(client, address, tokens, stream)
+// post sends a request to a daemon or to the engine and reads the answer to its end.
+func (benchSite *benchSite) post(client *http.Client, address string, tokens int, stream bool) error {
+	response, err := benchSite.send(client, address, tokens, stream)
 	if err != nil {
 		return err
 	}
@@ -119,76 +119,76 @@
 	return err
 }
 
-func (measured *measured) open(client *http.Client, address string, tokens int, stream bool) (*http.Response, error) {
-	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d,"stream":%v,"prompt":"hello"}`, measured.model, tokens, stream)
+func (benchSite *benchSite) send(client *http.Client, address string, tokens int, stream bool) (*http.Response, error) {
+	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d,"stream":%v,"prompt":"hello"}`, benchSite.model, tokens, stream)
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return nil, err
 	}
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
-	request.Header.Set(protocol.RunHeader, strconv.FormatUint(benchRuns.Add(1), 10))
+	request.Header.Set(protocol.RunHeader, strconv.FormatUint(lastRunID.Add(1), 10))
 	return client.Do(request)
 }
 
 const (
-	pacedRate  = 1000 // requests a second
+	pacedRate  = 1000 // requests per second
 	maxClients = 512
 )
 
-// BenchmarkAddedTime sends requests at a fixed rate, in turn to the engine and
-// through an entry that is not its owner, and reports the difference.
+// BenchmarkAddedTime sends requests at a fixed rate, both to the engine directly and
+// through an entry that is not its owner, and reports the difference in duration.
 func BenchmarkAddedTime(b *testing.B) {
-	measured := newMeasured(b)
-	close(measured.instant.hold)
+	benchSite := newBenchSite(b)
+	close(benchSite.engine.finish)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxClients}}
-	targets := []string{measured.engine, measured.caller(measured.entry)}
-	var mutex sync.Mutex // guards spans
-	spans := make([][]time.Duration, len(targets))
-	send := func(at int) {
-		began := time.Now()
-		if err := measured.post(client, targets[at], 1, false); err != nil {
+	targets := []string{benchSite.engineAddress, benchSite.callerAddress(benchSite.entry)}
+	var mutex sync.Mutex // guards durations
+	durations := make([][]time.Duration, len(targets))
+	send := func(target int) {
+		startedAt := time.Now()
+		if err := benchSite.post(client, targets[target], 1, false); err != nil {
 			b.Error(err)
 		}
-		took := time.Since(began)
+		took := time.Since(startedAt)
 		mutex.Lock()
 		defer mutex.Unlock()
-		spans[at] = append(spans[at], took)
+		durations[target] = append(durations[target], took)
 	}
 	for i := range 200 {
-		send(i % 2) // opens connections
+		send(i % 2) // opens the connections before the measurement
 	}
-	spans = make([][]time.Duration, len(targets))
+	durations = make([][]time.Duration, len(targets))
 	var ended sync.WaitGroup
 	ticker := time.NewTicker(time.Second / pacedRate)
 	defer ticker.Stop()
 	b.ResetTimer()
 	for range b.N {
 		<-ticker.C
-		for at := range targets {
+		for target := range targets {
 			ended.Add(1)
-			go func() { defer ended.Done(); send(at) }()
+			go func() { defer ended.Done(); send(target) }()
 		}
 	}
 	ended.Wait()
 	b.StopTimer()
-	for _, share := range []int{50, 99} {
-		direct, relayed := percentile(spans[0], share), percentile(spans[1], share)
-		b.ReportMetric(float64(direct.Microseconds()), fmt.Sprintf("direct-p%d-us", share))
-		b.ReportMetric(float64((relayed - direct).Microseconds()), fmt.Sprintf("added-p%d-us", share))
+	for _, percent := range []int{50, 99} {
+		direct, relayed := percentile(durations[0], percent), percentile(durations[1], percent)
+		b.ReportMetric(float64(direct.Microseconds()), fmt.Sprintf("direct-p%d-us", percent))
+		b.ReportMetric(float64((relayed - direct).Microseconds()), fmt.Sprintf("added-p%d-us", percent))
 	}
 }
 
-func percentile(spans []time.Duration, share int) time.Duration {
-	slices.Sort(spans)
-	return spans[(len(spans)-1)*share/100]
+func percentile(durations []time.Duration, percent int) time.Duration {
+	slices.Sort(durations)
+	return durations[(len(durations)-1)*percent/100]
 }
 
-// BenchmarkTokens streams answers through one daemon, entry and owner at once,
-// and reports tokens a second.
+// BenchmarkTokens streams answers through one daemon, which is both entry and owner,
+// and reports tokens per second.
 func BenchmarkTokens(b *testing.B) {
 	const streams, tokens = 32, 400
-	measured := newMeasured(b)
-	close(measured.instant.hold)
+	benchSite := newBenchSite(b)
+	close(benchSite.engine.finish)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streams}}
 	b.ResetTimer()
 	for range b.N {
@@ -197,7 +197,7 @@
 			ended.Add(1)
 			go func() {
 				defer ended.Done()
-				if err := measured.post(client, measured.caller(measured.owner), tokens, true); err != nil {
+				if err := benchSite.post(client, benchSite.callerAddress(benchSite.owner), tokens, true); err != nil {
 					b.Error(err)
 				}
 			}()
@@ -207,40 +207,41 @@
 	b.ReportMetric(float64(b.N*streams*tokens)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// BenchmarkMemory holds idle connections, then open streams, at an entry that is
-// not the owner, and reports resident bytes for each, at entry and owner.
+// BenchmarkMemory opens idle connections, then streams, at an entry that is not the
+// owner. It reports the resident bytes per connection at the entry, and per stream at
+// the entry and at the owner.
 func BenchmarkMemory(b *testing.B) {
 	const count = 1000
-	measured := newMeasured(b)
-	resident := func(at int) float64 { return float64(measured.Daemons[at].ResidentBytes()) }
+	benchSite := newBenchSite(b)
+	resident := func(index int) float64 { return float64(benchSite.Daemons[index].ResidentBytes()) }
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: count}}
-	address := measured.caller(measured.entry)
-	before := resident(measured.entry)
+	address := benchSite.callerAddress(benchSite.entry)
+	before := resident(benchSite.entry)
 	var conns sync.WaitGroup
-	gate := make(chan struct{})
+	start := make(chan struct{})
 	for range count {
 		conns.Add(1)
 		go func() {
 			defer conns.Done()
-			<-gate
+			<-start
 			response, err := client.Get("http://" + address + "/v1/none")
 			if err == nil {
 				_ = response.Body.Close()
 			}
 		}()
 	}
-	close(gate)
+	close(start)
 	conns.Wait()
-	b.ReportMetric((resident(measured.entry)-before)/count, "bytes/idle-connection")
+	b.ReportMetric((resident(benchSite.entry)-before)/count, "bytes/idle-connection")
 	client.CloseIdleConnections()
-	entryBefore, ownerBefore := resident(measured.entry), resident(measured.owner)
+	entryBefore, ownerBefore := resident(benchSite.entry), resident(benchSite.owner)
 	for range count {
-		response, err := measured.open(client, address, tokensPerPiece, true)
+		response, err := benchSite.send(client, address, tokensPerChunk, true)
 		require.NoError(b, err)
 		defer func() { _ = response.Body.Close() }()
 		_, err = io.ReadFull(response.Body, make([]byte, 10))
 		require.NoError(b, err)
 	}
-	b.ReportMetric((resident(measured.entry)-entryBefore)/count, "bytes/stream-entry")
-	b.ReportMetric((resident(measured.owner)-ownerBefore)/count, "bytes/stream-owner")
+	b.ReportMetric((resident(benchSite.entry)-entryBefore)/count, "bytes/stream-entry")
+	b.ReportMetric((resident(benchSite.owner)-ownerBefore)/count, "bytes/stream-owner")
 }
--- a/internal/integration/daemons/slow_test.go
+++ b/internal/integration/daemons/slow_test.go
@@ -11,30 +11,30 @@
 	"teaselmoor/internal/standin/modelengine"
 )
 
-// TestSlowReader leaves one caller's answer unread. Another caller's answer, of
-// the same engine on the same lane, arrives whole meanwhile, and the slow one
-// gets its own in the end.
+// TestSlowReader leaves one caller's answer unread. Meanwhile another caller's answer
+// from the same engine, sent on the same lane, must arrive complete, and the slow
+// caller must get its own answer when it reads on.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
-	options := oneEngine()
+	options := oneEngineOptions()
 	options.Engine.StepInterval = time.Millisecond
 	options.Engine.TokenPadding = 4000
-	running := harness.New(t, options)
-	_, entry := ownerAndEntry(running)
-	daemon, model := running.Daemons[entry], running.AdapterAddress("draft")
-	slow := harness.NewCall(model, 5_000).Streamed() // far more than sockets and windows hold
-	open, told := daemon.Begin(slow)
-	require.NotNil(t, open, "%+v", told)
-	running.WaitFor("the engine to have made the whole answer", func() bool {
-		ran := running.Ran(slow)
-		return len(ran) == 1 && ran[0].Ended == modelengine.Complete
+	testSite := harness.New(t, options)
+	_, entry := ownerAndEntry(testSite)
+	daemon, model := testSite.Daemons[entry], testSite.AdapterAddress("draft")
+	slow := harness.NewCall(model, 5_000).WithStreaming() // far more than socket buffers and flow-control windows hold
+	openCall, result := daemon.Begin(slow)
+	require.NotNil(t, openCall, "%+v", result)
+	testSite.WaitFor("the engine to complete the answer", func() bool {
+		entries := testSite.LedgerEntries(slow)
+		return len(entries) == 1 && entries[0].Ended == modelengine.Complete
 	})
-	fast := harness.NewCall(model, 200).Streamed()
-	told = daemon.Do(fast)
-	require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
-	running.Judge(fast, told)
-	require.NotZero(t, daemon.Status().Requests, "the slow one is still open")
-	told = open.Finish()
-	require.Equal(t, outcome.Answered, told.Kind, "%+v", told)
-	running.Judge(slow, told)
+	fast := harness.NewCall(model, 200).WithStreaming()
+	result = daemon.Do(fast)
+	require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
+	testSite.CheckResult(fast, result)
+	require.NotZero(t, daemon.Status().Requests, "the slow call is still open")
+	result = openCall.Finish()
+	require.Equal(t, outcome.Answered, result.Kind, "%+v", result)
+	testSite.CheckResult(slow, result)
 }
--- a/internal/integration/faultproxy/faultproxy.go
+++ b/internal/integration/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy is a TCP proxy for tests that cuts, freezes and delays
-// connections, in one direction or both. It passes bytes on and knows nothing
-// of what they mean.
+// connections, in one direction or both. It forwards bytes without interpreting
+// them.
 package faultproxy
 
 import (
@@ -13,89 +13,91 @@
 	"github.com/pkg/errors"
 )
 
-const bufferSize = 32 << 10
+const bufferSize = 32 << 10 // bytes
 
-// Faults say what happens to bytes on their way. The zero value passes all.
+// Faults are the faults that a proxy injects. With the zero value, it forwards all bytes.
 type Faults struct {
-	// FreezeThere and FreezeBack hold bytes towards the target and from it;
-	// connections stay open and new ones are accepted.
-	FreezeThere bool
-	FreezeBack  bool
-	// Refuse closes new connections at once.
-	Refuse bool
-	// Delay is added to each piece of bytes.
+	// FreezeToTarget stops the forwarding of bytes to the target. Connections stay open
+	// and new ones are accepted.
+	FreezeToTarget bool
+	// FreezeFromTarget does the same for bytes from the target.
+	FreezeFromTarget bool
+	// RefuseNew closes new connections as soon as they are accepted.
+	RefuseNew bool
+	// Delay is added to each chunk of bytes read.
 	Delay time.Duration
-	// CutThere and CutBack close a connection once that many bytes have gone
-	// towards the target or from it since the faults were set; 0 never does.
-	CutThere int64
-	CutBack  int64
-	// CountFrom begins the count towards the target with the first piece that
-	// contains this text; empty counts all.
+	// CutToTarget and CutFromTarget close a connection once that many bytes have
+	// been forwarded to the target or from it since the faults were set; 0 means
+	// never.
+	CutToTarget   int64
+	CutFromTarget int64
+	// CountFrom starts the count for CutToTarget with the first chunk that
+	// contains this text; if empty, all bytes count.
 	CountFrom string
 }
 
-// cutAt is the count at which a direction is cut.
-func (faults *Faults) cutAt(there bool) int64 {
-	if there {
-		return faults.CutThere
+// cutLimit returns the number of bytes after which a direction is cut.
+func (faults *Faults) cutLimit(toTarget bool) int64 {
+	if toTarget {
+		return faults.CutToTarget
 	}
-	return faults.CutBack
+	return faults.CutFromTarget
 }
 
-// Proxy passes connections on to one target.
+// Proxy forwards connections to one target.
 type Proxy struct {
-	target   string
-	listener net.Listener
-	ctx      context.Context
-	ended    sync.WaitGroup
+	target     string
+	listener   net.Listener
+	ctx        context.Context
+	goroutines sync.WaitGroup
 
-	mutex   sync.Mutex // guards faults, changed, pairs
-	faults  Faults
-	changed chan struct{} // closed at each change
-	pairs   map[*pair]struct{}
+	mutex       sync.Mutex // guards faults, changed, connections
+	faults      Faults
+	changed     chan struct{} // closed and replaced at each change of faults
+	connections map[*connection]struct{}
 }
 
-// pair is one connection and its continuation to the target.
-type pair struct {
+// connection is a client's connection and the proxy's own connection to the target.
+type connection struct {
 	client, target net.Conn
 }
 
-func (pair *pair) close() {
-	_ = pair.client.Close()
-	_ = pair.target.Close()
+func (connection *connection) close() {
+	_ = connection.client.Close()
+	_ = connection.target.Close()
 }
 
-// New starts a proxy at the listening address. It ends with the context.
+// New starts a proxy that listens at an address until the context ends.
 func New(ctx context.Context, listen, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	proxy := &Proxy{
-		target: target, listener: listener, ctx: ctx, changed: make(chan struct{}), pairs: map[*pair]struct{}{},
+		target: target, listener: listener, ctx: ctx, changed: make(chan struct{}), connections: map[*connection]struct{}{},
 	}
-	proxy.ended.Add(2)
-	go func() { defer proxy.ended.Done(); proxy.accept() }()
+	proxy.goroutines.Add(2)
+	go func() { defer proxy.goroutines.Done(); proxy.accept() }()
 	go func() {
-		defer proxy.ended.Done()
+		defer proxy.goroutines.Done()
 		<-ctx.Done()
 		_ = listener.Close()
-		proxy.Cut()
+		proxy.CloseConnections()
 	}()
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (proxy *Proxy) Address() string {
 	return proxy.listener.Addr().String()
 }
 
-// Wait returns once the context has ended and every connection has.
+// Wait returns once the context has ended and all connections are closed.
 func (proxy *Proxy) Wait() {
-	proxy.ended.Wait()
+	proxy.goroutines.Wait()
 }
 
-// Set replaces the faults, for open connections too.
+// Set replaces the faults, also for open connections.
 func (proxy *Proxy) Set(faults Faults) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -104,12 +106,12 @@
 	proxy.changed = make(chan struct{})
 }
 
-// Cut closes every open connection.
-func (proxy *Proxy) Cut() {
+// CloseConnections closes every open connection.
+func (proxy *Proxy) CloseConnections() {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
-	for open := range proxy.pairs {
-		open.close()
+	for connection := range proxy.connections {
+		connection.close()
 	}
 }
 
@@ -125,89 +127,91 @@
 		if err != nil {
 			return
 		}
-		if faults, _ := proxy.current(); faults.Refuse {
+		if faults, _ := proxy.current(); faults.RefuseNew {
 			_ = client.Close()
 			continue
 		}
-		proxy.ended.Add(1)
-		go func() { defer proxy.ended.Done(); proxy.pass(client) }()
+		proxy.goroutines.Add(1)
+		go func() { defer proxy.goroutines.Done(); proxy.forward(client) }()
 	}
 }
 
-func (proxy *Proxy) pass(client net.Conn) {
+func (proxy *Proxy) forward(client net.Conn) {
 	target, err := net.Dial("tcp", proxy.target)
 	if err != nil {
 		_ = client.Close()
 		return
 	}
-	open := &pair{client: client, target: target}
+	open := &connection{client: client, target: target}
 	proxy.mutex.Lock()
-	proxy.pairs[open] = struct{}{}
+	proxy.connections[open] = struct{}{}
 	proxy.mutex.Unlock()
 	if proxy.ctx.Err() != nil {
 		open.close()
 	}
-	there := make(chan struct{})
-	go func() { defer close(there); proxy.copy(open, client, target, true) }()
+	copiedToTarget := make(chan struct{})
+	go func() { defer close(copiedToTarget); proxy.copy(open, client, target, true) }()
 	proxy.copy(open, target, client, false)
-	<-there
+	<-copiedToTarget
 	proxy.mutex.Lock()
-	delete(proxy.pairs, open)
+	delete(proxy.connections, open)
 	proxy.mutex.Unlock()
 }
 
-// copy passes bytes in one direction until either side closes.
-func (proxy *Proxy) copy(open *pair, from, to net.Conn, there bool) {
-	defer open.close()
+// copy forwards bytes in one direction until either side closes.
+func (proxy *Proxy) copy(connection *connection, from, to net.Conn, toTarget bool) {
+	defer connection.close()
 	buffer := make([]byte, bufferSize)
-	count := &counter{there: there}
+	counter := &byteCounter{toTarget: toTarget}
 	for {
 		size, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		piece, cut := count.limit(proxy.gate(there), buffer[:size])
-		if _, err := to.Write(piece); err != nil || cut {
+		chunk, cut := counter.passable(proxy.delay(toTarget), buffer[:size])
+		if _, err := to.Write(chunk); err != nil || cut {
 			return
 		}
 	}
 }
 
-// counter counts the bytes of one direction since the faults were set.
-type counter struct {
-	there   bool
-	of      Faults
-	counted int64
-	began   bool
+// byteCounter counts the bytes of one direction of a connection since the faults were set.
+type byteCounter struct {
+	toTarget bool
+	faults   Faults
+	counted  int64
+	started  bool
 }
 
-// limit returns how much of a piece may pass, and whether the cut comes then.
-func (counter *counter) limit(faults Faults, piece []byte) ([]byte, bool) {
-	if faults != counter.of {
-		counter.of, counter.counted, counter.began = faults, 0, false
+// passable returns the part of a chunk to forward, and whether to close the
+// connection after it.
+func (byteCounter *byteCounter) passable(faults Faults, chunk []byte) ([]byte, bool) {
+	if faults != byteCounter.faults {
+		byteCounter.faults, byteCounter.counted, byteCounter.started = faults, 0, false
 	}
-	at := faults.cutAt(counter.there)
-	if at == 0 {
-		return piece, false
+	limit := faults.cutLimit(byteCounter.toTarget)
+	if limit == 0 {
+		return chunk, false
 	}
-	if counter.there && !counter.began && !bytes.Contains(piece, []byte(faults.CountFrom)) {
-		return piece, false
+	if byteCounter.toTarget && !byteCounter.started && !bytes.Contains(chunk, []byte(faults.CountFrom)) {
+		return chunk, false
 	}
-	counter.began = true
-	left := at - counter.counted
-	counter.counted += int64(len(piece))
-	if int64(len(piece)) < left {
-		return piece, false
+	byteCounter.started = true
+	left := limit - byteCounter.counted
+	byteCounter.counted += int64(len(chunk))
+	if int64(len(chunk)) < left {
+		return chunk, false
 	}
-	return piece[:max(0, left)], true
+	return chunk[:max(0, left)], true
 }
 
-// gate holds a piece as long as the faults ask for.
-func (proxy *Proxy) gate(there bool) Faults {
+// delay waits until the faults allow a chunk to be forwarded in a direction, and
+// returns the faults that apply then.
+func (proxy *Proxy) delay(toTarget bool) Faults {
 	delayed := false
 	for {
 		faults, changed := proxy.current()
-		frozen := there && faults.FreezeThere || !there && faults.FreezeBack
+		frozen := toTarget && faults.FreezeToTarget || !toTarget && faults.FreezeFromTarget
 		var after <-chan time.Time
 		switch {
 		case !frozen && (delayed || faults.Delay == 0):
--- a/internal/integration/harness/call.go
+++ b/internal/integration/harness/call.go
@@ -19,8 +19,8 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// Call is one request of a caller. Its prompt is unique, so that the engines'
-// ledgers can be searched for it.
+// Call is one request of a caller. Its prompt is unique, so that its entries in
+// the engines' ledgers can be found.
 type Call struct {
 	Model  string
 	Tokens int
@@ -35,29 +35,29 @@
 	return Call{Model: model, Tokens: tokens, Prompt: uuid.NewString()}
 }
 
-// Streamed returns the call as one that is answered in server-sent events.
-func (call Call) Streamed() Call {
+// WithStreaming returns the call with its answer requested as server-sent events.
+func (call Call) WithStreaming() Call {
 	call.Stream = true
 	return call
 }
 
-// Keyed returns the call with a new idempotency key.
-func (call Call) Keyed() Call {
+// WithKey returns the call with a new idempotency key.
+func (call Call) WithKey() Call {
 	call.Key = uuid.Must(uuid.NewV7()).String()
 	return call
 }
 
-// Told is what a caller was told. Kind is empty when the connection broke
-// without a word.
-type Told struct {
+// Result is how a call ended for its caller. Kind is empty when the connection
+// closed without an outcome.
+type Result struct {
 	Kind   outcome.Kind
 	Reason outcome.Reason
 	Text   string
 	Status int
 }
 
-// Open is a call whose answer is being read.
-type Open struct {
+// OpenCall is a call whose answer is being read.
+type OpenCall struct {
 	Call     Call
 	response *http.Response
 	reader   *bufio.Reader
@@ -65,9 +65,9 @@
 	text     strings.Builder
 }
 
-// Begin sends a call and returns once the answer begins, or nil and what the
-// caller was told when there is none.
-func (daemon *Daemon) Begin(call Call) (*Open, Told) {
+// Begin sends a call and returns once the response begins; if there is none, it
+// returns nil and the result.
+func (daemon *Daemon) Begin(call Call) (*OpenCall, Result) {
 	body, err := json.Marshal(map[string]any{
 		"model": call.Model, "max_tokens": call.Tokens, "stream": call.Stream, "prompt": call.Prompt,
 	})
@@ -75,36 +75,37 @@
 	return daemon.begin("/v1/completions", call, body)
 }
 
-// Do sends a call and reads the whole answer.
-func (daemon *Daemon) Do(call Call) Told {
-	open, told := daemon.Begin(call)
-	if open == nil {
-		return told
+// Do sends a call and reads the answer to its end.
+func (daemon *Daemon) Do(call Call) Result {
+	openCall, result := daemon.Begin(call)
+	if openCall == nil {
+		return result
 	}
-	return open.Finish()
+	return openCall.Finish()
 }
 
-// Service calls the records service; the prompt is the body.
-func (daemon *Daemon) Service(call Call) Told {
-	open, told := daemon.begin(callers.ServicesPath+site.Service+"/opt-outs", call, []byte(call.Prompt))
-	if open == nil {
-		return told
+// CallService calls the records service, with the prompt as the body.
+func (daemon *Daemon) CallService(call Call) Result {
+	openCall, result := daemon.begin(callers.ServicesPath+site.Service+"/opt-outs", call, []byte(call.Prompt))
+	if openCall == nil {
+		return result
 	}
-	return open.Finish()
+	return openCall.Finish()
 }
 
-// readBuffer is what the kernel keeps of an answer that a caller leaves unread.
-const readBuffer = 32 << 10
+// readBufferBytes is the size of the caller's socket buffer. It is small, so that an
+// answer that the caller doesn't read stalls early.
+const readBufferBytes = 32 << 10
 
-func dialSmall(ctx context.Context, network, address string) (net.Conn, error) {
+func dialWithSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return conn, conn.(*net.TCPConn).SetReadBuffer(readBuffer)
+	return conn, conn.(*net.TCPConn).SetReadBuffer(readBufferBytes)
 }
 
-// Abandon sends a call and closes the connection at once.
+// Abandon sends a call and closes the connection without waiting for the answer.
 func (daemon *Daemon) Abandon(call Call) {
 	conn, err := net.Dial("tcp", daemon.Settings.CallerAddress)
 	require.NoError(daemon.site.T, err)
@@ -115,94 +116,94 @@
 	require.NoError(daemon.site.T, err)
 }
 
-func (daemon *Daemon) begin(path string, call Call, body []byte) (*Open, Told) {
+func (daemon *Daemon) begin(path string, call Call, body []byte) (*OpenCall, Result) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+daemon.Settings.CallerAddress+path, bytes.NewReader(body))
 	require.NoError(daemon.site.T, err)
-	request.GetBody = nil // the client must not repeat a request by itself
+	request.GetBody = nil // keeps the client from retrying the request by itself
 	request.Header.Set("Authorization", "Bearer "+site.CallerKey)
 	request.Header.Set("Content-Type", "application/json")
 	if call.Key != "" {
 		request.Header.Set(callers.IdempotencyKeyHeader, call.Key)
 	}
-	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialSmall}}).Do(request)
+	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialWithSmallBuffer}}).Do(request)
 	if err != nil {
 		cancel()
-		return nil, Told{}
+		return nil, Result{}
 	}
-	return &Open{Call: call, response: response, reader: bufio.NewReader(response.Body), cancel: cancel}, Told{}
+	return &OpenCall{Call: call, response: response, reader: bufio.NewReader(response.Body), cancel: cancel}, Result{}
 }
 
-// Streams reports whether the answer comes as server-sent events.
-func (open *Open) Streams() bool {
-	return strings.HasPrefix(open.response.Header.Get("Content-Type"), "text/event-stream")
+// IsStreamed reports whether the answer is sent as server-sent events.
+func (openCall *OpenCall) IsStreamed() bool {
+	return strings.HasPrefix(openCall.response.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// Leave closes the caller's connection.
-func (open *Open) Leave() {
-	open.cancel()
-	_ = open.response.Body.Close()
+// Close closes the caller's connection.
+func (openCall *OpenCall) Close() {
+	openCall.cancel()
+	_ = openCall.response.Body.Close()
 }
 
-// Next reads one streamed token; it reports false at the end.
-func (open *Open) Next() (Told, bool) {
+// ReadToken reads one streamed token; at the end it returns the result and false.
+func (openCall *OpenCall) ReadToken() (Result, bool) {
 	for {
-		line, err := open.reader.ReadString('\n')
+		line, err := openCall.reader.ReadString('\n')
 		if err != nil {
-			return Told{Status: open.response.StatusCode, Text: open.text.String()}, false
+			return Result{Status: openCall.response.StatusCode, Text: openCall.text.String()}, false
 		}
 		payload, isData := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !isData {
 			continue
 		}
 		if payload == "[DONE]" {
-			return Told{
-				Kind: outcome.Answered, Reason: outcome.Complete, Status: open.response.StatusCode, Text: open.text.String(),
+			return Result{
+				Kind: outcome.Answered, Reason: outcome.Complete, Status: openCall.response.StatusCode, Text: openCall.text.String(),
 			}, false
 		}
-		if told, failed := refusalIn([]byte(payload)); failed {
-			told.Status, told.Text = open.response.StatusCode, open.text.String()
-			return told, false
+		if result, failed := parseError([]byte(payload)); failed {
+			result.Status, result.Text = openCall.response.StatusCode, openCall.text.String()
+			return result, false
 		}
-		open.text.WriteString(textIn([]byte(payload)))
-		return Told{}, true
+		openCall.text.WriteString(parseText([]byte(payload)))
+		return Result{}, true
 	}
 }
 
-// Finish reads the rest of the answer and returns what the caller was told.
-func (open *Open) Finish() Told {
-	defer open.Leave()
-	if open.Streams() {
+// Finish reads the rest of the answer and returns the result.
+func (openCall *OpenCall) Finish() Result {
+	defer openCall.Close()
+	if openCall.IsStreamed() {
 		for {
-			if told, more := open.Next(); !more {
-				return told
+			if result, more := openCall.ReadToken(); !more {
+				return result
 			}
 		}
 	}
-	body, err := io.ReadAll(open.reader)
+	body, err := io.ReadAll(openCall.reader)
 	if err != nil {
-		return Told{Status: open.response.StatusCode}
+		return Result{Status: openCall.response.StatusCode}
 	}
-	told := Told{
-		Kind:   outcome.Kind(open.response.Header.Get(callers.OutcomeHeader)),
-		Reason: outcome.Reason(open.response.Header.Get(callers.ReasonHeader)),
-		Status: open.response.StatusCode, Text: textIn(body),
+	result := Result{
+		Kind:   outcome.Kind(openCall.response.Header.Get(callers.OutcomeHeader)),
+		Reason: outcome.Reason(openCall.response.Header.Get(callers.ReasonHeader)),
+		Status: openCall.response.StatusCode, Text: parseText(body),
 	}
-	return told
+	return result
 }
 
-func refusalIn(payload []byte) (Told, bool) {
+func parseError(payload []byte) (Result, bool) {
 	var body struct {
 		Error *struct{ Type, Code string }
 	}
 	if json.Unmarshal(payload, &body) != nil || body.Error == nil {
-		return Told{}, false
+		return Result{}, false
 	}
-	return Told{Kind: outcome.Kind(body.Error.Type), Reason: outcome.Reason(body.Error.Code)}, true
+	return Result{Kind: outcome.Kind(body.Error.Type), Reason: outcome.Reason(body.Error.Code)}, true
 }
 
-func textIn(payload []byte) string {
+func parseText(payload []byte) string {
 	var body struct {
 		Choices []struct{ Text string }
 	}
@@ -212,11 +213,11 @@
 	return body.Choices[0].Text
 }
 
-// whole is the answer that an engine gives to a call.
-func (call Call) whole() string {
+// expectedText returns the answer that a stand-in engine gives to the call.
+func (call Call) expectedText() string {
 	var text strings.Builder
-	for at := range call.Tokens {
-		fmt.Fprintf(&text, "%s#%d ", call.Model, at)
+	for index := range call.Tokens {
+		fmt.Fprintf(&text, "%s#%d ", call.Model, index)
 	}
 	return text.String()
 }
--- a/internal/integration/harness/judge.go
+++ b/internal/integration/harness/judge.go
@@ -9,10 +9,10 @@
 	"teaselmoor/internal/standin/modelengine"
 )
 
-// Ran returns the ledger entries of a call, over all engines.
-func (running *Site) Ran(call Call) []modelengine.LedgerEntry {
+// LedgerEntries returns the ledger entries of a call at all engines.
+func (testSite *Site) LedgerEntries(call Call) []modelengine.LedgerEntry {
 	var found []modelengine.LedgerEntry
-	for _, engine := range running.Engines {
+	for _, engine := range testSite.Engines {
 		for _, entry := range engine.Ledger() {
 			if entry.Prompt == call.Prompt {
 				found = append(found, entry)
@@ -22,29 +22,29 @@
 	return found
 }
 
-// Judge holds what a caller was told against the ledgers.
-func (running *Site) Judge(call Call, told Told) {
-	running.T.Helper()
-	t, ran := running.T, running.Ran(call)
-	switch told.Kind {
+// CheckResult checks the result of a call against the engines' ledgers.
+func (testSite *Site) CheckResult(call Call, result Result) {
+	testSite.T.Helper()
+	t, entries := testSite.T, testSite.LedgerEntries(call)
+	switch result.Kind {
 	case outcome.NotRun:
-		require.Empty(t, ran, "told not run: %+v", told)
+		require.Empty(t, entries, "the result says not run, but an engine ran it: %+v", result)
 	case outcome.Answered:
-		require.Equal(t, call.whole(), told.Text, "the whole answer")
-		require.Condition(t, func() bool { return completed(ran, call.Model) }, "told answered, ran: %+v", ran)
+		require.Equal(t, call.expectedText(), result.Text, "the answer differs from the expected text")
+		require.Condition(t, func() bool { return completed(entries, call.Model) }, "the result says answered, ledger: %+v", entries)
 	default:
-		require.True(t, strings.HasPrefix(call.whole(), told.Text), "no word of another answer: %q", told.Text)
+		require.True(t, strings.HasPrefix(call.expectedText(), result.Text), "text of another answer: %q", result.Text)
 	}
 	if call.Key != "" {
-		require.LessOrEqual(t, len(ran), 1, "not repeatable, ran: %+v", ran)
+		require.LessOrEqual(t, len(entries), 1, "a call with an idempotency key ran twice: %+v", entries)
 	}
-	for _, entry := range ran {
+	for _, entry := range entries {
 		require.Equal(t, call.Model, entry.Model)
 	}
 }
 
-func completed(ran []modelengine.LedgerEntry, model string) bool {
-	for _, entry := range ran {
+func completed(entries []modelengine.LedgerEntry, model string) bool {
+	for _, entry := range entries {
 		if entry.Ended == modelengine.Complete && entry.Served == model {
 			return true
 		}
@@ -52,12 +52,12 @@
 	return false
 }
 
-// JudgeEngines requires that no adapter was unloaded while a run used it.
-func (running *Site) JudgeEngines() {
-	running.T.Helper()
-	for name, engine := range running.Engines {
+// CheckEngines checks that no adapter was unloaded while a run used it.
+func (testSite *Site) CheckEngines() {
+	testSite.T.Helper()
+	for name, engine := range testSite.Engines {
 		for _, entry := range engine.Ledger() {
-			require.False(running.T, entry.Violated, "engine %s: unloaded in use: %+v", name, entry)
+			require.False(testSite.T, entry.Violated, "engine %s: adapter unloaded while in use: %+v", name, entry)
 		}
 	}
 }
--- a/internal/integration/harness/process.go
+++ b/internal/integration/harness/process.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Process is one started program. Every test ends those that it started.
+// Process is one started program. It is killed at the end of the test that started it.
 type Process struct {
 	t       testing.TB
 	command *exec.Cmd
@@ -23,59 +23,59 @@
 	state   *os.ProcessState
 }
 
-// program builds a program of this module once for all tests of a package.
+// program is a program of this module that is built once for all tests of a package.
 type program struct {
-	path  string
-	build sync.Once
-	built string
-	err   error
+	packagePath string
+	buildOnce   sync.Once
+	binaryPath  string
+	err         error
 }
 
 var (
-	teaselmoor = &program{path: "teaselmoor/cmd/teaselmoor"}
-	standIns   = &program{path: "teaselmoor/cmd/standins"}
-	gateways   = &program{path: "teaselmoor/cmd/teaselmoor-gateway"}
+	teaselmoor = &program{packagePath: "teaselmoor/cmd/teaselmoor"}
+	standIns   = &program{packagePath: "teaselmoor/cmd/standins"}
+	gateways   = &program{packagePath: "teaselmoor/cmd/teaselmoor-gateway"}
 )
 
-// binary builds the program at its first use, with the race detector when the
-// test has it.
+// binary returns the path of the program's binary and builds it at the first use,
+// with the race detector if the test has it enabled.
 func (program *program) binary(t testing.TB) string {
 	t.Helper()
-	program.build.Do(func() {
+	program.buildOnce.Do(func() {
 		var directory string
 		if directory, program.err = os.MkdirTemp("", "integration"); program.err != nil {
 			return
 		}
-		program.built = filepath.Join(directory, filepath.Base(program.path))
-		arguments := []string{"build", "-o", program.built}
+		program.binaryPath = filepath.Join(directory, filepath.Base(program.packagePath))
+		arguments := []string{"build", "-o", program.binaryPath}
 		if raceEnabled {
 			arguments = append(arguments, "-race")
 		}
 		var out []byte
-		out, program.err = exec.Command("go", append(arguments, program.path)...).CombinedOutput()
+		out, program.err = exec.Command("go", append(arguments, program.packagePath)...).CombinedOutput()
 		t.Log(string(out))
 	})
-	require.NoError(t, program.err, "build %s", program.path)
-	return program.built
+	require.NoError(t, program.err, "build %s", program.packagePath)
+	return program.binaryPath
 }
 
-// RemoveBinaries removes the built programs; TestMain calls it at its end.
+// RemoveBinaries removes the built programs; TestMain calls it after the tests.
 func RemoveBinaries() {
 	for _, each := range []*program{teaselmoor, standIns, gateways} {
-		if each.built != "" {
-			_ = os.RemoveAll(filepath.Dir(each.built))
+		if each.binaryPath != "" {
+			_ = os.RemoveAll(filepath.Dir(each.binaryPath))
 		}
 	}
 }
 
-// StandIns starts cmd/standins with arguments.
-func StandIns(t testing.TB, arguments ...string) *Process {
+// StartStandIns starts cmd/standins.
+func StartStandIns(t testing.TB, arguments ...string) *Process {
 	t.Helper()
 	return start(t, standIns, nil, arguments...)
 }
 
-// Gateway starts cmd/teaselmoor-gateway with additions to its environment.
-func Gateway(t testing.TB, environment []string, arguments ...string) *Process {
+// StartGateway starts cmd/teaselmoor-gateway with additional environment variables.
+func StartGateway(t testing.TB, environment []string, arguments ...string) *Process {
 	t.Helper()
 	return start(t, gateways, environment, arguments...)
 }
@@ -99,7 +99,7 @@
 	return process
 }
 
-// end kills the process and shows its log when the test failed.
+// end kills the process and prints the end of its log if the test failed.
 func (process *Process) end() {
 	process.Kill()
 	<-process.exited
@@ -108,13 +108,13 @@
 	}
 }
 
-const shownLog = 6000 // bytes
+const maxShownLogBytes = 6000
 
 func tail(text string) string {
-	return text[max(0, len(text)-shownLog):]
+	return text[max(0, len(text)-maxShownLogBytes):]
 }
 
-// Log returns what the process has written.
+// Log returns what the process has written to its standard output and error.
 func (process *Process) Log() string {
 	text, err := os.ReadFile(process.logPath)
 	if err != nil {
@@ -127,31 +127,31 @@
 	_ = process.command.Process.Signal(signal)
 }
 
-// Kill ends the process at once.
+// Kill ends the process with SIGKILL.
 func (process *Process) Kill() { process.signal(syscall.SIGKILL) }
 
-// Freeze stops the process from running until Wake.
+// Freeze suspends the process.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on.
-func (process *Process) Wake() { process.signal(syscall.SIGCONT) }
+// Unfreeze resumes a frozen process.
+func (process *Process) Unfreeze() { process.signal(syscall.SIGCONT) }
 
-// HangUp asks for its settings to be read again.
-func (process *Process) HangUp() { process.signal(syscall.SIGHUP) }
+// ReloadSettings makes the process read its settings again.
+func (process *Process) ReloadSettings() { process.signal(syscall.SIGHUP) }
 
-// Terminate asks for a graceful shutdown.
+// Terminate requests a graceful shutdown.
 func (process *Process) Terminate() { process.signal(syscall.SIGTERM) }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed once the process has ended.
 func (process *Process) Exited() <-chan struct{} { return process.exited }
 
-// ExitCode returns the code of a process that has ended.
+// ExitCode waits until the process has ended and returns its exit code.
 func (process *Process) ExitCode() int {
 	<-process.exited
 	return process.state.ExitCode()
 }
 
-// ResidentBytes is the memory that the process has resident.
+// ResidentBytes returns the resident memory of the process.
 func (process *Process) ResidentBytes() int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", process.command.Process.Pid))
 	require.NoError(process.t, err)
--- a/internal/integration/harness/site.go
+++ b/internal/integration/harness/site.go
@@ -1,7 +1,7 @@
 // Package harness runs daemons as real processes for integration tests. The
-// stand-ins live in the test's own process, so that their ledgers and faults
-// are at hand; a fault proxy stands between each two daemons and before each
-// engine, and every daemon reads a VM list of its own.
+// stand-ins run in the test's own process, so that tests can read their ledgers
+// and set their faults. Connections between daemons and to engines pass through
+// fault proxies, and every daemon reads a VM list of its own.
 package harness
 
 import (
@@ -26,186 +26,186 @@
 	"teaselmoor/internal/standin/site"
 )
 
-// patience is how long a condition is waited for. It only bounds a test that
-// fails; none passes by waiting for a time.
-const patience = 60 * time.Second
+// waitTimeout limits the wait for a condition. Only a failing test reaches it.
+const waitTimeout = 60 * time.Second
 
 const pollInterval = 10 * time.Millisecond
 
-// Site is a set of stand-ins with daemons before them.
+// Site is a set of stand-ins with the daemons that use them.
 type Site struct {
 	*site.Site
 	T       testing.TB
 	Daemons []*Daemon
-	// EngineProxies stand between all daemons and each engine.
+	// EngineProxies holds, for each engine, the proxy through which all daemons
+	// reach it.
 	EngineProxies map[ident.EngineID]*faultproxy.Proxy
 
 	ctx     context.Context
 	vms     []members.VM
 	proxies []*faultproxy.Proxy
-	link    map[[2]int]*faultproxy.Proxy // by index of the dialing and the dialed daemon
+	links   map[[2]int]*faultproxy.Proxy // by indices of the dialing and the dialed daemon
 }
 
-// Daemon is one daemon, as a process that can be started again.
+// Daemon is one daemon, run as a process that can be restarted.
 type Daemon struct {
 	*Process
 	Settings settings.Settings
 	// List is the VM list that this daemon reads.
 	List *platform.Platform
 
-	site *Site
-	path string // of the settings file
+	site         *Site
+	settingsPath string
 }
 
 // New starts stand-ins and daemons and waits until every daemon is ready and
 // knows every engine.
 func New(t testing.TB, options site.Options) *Site {
 	t.Helper()
-	running := Prepare(t, options)
-	for _, daemon := range running.Daemons {
+	testSite := Prepare(t, options)
+	for _, daemon := range testSite.Daemons {
 		daemon.Start()
 	}
-	for _, daemon := range running.Daemons {
+	for _, daemon := range testSite.Daemons {
 		daemon.WaitReady()
 	}
-	return running
+	return testSite
 }
 
-// Prepare starts the stand-ins and proxies; the daemons are not started yet.
+// Prepare starts the stand-ins and proxies, but not the daemons.
 func Prepare(t testing.TB, options site.Options) *Site {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	standIns, err := site.New(ctx, options)
 	require.NoError(t, err)
-	running := &Site{
+	testSite := &Site{
 		Site: standIns, T: t, ctx: ctx,
-		EngineProxies: map[ident.EngineID]*faultproxy.Proxy{}, link: map[[2]int]*faultproxy.Proxy{},
+		EngineProxies: map[ident.EngineID]*faultproxy.Proxy{}, links: map[[2]int]*faultproxy.Proxy{},
 	}
 	t.Cleanup(func() {
 		cancel()
 		standIns.Wait()
-		for _, proxy := range running.proxies {
+		for _, proxy := range testSite.proxies {
 			proxy.Wait()
 		}
 	})
-	running.proxyEngines()
-	running.proxyLinks()
+	testSite.proxyEngines()
+	testSite.proxyLinks()
 	for i := range standIns.Settings {
-		running.addDaemon(i)
+		testSite.addDaemon(i)
 	}
-	running.SetVMs(running.vms)
+	testSite.SetVMs(testSite.vms)
 	require.NoError(t, standIns.Publish())
-	return running
+	return testSite
 }
 
-func (running *Site) proxy(target string) *faultproxy.Proxy {
-	proxy, err := faultproxy.New(running.ctx, "127.0.0.1:0", target)
-	require.NoError(running.T, err)
-	running.proxies = append(running.proxies, proxy)
+func (testSite *Site) startProxy(target string) *faultproxy.Proxy {
+	proxy, err := faultproxy.New(testSite.ctx, "127.0.0.1:0", target)
+	require.NoError(testSite.T, err)
+	testSite.proxies = append(testSite.proxies, proxy)
 	return proxy
 }
 
-func (running *Site) proxyEngines() {
-	for i := range running.Config.Engines {
-		engine := &running.Config.Engines[i]
-		running.EngineProxies[engine.Name] = running.proxy(engine.Address)
-		engine.Address = running.EngineProxies[engine.Name].Address()
+func (testSite *Site) proxyEngines() {
+	for i := range testSite.Config.Engines {
+		engine := &testSite.Config.Engines[i]
+		testSite.EngineProxies[engine.Name] = testSite.startProxy(engine.Address)
+		engine.Address = testSite.EngineProxies[engine.Name].Address()
 	}
 }
 
-// proxyLinks puts a proxy between each two daemons; the one whose name sorts
-// first dials.
-func (running *Site) proxyLinks() {
-	for i, dialing := range running.Settings {
-		running.vms = append(running.vms, members.VM{
+// proxyLinks starts a proxy for each pair of daemons. Of each pair, the daemon
+// whose name sorts first dials.
+func (testSite *Site) proxyLinks() {
+	for i, dialing := range testSite.Settings {
+		testSite.vms = append(testSite.vms, members.VM{
 			Name: dialing.Name, Address: dialing.InnerAddress, Role: members.EntryRole,
 			DataCentre: dialing.DataCentre, Region: dialing.Region, State: members.Live,
 		})
-		for j := i + 1; j < len(running.Settings); j++ {
-			running.link[[2]int{i, j}] = running.proxy(running.Settings[j].InnerAddress)
+		for j := i + 1; j < len(testSite.Settings); j++ {
+			testSite.links[[2]int{i, j}] = testSite.startProxy(testSite.Settings[j].InnerAddress)
 		}
 	}
 }
 
-func (running *Site) addDaemon(at int) {
-	daemon := &Daemon{Settings: running.Settings[at], List: platform.New(0), site: running}
+func (testSite *Site) addDaemon(index int) {
+	daemon := &Daemon{Settings: testSite.Settings[index], List: platform.New(0), site: testSite}
 	listServer := httptest.NewServer(daemon.List)
-	running.T.Cleanup(listServer.Close)
+	testSite.T.Cleanup(listServer.Close)
 	daemon.Settings.VMListAddress = strings.TrimPrefix(listServer.URL, "http://")
-	daemon.path = filepath.Join(running.T.TempDir(), "settings.yaml")
-	daemon.Configure()
-	running.Daemons = append(running.Daemons, daemon)
+	daemon.settingsPath = filepath.Join(testSite.T.TempDir(), "settings.yaml")
+	daemon.WriteSettings()
+	testSite.Daemons = append(testSite.Daemons, daemon)
 }
 
-// Configure writes the daemon's settings, for its next start.
-func (daemon *Daemon) Configure() {
+// WriteSettings writes the daemon's settings file, which is read at its next start.
+func (daemon *Daemon) WriteSettings() {
 	text, err := yaml.Marshal(daemon.Settings)
 	require.NoError(daemon.site.T, err)
-	require.NoError(daemon.site.T, os.WriteFile(daemon.path, text, 0o600))
+	require.NoError(daemon.site.T, os.WriteFile(daemon.settingsPath, text, 0o600))
 }
 
 // Link returns the proxy between two daemons.
-func (running *Site) Link(one, other int) *faultproxy.Proxy {
-	return running.link[[2]int{min(one, other), max(one, other)}]
+func (testSite *Site) Link(one, other int) *faultproxy.Proxy {
+	return testSite.links[[2]int{min(one, other), max(one, other)}]
 }
 
-// Isolate sets the faults on the links between a daemon and all others.
-func (running *Site) Isolate(at int, faults faultproxy.Faults) {
-	for i := range running.Daemons {
-		if i != at {
-			running.Link(at, i).Set(faults)
+// Isolate sets faults on the links between a daemon and all others.
+func (testSite *Site) Isolate(index int, faults faultproxy.Faults) {
+	for i := range testSite.Daemons {
+		if i != index {
+			testSite.Link(index, i).Set(faults)
 		}
 	}
 }
 
-// VMs returns the list of all daemons, live.
-func (running *Site) VMs() []members.VM {
-	return append([]members.VM(nil), running.vms...)
+// VMs returns a VM list that names all daemons as live.
+func (testSite *Site) VMs() []members.VM {
+	return append([]members.VM(nil), testSite.vms...)
 }
 
 // SetVMs publishes a VM list to every daemon.
-func (running *Site) SetVMs(vms []members.VM) {
-	for i := range running.Daemons {
-		running.SetVMsOf(i, vms)
+func (testSite *Site) SetVMs(vms []members.VM) {
+	for i := range testSite.Daemons {
+		testSite.SetVMsOf(i, vms)
 	}
 }
 
-// SetVMsOf publishes a VM list that only one daemon sees. Addresses are those
-// of the proxies on its way.
-func (running *Site) SetVMsOf(at int, vms []members.VM) {
-	seen := append([]members.VM(nil), vms...)
-	for i := range seen {
-		for j := range running.vms {
-			if running.vms[j].Name == seen[i].Name && j != at {
-				seen[i].Address = running.Link(at, j).Address()
+// SetVMsOf publishes a VM list to one daemon. It replaces the addresses of the
+// other daemons by those of the proxies between.
+func (testSite *Site) SetVMsOf(index int, vms []members.VM) {
+	list := append([]members.VM(nil), vms...)
+	for i := range list {
+		for j := range testSite.vms {
+			if testSite.vms[j].Name == list[i].Name && j != index {
+				list[i].Address = testSite.Link(index, j).Address()
 			}
 		}
 	}
-	running.Daemons[at].List.SetVMs(seen)
+	testSite.Daemons[index].List.SetVMs(list)
 }
 
-// Without returns the list of all daemons but those given.
-func (running *Site) Without(gone ...int) []members.VM {
-	var left []members.VM
-	for i, vm := range running.vms {
+// VMsWithout returns the VM list of all daemons except those given.
+func (testSite *Site) VMsWithout(removed ...int) []members.VM {
+	var kept []members.VM
+	for i, vm := range testSite.vms {
 		keep := true
-		for _, each := range gone {
+		for _, each := range removed {
 			keep = keep && each != i
 		}
 		if keep {
-			left = append(left, vm)
+			kept = append(kept, vm)
 		}
 	}
-	return left
+	return kept
 }
 
-// Start starts the daemon's process, also after an earlier one has ended.
+// Start starts the daemon's process; it can be called again once that has ended.
 func (daemon *Daemon) Start() {
 	daemon.site.T.Helper()
-	daemon.Process = start(daemon.site.T, teaselmoor, nil, "serve", "-settings", daemon.path)
+	daemon.Process = start(daemon.site.T, teaselmoor, nil, "serve", "-settings", daemon.settingsPath)
 }
 
-// WaitReady waits until the daemon serves callers and knows every engine.
+// WaitReady waits until the daemon is ready to serve callers and knows every engine.
 func (daemon *Daemon) WaitReady() {
 	daemon.site.T.Helper()
 	daemon.site.WaitFor("daemon ready", func() bool {
@@ -222,8 +222,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// WaitFor waits for a condition.
-func (running *Site) WaitFor(what string, condition func() bool) {
-	running.T.Helper()
-	require.Eventually(running.T, condition, patience, pollInterval, what)
+// WaitFor waits until a condition holds, and fails the test after waitTimeout.
+func (testSite *Site) WaitFor(description string, condition func() bool) {
+	testSite.T.Helper()
+	require.Eventually(testSite.T, condition, waitTimeout, pollInterval, description)
 }
--- a/internal/integration/harness/status.go
+++ b/internal/integration/harness/status.go
@@ -9,7 +9,8 @@
 	"teaselmoor/internal/serve/operators"
 )
 
-// Status is what a daemon says of itself; empty when it does not answer.
+// Status returns the daemon's status report; it is empty if the daemon does not
+// answer.
 func (daemon *Daemon) Status() node.Status {
 	response, err := http.Get("http://" + daemon.Settings.OperatorAddress + operators.StatusPath)
 	if err != nil {
@@ -23,10 +24,10 @@
 	return status
 }
 
-// OwnerOf returns the index of the daemon that owns an engine, as the daemons
-// themselves say; -1 for none.
-func (running *Site) OwnerOf(engine ident.EngineID) int {
-	for i, daemon := range running.Daemons {
+// OwnerOf returns the index of the daemon that reports that it owns an engine, or
+// -1 if none does.
+func (testSite *Site) OwnerOf(engine ident.EngineID) int {
+	for i, daemon := range testSite.Daemons {
 		for _, owned := range daemon.Status().Owned {
 			if owned.Engine == engine {
 				return i
@@ -36,7 +37,7 @@
 	return -1
 }
 
-// OtherThan returns the index of a daemon that is not the given one.
-func (running *Site) OtherThan(at int) int {
-	return (at + 1) % len(running.Daemons)
+// OtherThan returns the index of a daemon other than the given one.
+func (testSite *Site) OtherThan(index int) int {
+	return (index + 1) % len(testSite.Daemons)
 }
--- a/internal/replay/command/command.go
+++ b/internal/replay/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of replay.
+// Package command implements the command line of the replay tool.
 package command
 
 import (
@@ -21,7 +21,7 @@
 		Usage:  "replay request traces through the decisions and print what was measured",
 		Action: run,
 		Commands: []*cli.Command{{
-			Name: "rounds", Usage: "draw a table of measured rounds", ArgsUsage: "TABLE.csv DRAWING.svg", Action: drawRounds,
+			Name: "rounds", Usage: "draw a table of measured rounds", ArgsUsage: "TABLE.csv DRAWING.svg", Action: plotRounds,
 			Flags: []cli.Flag{&cli.StringFlag{Name: "title", Usage: "`TEXT` over the drawing"}},
 		}},
 		Flags: []cli.Flag{
@@ -42,7 +42,7 @@
 }
 
 func run(invocation *cli.Context) error {
-	setups, err := setupsOf(invocation)
+	setups, err := listSetups(invocation)
 	if err != nil {
 		return err
 	}
@@ -59,23 +59,23 @@
 	return write(invocation, columns, summaries)
 }
 
-func drawRounds(invocation *cli.Context) error {
+func plotRounds(invocation *cli.Context) error {
 	if invocation.NArg() != 2 {
-		return errors.New("rounds: give the table and the drawing")
+		return errors.New("rounds: want two arguments, the paths of the table and of the drawing")
 	}
-	text, err := os.Open(invocation.Args().Get(0))
+	file, err := os.Open(invocation.Args().Get(0))
 	if err != nil {
 		return errors.Wrap(err, "rounds")
 	}
-	defer func() { _ = text.Close() }()
-	rounds, err := report.ReadRounds(text)
+	defer func() { _ = file.Close() }()
+	rounds, err := report.ReadRounds(file)
 	if err != nil {
 		return err
 	}
 	return rounds.Plot(invocation.Args().Get(1), invocation.String("title"))
 }
 
-func siteOf(name string) (experiment.Site, error) {
+func siteNamed(name string) (experiment.Site, error) {
 	switch strings.ToLower(name) {
 	case "cantabrica":
 		return experiment.Cantabrica(), nil
@@ -85,13 +85,13 @@
 	return experiment.Site{}, errors.Errorf("site %q: want cantabrica or ramcharan", name)
 }
 
-// setupsOf lists the replays asked for: by policy, rate and seed.
-func setupsOf(invocation *cli.Context) ([]experiment.Setup, error) {
-	site, err := siteOf(invocation.String("site"))
+// listSetups returns the requested replays, ordered by policy, rate and seed.
+func listSetups(invocation *cli.Context) ([]experiment.Setup, error) {
+	site, err := siteNamed(invocation.String("site"))
 	if err != nil {
 		return nil, err
 	}
-	policies, err := policiesOf(invocation.String("policies"))
+	policies, err := policiesNamed(invocation.String("policies"))
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 		for _, rate := range invocation.Float64Slice("rates") {
 			for seed := range invocation.Int("seeds") {
 				setup := experiment.NewSetup(site, policy, uint64(seed+1), rate)
-				setup.Resize(clock.Millis(invocation.Int("span")) * clock.Second)
+				setup.SetDuration(clock.Millis(invocation.Int("span")) * clock.Second)
 				setup.Flood = invocation.Float64("flood")
 				if invocation.Bool("faultless") {
 					setup.Faults, setup.FailLoadShare = experiment.Faults{}, 0
@@ -112,20 +112,20 @@
 	return setups, nil
 }
 
-func policiesOf(names string) ([]experiment.Policy, error) {
+func policiesNamed(names string) ([]experiment.Policy, error) {
 	known := experiment.Policies()
 	if names == "all" {
 		return known, nil
 	}
-	var chosen []experiment.Policy
+	var selected []experiment.Policy
 	for name := range strings.SplitSeq(names, ",") {
-		at := slices.IndexFunc(known, func(policy experiment.Policy) bool { return policy.Name == strings.TrimSpace(name) })
-		if at < 0 {
-			return nil, errors.Errorf("policy %q is not known; known: %s", name, strings.Join(policyNames(known), ", "))
+		index := slices.IndexFunc(known, func(policy experiment.Policy) bool { return policy.Name == strings.TrimSpace(name) })
+		if index < 0 {
+			return nil, errors.Errorf("unknown policy %q; known policies: %s", name, strings.Join(policyNames(known), ", "))
 		}
-		chosen = append(chosen, known[at])
+		selected = append(selected, known[index])
 	}
-	return chosen, nil
+	return selected, nil
 }
 
 func policyNames(policies []experiment.Policy) []string {
@@ -137,7 +137,7 @@
 }
 
 func write(invocation *cli.Context, columns []report.Column, summaries []report.Summary) error {
-	shown, reduced := only(invocation.String("only"), columns, summaries)
+	shown, reduced := filterColumns(invocation.String("only"), columns, summaries)
 	if err := report.Table(os.Stdout, shown, reduced); err != nil {
 		return err
 	}
@@ -168,8 +168,9 @@
 	return errors.Wrap(file.Close(), "close CSV file")
 }
 
-// only keeps the figures whose name contains one of the texts.
-func only(texts string, columns []report.Column, summaries []report.Summary) ([]report.Column, []report.Summary) {
+// filterColumns returns the columns whose name contains one of the comma-separated
+// texts, and the summaries reduced to them.
+func filterColumns(texts string, columns []report.Column, summaries []report.Summary) ([]report.Column, []report.Summary) {
 	if texts == "" {
 		return columns, summaries
 	}
@@ -179,14 +180,14 @@
 		reduced[i] = summaries[i]
 		reduced[i].Mean, reduced[i].Spread = nil, nil
 	}
-	for at, column := range columns {
+	for index, column := range columns {
 		if !containsAny(column.Name, texts) {
 			continue
 		}
 		kept = append(kept, column)
 		for i := range summaries {
-			reduced[i].Mean = append(reduced[i].Mean, summaries[i].Mean[at])
-			reduced[i].Spread = append(reduced[i].Spread, summaries[i].Spread[at])
+			reduced[i].Mean = append(reduced[i].Mean, summaries[i].Mean[index])
+			reduced[i].Spread = append(reduced[i].Spread, summaries[i].Spread[index])
 		}
 	}
 	return kept, reduced
--- a/internal/replay/experiment/all.go
+++ b/internal/replay/experiment/all.go
@@ -8,12 +8,12 @@
 	"teaselmoor/internal/base/task"
 )
 
-// RunAll runs replays, a few at a time, and returns the results in the order of
-// the setups.
+// RunAll runs replays, as many at a time as there are workers, and returns the
+// results in the order of the setups.
 func RunAll(ctx context.Context, workers int, setups []Setup) ([]Result, error) {
 	group := task.New(ctx)
 	results := make([]Result, len(setups))
-	next, left := 0, len(setups)
+	next, unfinished := 0, len(setups)
 	start := func() {
 		index := next
 		next++
@@ -28,11 +28,11 @@
 	}
 	var failure error
 	group.Reap(func(end task.End) {
-		left--
+		unfinished--
 		if end.Err != nil {
 			failure = errors.Wrap(end.Err, end.Name)
 		}
-		if failure != nil || left == 0 {
+		if failure != nil || unfinished == 0 {
 			group.Stop()
 		} else if next < len(setups) {
 			start()
--- a/internal/replay/experiment/bound.go
+++ b/internal/replay/experiment/bound.go
@@ -8,36 +8,39 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Offline returns the bound that no policy can know in advance: the whole trace
-// is known, all slots form one pool, the adapter needed furthest in the future
-// is evicted (Belady's rule), engines have room at once, nothing fails, and
-// the store loads one adapter after the other in order of arrival.
+// Offline returns a policy that computes a lower bound with knowledge that no real
+// policy has. The whole trace is known in advance, all slots form one pool, the
+// adapter needed furthest in the future is evicted (Belady's rule), engines always
+// have a free place in the batch, nothing fails, and the store loads one adapter
+// after the other in order of arrival.
 //
-// It bounds from below the number of loads of any policy that serves requests
-// in order of arrival. Its stalls are those of its own schedule: a policy that
-// serves out of order, or refuses, can have shorter ones.
+// The number of loads is a lower bound for any policy that serves requests in order
+// of arrival. The stalls are no bound, but those of this schedule: a policy that
+// serves out of order, or refuses requests, can have shorter ones.
 func Offline() Policy {
 	return Policy{Name: "offline", offline: true}
 }
 
-// offline is the state of the bound's computation.
+// offline is the state of the computation of the bound.
 type offline struct {
-	meter  *meter
-	slots  int
-	freeAt clock.Millis
-	// readyAt holds the resident adapters and when their load ends.
+	meter *meter
+	slots int
+	// storeFreeAt is when the weight store has finished the loads so far.
+	storeFreeAt clock.Millis
+	// readyAt holds, for each resident adapter, the time at which its load ends.
 	readyAt map[int]clock.Millis
-	// nextUse holds, for each arrival, the index of the next one of its adapter.
+	// nextUse holds, for each request of the trace, the index of the next request
+	// for the same adapter.
 	nextUse []int
-	// upcoming holds the index of the next use of each resident adapter.
+	// upcoming holds, for each resident adapter, the index of the next request for it.
 	upcoming map[int]int
 }
 
-// never is the next use of an adapter that is not asked for again.
-const never = math.MaxInt
+// noNextUse is the next use of an adapter that is not requested again.
+const noNextUse = math.MaxInt
 
-// loadSpan is the span that the weight store takes for a load.
-const loadSpan = clock.Second / storeRate
+// loadDuration is the time that the weight store takes for one load.
+const loadDuration = clock.Second / storeLoadsPerSecond
 
 func runOffline(meter *meter) Result {
 	meter.start = 1
@@ -45,13 +48,13 @@
 		meter: meter, slots: meter.setup.Site.Engines * meter.setup.Site.Slots,
 		readyAt: map[int]clock.Millis{}, upcoming: map[int]int{}, nextUse: make([]int, len(meter.trace)),
 	}
-	last := map[int]int{}
+	following := map[int]int{} // index of the next request, by adapter
 	for i := len(meter.trace) - 1; i >= 0; i-- {
-		bound.nextUse[i] = never
-		if next, found := last[meter.trace[i].Adapter]; found {
+		bound.nextUse[i] = noNextUse
+		if next, found := following[meter.trace[i].Adapter]; found {
 			bound.nextUse[i] = next
 		}
-		last[meter.trace[i].Adapter] = i
+		following[meter.trace[i].Adapter] = i
 	}
 	for i := range meter.trace {
 		bound.serve(i)
@@ -60,14 +63,14 @@
 }
 
 func (offline *offline) serve(index int) {
-	arrival := offline.meter.trace[index]
-	at := offline.meter.start + arrival.At
-	ready, held := offline.readyAt[arrival.Adapter]
+	request := offline.meter.trace[index]
+	at := offline.meter.start + request.At
+	ready, held := offline.readyAt[request.Adapter]
 	if !held {
-		ready = offline.load(at, arrival.Adapter)
+		ready = offline.load(at, request.Adapter)
 	}
-	offline.upcoming[arrival.Adapter] = offline.nextUse[index]
-	offline.meter.began[index] = max(at, ready)
+	offline.upcoming[request.Adapter] = offline.nextUse[index]
+	offline.meter.startedAt[index] = max(at, ready)
 	offline.meter.stalls[index] = max(0, ready-at)
 	offline.meter.answers[index] = &effect.Answer{Outcome: outcome.Done()}
 }
@@ -76,21 +79,21 @@
 	if len(offline.readyAt) >= offline.slots {
 		offline.evict(at)
 	}
-	offline.freeAt = max(offline.freeAt, at) + loadSpan
-	offline.readyAt[adapter] = offline.freeAt
-	offline.meter.loaded(offline.freeAt, "", adapterOf(adapter), false)
-	return offline.freeAt
+	offline.storeFreeAt = max(offline.storeFreeAt, at) + loadDuration
+	offline.readyAt[adapter] = offline.storeFreeAt
+	offline.meter.loadEnded(offline.storeFreeAt, "", adapterOf(adapter), false)
+	return offline.storeFreeAt
 }
 
 func (offline *offline) evict(at clock.Millis) {
 	furthest := -1
 	for adapter, next := range offline.upcoming {
-		known := furthest >= 0
-		if !known || next > offline.upcoming[furthest] || next == offline.upcoming[furthest] && adapter < furthest {
+		found := furthest >= 0
+		if !found || next > offline.upcoming[furthest] || next == offline.upcoming[furthest] && adapter < furthest {
 			furthest = adapter
 		}
 	}
 	delete(offline.readyAt, furthest)
 	delete(offline.upcoming, furthest)
-	offline.meter.unloaded(at, "", adapterOf(furthest))
+	offline.meter.adapterUnloaded(at, "", adapterOf(furthest))
 }
--- a/internal/replay/experiment/experiment.go
+++ b/internal/replay/experiment/experiment.go
@@ -1,7 +1,7 @@
 // Package experiment replays a request trace through the daemons' own decision
-// code on virtual time, with faults, and measures load stalls, batch
-// efficiency and outcomes. It is not a model of a cluster: engines, weight
-// store and network are the small fakes of package nodetest.
+// code in virtual time, with faults, and measures load stalls, batch efficiency
+// and outcomes. It does not model a cluster in detail: engines, weight store and
+// network are the simple fakes of package nodetest.
 package experiment
 
 import (
@@ -24,173 +24,177 @@
 	Seed   uint64
 	// Rate is the mean number of requests per second.
 	Rate float64
-	// Flood is the number of further routine requests per second.
+	// Flood is the mean number of additional routine requests per second.
 	Flood float64
-	// Warm is the span before measuring begins, Span the whole length.
-	Warm, Span clock.Millis
-	// Faults are what goes wrong, besides failing loads.
+	// WarmUp is the time before measuring begins; Duration is the length of the trace,
+	// warm-up included.
+	WarmUp, Duration clock.Millis
+	// Faults are the faults to inject, besides failed loads.
 	Faults Faults
 	// FailLoadShare is the share of loads that fail, from 0 to 1.
 	FailLoadShare float64
 }
 
-// Faults are points in time from the start; 0 leaves a fault out.
+// Faults holds the time of each fault since the start of the trace; 0 means that
+// the fault is not injected.
 type Faults struct {
-	// EngineRestart is when the first engine restarts cold.
+	// EngineRestart is when the first engine restarts without loaded adapters.
 	EngineRestart clock.Millis
-	// DaemonLost is when the owner of the first engine dies without a word.
-	DaemonLost clock.Millis
+	// OwnerKilled is when the owner of the first engine is killed.
+	OwnerKilled clock.Millis
 }
 
-// NewSetup returns the standard replay of a site, policy and seed.
+// NewSetup returns the standard setup for a site, policy, seed and rate.
 func NewSetup(site Site, policy Policy, seed uint64, rate float64) Setup {
-	const span = 900 * clock.Second
+	const duration = 900 * clock.Second
 	return Setup{
 		Site: site, Policy: policy, Seed: seed, Rate: rate,
-		Warm: 120 * clock.Second, Span: span, FailLoadShare: 0.02,
-		Faults: Faults{EngineRestart: span / 2, DaemonLost: span * 2 / 3},
+		WarmUp: 120 * clock.Second, Duration: duration, FailLoadShare: 0.02,
+		Faults: Faults{EngineRestart: duration / 2, OwnerKilled: duration * 2 / 3},
 	}
 }
 
 const (
-	// settle is the span in which daemons learn of their engines before the
-	// first request.
-	settle = 5 * clock.Second
-	// drain is the span that the last requests have to end.
-	drain = 60 * clock.Second
-	// listLag is the span after which the VM list shows that a daemon is lost.
-	listLag = 5 * clock.Second
+	// settleDuration is the time before the first request, in which daemons receive
+	// the state of the engines.
+	settleDuration = 5 * clock.Second
+	// drainDuration is the time after the trace in which the last requests can end.
+	drainDuration = 60 * clock.Second
+	// listDelay is the time until the VM list no longer names a killed daemon.
+	listDelay = 5 * clock.Second
 )
 
 // replay is one replay in progress.
 type replay struct {
-	setup   Setup
-	trace   []workload.Request
-	network *nodetest.Network
-	random  *rand.Rand
-	vms     []members.VM
-	live    []ident.DaemonID
-	meter   *meter
+	setup       Setup
+	trace       []workload.Request
+	network     *nodetest.Network
+	random      *rand.Rand
+	vms         []members.VM
+	liveDaemons []ident.DaemonID
+	meter       *meter
 }
 
 // Run replays a setup and returns what was measured.
 func Run(setup Setup) (Result, error) {
-	trace := workload.Trace(setup.Site.Profile, setup.Seed, setup.Rate, setup.Span)
-	trace = workload.Flood(setup.Site.Profile, setup.Seed, trace, setup.Flood, setup.Span)
-	running := &replay{
+	trace := workload.Trace(setup.Site.Profile, setup.Seed, setup.Rate, setup.Duration)
+	trace = workload.Flood(setup.Site.Profile, setup.Seed, trace, setup.Flood, setup.Duration)
+	replay := &replay{
 		setup: setup, trace: trace, random: rand.New(rand.NewPCG(setup.Seed, 2)),
 		vms: setup.Site.vms(), meter: newMeter(setup, trace),
 	}
 	if setup.Policy.offline {
-		return runOffline(running.meter), nil
+		return runOffline(replay.meter), nil
 	}
 	options := node.DefaultOptions()
 	options.Weights.BatchGain = setup.Site.BatchGain
 	if setup.Policy.Apply != nil {
-		setup.Policy.Apply(&options, Knowledge{Trace: trace, Start: nodetest.Start + settle, Seed: setup.Seed})
+		setup.Policy.Apply(&options, Knowledge{Trace: trace, Start: nodetest.Start + settleDuration, Seed: setup.Seed})
 	}
 	network, err := nodetest.New(nodetest.Options{
 		Seed: setup.Seed, Delay: 1, Jitter: 1, TickInterval: 50,
-		Config: setup.Site.config(), VMs: running.vms, Node: options,
+		Config: setup.Site.config(), VMs: replay.vms, Node: options,
 		Engine: nodetest.EngineOptions{
 			LoadDuration: 500, ReportLag: 500, FailLoadShare: setup.FailLoadShare, Step: setup.Site.Step,
 		},
-		Observer: running.meter.observer(), PerfectKnowledge: setup.Policy.Instant,
+		Observer: replay.meter.observer(), PerfectKnowledge: setup.Policy.PerfectKnowledge,
 	})
 	if err != nil {
 		return Result{}, err
 	}
-	running.network = network
-	running.live = network.HostNames()
-	running.play()
-	result := running.meter.result()
+	replay.network = network
+	replay.liveDaemons = network.HostNames()
+	replay.run()
+	result := replay.meter.result()
 	for i := range setup.Site.Engines {
 		result.Violations = append(result.Violations, network.Engines[engineName(i)].Violations...)
 	}
 	return result, nil
 }
 
-func (replay *replay) play() {
-	replay.network.Run(settle)
+func (replay *replay) run() {
+	replay.network.Run(settleDuration)
 	start := replay.network.Now
 	replay.meter.start = start
-	faults := replay.faults()
-	for i, arrival := range replay.trace {
-		for len(faults) > 0 && faults[0].at <= arrival.At {
+	faults := replay.plannedFaults()
+	for i, request := range replay.trace {
+		for len(faults) > 0 && faults[0].at <= request.At {
 			replay.network.Run(start + faults[0].at - replay.network.Now)
-			faults[0].do()
+			faults[0].inject()
 			faults = faults[1:]
 		}
-		replay.network.Run(start + arrival.At - replay.network.Now)
-		replay.arrive(i, arrival)
+		replay.network.Run(start + request.At - replay.network.Now)
+		replay.sendRequest(i, request)
 	}
-	replay.network.Run(drain)
+	replay.network.Run(drainDuration)
 }
 
-// arrive brings a request to a live daemon, as the platform's balancer does.
-func (replay *replay) arrive(index int, arrival workload.Request) {
-	daemon := replay.live[replay.random.IntN(len(replay.live))]
+// sendRequest sends a request to a random live daemon, as the platform's load
+// balancer does.
+func (replay *replay) sendRequest(index int, request workload.Request) {
+	daemon := replay.liveDaemons[replay.random.IntN(len(replay.liveDaemons))]
 	replay.network.SendRequest(daemon, node.RequestArrived{
-		RequestID: strconv.Itoa(index), APIKey: arrival.Class.String(), Path: "/v1/completions",
-		Model: adapterOf(arrival.Adapter).String(), Body: []byte(strconv.Itoa(arrival.Tokens)),
+		RequestID: strconv.Itoa(index), APIKey: request.Class.String(), Path: "/v1/completions",
+		Model: adapterOf(request.Adapter).String(), Body: []byte(strconv.Itoa(request.Tokens)),
 	})
 }
 
 type fault struct {
-	at clock.Millis
-	do func()
+	at     clock.Millis
+	inject func()
 }
 
-// faults lists what goes wrong, in order of time.
-func (replay *replay) faults() []fault {
+// plannedFaults returns the faults to inject, in order of time.
+func (replay *replay) plannedFaults() []fault {
 	var list []fault
-	planned := replay.setup.Faults
-	if planned.EngineRestart > 0 {
-		list = append(list, fault{at: planned.EngineRestart, do: replay.restartEngine})
+	faults := replay.setup.Faults
+	if faults.EngineRestart > 0 {
+		list = append(list, fault{at: faults.EngineRestart, inject: replay.restartEngine})
 	}
-	if planned.DaemonLost > 0 {
-		var lost ident.DaemonID
+	if faults.OwnerKilled > 0 {
+		var killed ident.DaemonID
 		list = append(list,
-			fault{at: planned.DaemonLost, do: func() { lost = replay.killOwner(engineName(0)) }},
-			fault{at: planned.DaemonLost + listLag, do: func() { replay.delist(lost) }})
+			fault{at: faults.OwnerKilled, inject: func() { killed = replay.killOwner(engineName(0)) }},
+			fault{at: faults.OwnerKilled + listDelay, inject: func() { replay.removeFromVMList(killed) }})
 	}
 	return list
 }
 
 func (replay *replay) restartEngine() {
 	replay.network.Engines[engineName(0)].Restart()
-	replay.meter.restarted(engineName(0))
+	replay.meter.engineRestarted(engineName(0))
 }
 
-// killOwner ends the daemon that owns an engine and returns its name.
+// killOwner kills the daemon that owns an engine and returns its name, or an empty
+// one if none owns it.
 func (replay *replay) killOwner(engine ident.EngineID) ident.DaemonID {
-	var lost ident.DaemonID
+	var killed ident.DaemonID
 	for _, name := range replay.network.HostNames() {
 		for _, state := range replay.network.Nodes[name].Node.Status(replay.network.Now).Owned {
 			if state.Engine == engine {
-				lost = name
+				killed = name
 			}
 		}
 	}
-	if lost == "" {
+	if killed == "" {
 		return ""
 	}
-	replay.network.Kill(lost)
-	kept := replay.live[:0]
-	for _, name := range replay.live {
-		if name != lost {
+	replay.network.Kill(killed)
+	kept := replay.liveDaemons[:0]
+	for _, name := range replay.liveDaemons {
+		if name != killed {
 			kept = append(kept, name)
 		}
 	}
-	replay.live = kept
-	return lost
+	replay.liveDaemons = kept
+	return killed
 }
 
-// delist takes a lost daemon off the VM list.
-func (replay *replay) delist(lost ident.DaemonID) {
+// removeFromVMList removes a killed daemon from the VM list.
+func (replay *replay) removeFromVMList(killed ident.DaemonID) {
 	kept := make([]members.VM, 0, len(replay.vms))
 	for _, vm := range replay.vms {
-		if vm.Name != string(lost) {
+		if vm.Name != string(killed) {
 			kept = append(kept, vm)
 		}
 	}
@@ -198,14 +202,14 @@
 	replay.network.SetVMs(kept)
 }
 
-// Classes lists the urgency classes in order.
+// Classes returns the urgency classes in order.
 func Classes() []config.Class {
 	return []config.Class{config.Urgent, config.Routine}
 }
 
-// Resize changes the length of the replay; faults keep their relative place.
-func (setup *Setup) Resize(span clock.Millis) {
-	setup.Faults.EngineRestart = setup.Faults.EngineRestart * span / setup.Span
-	setup.Faults.DaemonLost = setup.Faults.DaemonLost * span / setup.Span
-	setup.Span = span
+// SetDuration changes the length of the trace and moves the faults in proportion.
+func (setup *Setup) SetDuration(duration clock.Millis) {
+	setup.Faults.EngineRestart = setup.Faults.EngineRestart * duration / setup.Duration
+	setup.Faults.OwnerKilled = setup.Faults.OwnerKilled * duration / setup.Duration
+	setup.Duration = duration
 }
--- a/internal/replay/experiment/experiment_test.go
+++ b/internal/replay/experiment/experiment_test.go
@@ -11,13 +11,13 @@
 
 func shortSetup(policy experiment.Policy) experiment.Setup {
 	setup := experiment.NewSetup(experiment.Cantabrica(), policy, 1, 2)
-	setup.Warm = 20 * clock.Second
-	setup.Resize(60 * clock.Second)
+	setup.WarmUp = 20 * clock.Second
+	setup.SetDuration(60 * clock.Second)
 	return setup
 }
 
-// TestReplayRepeatsItself holds every policy to the same figures at the second
-// run, faults included: nothing may hang on the order of a map.
+// TestReplayRepeatsItself checks that a second run of the same setup, faults included,
+// gives the same result. A dependence on the iteration order of a map would break it.
 func TestReplayRepeatsItself(t *testing.T) {
 	for _, policy := range []experiment.Policy{experiment.ResidencyFirst(), experiment.Product(), experiment.Offline()} {
 		t.Run(policy.Name, func(t *testing.T) {
@@ -31,11 +31,12 @@
 	}
 }
 
-// TestReplayCountsEachRequestOnce checks the meter against the trace.
+// TestReplayCountsEachRequestOnce checks that each request of the trace is counted
+// under exactly one outcome.
 func TestReplayCountsEachRequestOnce(t *testing.T) {
 	result, err := experiment.Run(shortSetup(experiment.Product()))
 	require.NoError(t, err)
-	counted := result.Silent
+	counted := result.WithoutOutcome
 	for _, class := range result.Classes {
 		counted += class.InTime + class.Missed + class.Refused
 	}
--- a/internal/replay/experiment/meter.go
+++ b/internal/replay/experiment/meter.go
@@ -15,61 +15,66 @@
 )
 
 const (
-	// longest is the longest wait that histograms tell apart.
-	longest = int64(10 * clock.Minute)
-	// digits is the number of significant digits of histograms.
-	digits = 3
+	// longestWait is the longest wait that histograms can hold, in milliseconds.
+	longestWait = int64(10 * clock.Minute)
+	// significantDigits is the precision of histograms.
+	significantDigits = 3
 )
 
-// Class is what was measured for one urgency class.
-type Class struct {
+// ClassResult holds the measurements of one urgency class.
+type ClassResult struct {
 	Requests int
-	// Stall is the wait for an adapter to load, in milliseconds. A request that
-	// never began counts with its whole deadline.
+	// Stall is the wait for an adapter to load, in milliseconds. A request that no
+	// engine started counts with its whole deadline.
 	Stall *hdrhistogram.Histogram
-	// Latency is the wait until an engine began the request, with the same rule.
+	// Latency is the wait until an engine started the request, in milliseconds, with
+	// the same rule.
 	Latency *hdrhistogram.Histogram
-	// InTime counts answers that began by their deadline; Missed counts the
-	// requests accepted that did not; Refused counts refusals on arrival.
+	// InTime counts requests that were started by their deadline and answered. Refused
+	// counts those that ended as DeadlineUnreachable or QueueFull. Missed counts all
+	// others with an outcome.
 	InTime, Missed, Refused int
 }
 
-// Result is what one replay measured.
+// Result holds the measurements of one replay.
 type Result struct {
 	Setup   Setup
-	Classes [config.ClassCount]Class
-	// Refusals counts final outcomes other than answers, by reason.
+	Classes [config.ClassCount]ClassResult
+	// Refusals counts the outcomes other than answers, by reason.
 	Refusals map[outcome.Reason]int
-	// Silent counts requests without any outcome: those of a lost entry.
-	Silent int
-	// Loads counts loads, FailedLoads those that failed, and DuplicateLoads
-	// those of an adapter that another engine held.
+	// WithoutOutcome counts requests without an outcome: those whose entry was killed.
+	WithoutOutcome int
+	// Loads counts all loads, FailedLoads those that failed, and DuplicateLoads those
+	// of an adapter that another engine already held.
 	Loads, FailedLoads, DuplicateLoads int
 	Evictions                          int
-	// Steps counts engine steps, and StepShare sums the share of each in use.
-	Steps     int
-	StepShare float64
-	// StoreShare is the share of time in which the weight store was in use.
+	// Steps counts engine steps, and BatchShareSum sums the share of the batch that
+	// each step used.
+	Steps         int
+	BatchShareSum float64
+	// StoreShare is the share of time in which the weight store was busy.
 	StoreShare float64
-	// Violations lists orders that broke a promise, such as an unload in use.
+	// Violations lists orders that violated an engine's rules, such as the unload of
+	// an adapter in use.
 	Violations []string
 }
 
-// BatchEfficiency is the mean share of a step's capacity in use.
+// BatchEfficiency returns the mean share of the batch capacity that a step used.
 func (result Result) BatchEfficiency() float64 {
 	if result.Steps == 0 {
 		return 0
 	}
-	return result.StepShare / float64(result.Steps)
+	return result.BatchShareSum / float64(result.Steps)
 }
 
-// Goodput is the number of answers per second that began by their deadline.
+// Goodput returns the number of answered requests per second that were started by
+// their deadline.
 func (result Result) Goodput() float64 {
 	inTime := 0
 	for class := range result.Classes {
 		inTime += result.Classes[class].InTime
 	}
-	return float64(inTime) / (result.Setup.Span - result.Setup.Warm).Seconds()
+	return float64(inTime) / (result.Setup.Duration - result.Setup.WarmUp).Seconds()
 }
 
 type residency struct {
@@ -77,142 +82,143 @@
 	adapter ident.Adapter
 }
 
-// meter observes a replay.
+// meter measures a replay through an observer of the network.
 type meter struct {
-	setup    Setup
-	trace    []workload.Request
-	start    clock.Millis
-	loadedAt map[residency]clock.Millis
-	copies   map[ident.Adapter]int
-	began    []clock.Millis
-	stalls   []clock.Millis
-	answers  []*effect.Answer
-	measured Result
+	setup     Setup
+	trace     []workload.Request
+	start     clock.Millis
+	loadedAt  map[residency]clock.Millis
+	replicas  map[ident.Adapter]int
+	startedAt []clock.Millis
+	stalls    []clock.Millis
+	answers   []*effect.Answer
+	totals    Result
 }
 
 func newMeter(setup Setup, trace []workload.Request) *meter {
 	return &meter{
-		setup: setup, trace: trace, loadedAt: map[residency]clock.Millis{}, copies: map[ident.Adapter]int{},
-		began: make([]clock.Millis, len(trace)), stalls: make([]clock.Millis, len(trace)),
-		answers:  make([]*effect.Answer, len(trace)),
-		measured: Result{Setup: setup, Refusals: map[outcome.Reason]int{}},
+		setup: setup, trace: trace, loadedAt: map[residency]clock.Millis{}, replicas: map[ident.Adapter]int{},
+		startedAt: make([]clock.Millis, len(trace)), stalls: make([]clock.Millis, len(trace)),
+		answers: make([]*effect.Answer, len(trace)),
+		totals:  Result{Setup: setup, Refusals: map[outcome.Reason]int{}},
 	}
 }
 
 func (meter *meter) observer() nodetest.Observer {
 	return nodetest.Observer{
-		RunStarted: meter.runBegan, RequestAnswered: meter.answered, BatchStepped: meter.stepped,
-		LoadEnded: meter.loaded, AdapterUnloaded: meter.unloaded,
+		RunStarted: meter.runStarted, RequestAnswered: meter.requestAnswered, BatchStepped: meter.batchStepped,
+		LoadEnded: meter.loadEnded, AdapterUnloaded: meter.adapterUnloaded,
 	}
 }
 
-// warm reports whether measuring has begun.
-func (meter *meter) warm(at clock.Millis) bool {
-	return meter.start > 0 && at >= meter.start+meter.setup.Warm && at < meter.start+meter.setup.Span
+// isMeasured reports whether a time lies between the end of the warm-up and the end
+// of the trace.
+func (meter *meter) isMeasured(at clock.Millis) bool {
+	return meter.start > 0 && at >= meter.start+meter.setup.WarmUp && at < meter.start+meter.setup.Duration
 }
 
-func (meter *meter) runBegan(at clock.Millis, request string, engine ident.EngineID) {
+func (meter *meter) runStarted(at clock.Millis, request string, engine ident.EngineID) {
 	index, _ := strconv.Atoi(request)
-	if meter.began[index] != 0 {
+	if meter.startedAt[index] != 0 {
 		return
 	}
-	meter.began[index] = at
-	arrived := meter.start + meter.trace[index].At
-	loaded := meter.loadedAt[residency{engine: engine, adapter: adapterOf(meter.trace[index].Adapter)}]
-	meter.stalls[index] = max(0, loaded-arrived)
+	meter.startedAt[index] = at
+	arrivedAt := meter.start + meter.trace[index].At
+	loadedAt := meter.loadedAt[residency{engine: engine, adapter: adapterOf(meter.trace[index].Adapter)}]
+	meter.stalls[index] = max(0, loadedAt-arrivedAt)
 }
 
-func (meter *meter) answered(_ clock.Millis, request string, answer effect.Answer) {
+func (meter *meter) requestAnswered(_ clock.Millis, request string, answer effect.Answer) {
 	index, _ := strconv.Atoi(request)
 	meter.answers[index] = &answer
 }
 
-func (meter *meter) stepped(_ ident.EngineID, batch, capacity int) {
+func (meter *meter) batchStepped(_ ident.EngineID, batch, capacity int) {
 	if meter.start == 0 {
 		return
 	}
-	meter.measured.Steps++
-	meter.measured.StepShare += float64(batch) / float64(capacity)
+	meter.totals.Steps++
+	meter.totals.BatchShareSum += float64(batch) / float64(capacity)
 }
 
-func (meter *meter) loaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool) {
+func (meter *meter) loadEnded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool) {
 	if !failed {
 		meter.loadedAt[residency{engine: engine, adapter: adapter}] = at
-		meter.copies[adapter]++
+		meter.replicas[adapter]++
 	}
-	if !meter.warm(at) {
+	if !meter.isMeasured(at) {
 		return
 	}
-	meter.measured.Loads++
+	meter.totals.Loads++
 	if failed {
-		meter.measured.FailedLoads++
-	} else if meter.copies[adapter] > 1 {
-		meter.measured.DuplicateLoads++
+		meter.totals.FailedLoads++
+	} else if meter.replicas[adapter] > 1 {
+		meter.totals.DuplicateLoads++
 	}
 }
 
-func (meter *meter) unloaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter) {
+func (meter *meter) adapterUnloaded(at clock.Millis, engine ident.EngineID, adapter ident.Adapter) {
 	key := residency{engine: engine, adapter: adapter}
 	if _, held := meter.loadedAt[key]; held {
 		delete(meter.loadedAt, key)
-		meter.copies[adapter]--
+		meter.replicas[adapter]--
 	}
-	if meter.warm(at) {
-		meter.measured.Evictions++
+	if meter.isMeasured(at) {
+		meter.totals.Evictions++
 	}
 }
 
-// restarted forgets what an engine held before its cold restart.
-func (meter *meter) restarted(engine ident.EngineID) {
+// engineRestarted removes the adapters that an engine held before its restart.
+func (meter *meter) engineRestarted(engine ident.EngineID) {
 	for key := range meter.loadedAt {
 		if key.engine == engine {
 			delete(meter.loadedAt, key)
-			meter.copies[key.adapter]--
+			meter.replicas[key.adapter]--
 		}
 	}
 }
 
 func (meter *meter) result() Result {
-	for class := range meter.measured.Classes {
-		meter.measured.Classes[class].Stall = hdrhistogram.New(1, longest, digits)
-		meter.measured.Classes[class].Latency = hdrhistogram.New(1, longest, digits)
+	for class := range meter.totals.Classes {
+		meter.totals.Classes[class].Stall = hdrhistogram.New(1, longestWait, significantDigits)
+		meter.totals.Classes[class].Latency = hdrhistogram.New(1, longestWait, significantDigits)
 	}
 	for index := range meter.trace {
-		if meter.trace[index].At >= meter.setup.Warm {
-			meter.count(index)
+		if meter.trace[index].At >= meter.setup.WarmUp {
+			meter.addRequest(index)
 		}
 	}
-	span := (meter.setup.Span - meter.setup.Warm).Seconds()
-	meter.measured.StoreShare = float64(meter.measured.Loads) / storeRate / span
-	return meter.measured
+	seconds := (meter.setup.Duration - meter.setup.WarmUp).Seconds()
+	meter.totals.StoreShare = float64(meter.totals.Loads) / storeLoadsPerSecond / seconds
+	return meter.totals
 }
 
-// storeRate is the number of loads per second that the weight store serves.
-const storeRate = 2
+// storeLoadsPerSecond is the rate at which the weight store serves loads.
+const storeLoadsPerSecond = 2
 
-// count adds one request to the result.
-func (meter *meter) count(index int) {
-	arrival, answer := meter.trace[index], meter.answers[index]
-	class := &meter.measured.Classes[arrival.Class]
-	deadline := meter.setup.Site.Profile.Deadlines[arrival.Class]
+// addRequest adds one request to the result.
+func (meter *meter) addRequest(index int) {
+	request, answer := meter.trace[index], meter.answers[index]
+	class := &meter.totals.Classes[request.Class]
+	deadline := meter.setup.Site.Profile.Deadlines[request.Class]
 	class.Requests++
 	if answer == nil {
-		meter.measured.Silent++
+		meter.totals.WithoutOutcome++
 		return
 	}
 	stall, latency := deadline, deadline
-	if meter.began[index] != 0 {
+	if meter.startedAt[index] != 0 {
 		stall = meter.stalls[index]
-		latency = meter.began[index] - meter.start - arrival.At
+		latency = meter.startedAt[index] - meter.start - request.At
 	}
 	_ = class.Stall.RecordValue(int64(stall))
 	_ = class.Latency.RecordValue(int64(latency))
-	complete := answer.Outcome.Kind == outcome.Answered
-	if !complete {
-		meter.measured.Refusals[answer.Outcome.Reason]++
+	answered := answer.Outcome.Kind == outcome.Answered
+	if !answered {
+		meter.totals.Refusals[answer.Outcome.Reason]++
 	}
 	switch {
-	case complete && latency <= deadline:
+	case answered && latency <= deadline:
 		class.InTime++
 	case answer.Outcome.Reason == outcome.DeadlineUnreachable || answer.Outcome.Reason == outcome.QueueFull:
 		class.Refused++
@@ -221,9 +227,9 @@
 	}
 }
 
-// AllStalls merges the stalls of all classes.
+// AllStalls returns the stalls of all classes in one histogram.
 func (result Result) AllStalls() *hdrhistogram.Histogram {
-	merged := hdrhistogram.New(1, longest, digits)
+	merged := hdrhistogram.New(1, longestWait, significantDigits)
 	for class := range result.Classes {
 		merged.Merge(result.Classes[class].Stall)
 	}
--- a/internal/replay/experiment/site.go
+++ b/internal/replay/experiment/site.go
@@ -19,7 +19,7 @@
 	Slots       int
 	MaxRuns     int
 	Step        nodetest.StepOptions
-	// BatchGain is the site's weight of batch efficiency.
+	// BatchGain is the weight of batch efficiency in the site's placement decisions.
 	BatchGain float64
 }
 
@@ -65,8 +65,8 @@
 	return vms
 }
 
-// config is the configuration that the site publishes. Callers are named after
-// the class of their requests, and so are their API keys.
+// config returns the configuration that the site publishes. There is one caller per
+// urgency class; its name and its API key are the name of the class.
 func (site Site) config() config.Config {
 	published := config.Config{
 		Version:      1,
--- a/internal/replay/report/plot.go
+++ b/internal/replay/report/plot.go
@@ -13,8 +13,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot draws one figure over the offered rate, a line for each policy, into a
-// file whose ending names the format (svg, png).
+// Plot draws one figure over the offered rate, with a line for each policy, into a
+// file. The extension of the path selects the format (svg, png).
 func Plot(path string, column int, columns []Column, summaries []Summary) error {
 	drawing := plot.New()
 	drawing.X.Label.Text = "offered requests per second"
--- a/internal/replay/report/rounds.go
+++ b/internal/replay/report/rounds.go
@@ -11,22 +11,23 @@
 	"gonum.org/v1/plot/plotutil"
 )
 
-// Rounds is a table of figures, a row a round of work and a column a figure.
+// Rounds is a table of figures measured in successive rounds of work, with a row for
+// each round and a column for each figure.
 type Rounds struct {
 	Names   []string   // of the columns
-	Figures [][]Figure // by column, in order of the rounds
+	Figures [][]Figure // by column, in order of rounds
 }
 
-// Figure is what was measured in a round, counted from 1.
+// Figure is one value measured in a round; rounds count from 1.
 type Figure struct {
 	Round int
 	Value float64
 }
 
-// ReadRounds reads a table whose first row names the columns and whose first column
-// names the rounds. An empty cell was not measured.
-func ReadRounds(text io.Reader) (Rounds, error) {
-	rows, err := csv.NewReader(text).ReadAll()
+// ReadRounds reads a CSV table whose first row names the columns and whose first
+// column names the rounds. An empty cell means that the figure was not measured.
+func ReadRounds(table io.Reader) (Rounds, error) {
+	rows, err := csv.NewReader(table).ReadAll()
 	if err != nil {
 		return Rounds{}, errors.Wrap(err, "read rounds")
 	}
@@ -49,7 +50,8 @@
 	return rounds, nil
 }
 
-// Plot draws a line for each column into a file whose ending names the format.
+// Plot draws a line for each column into a file. The extension of the path selects
+// the format.
 func (rounds Rounds) Plot(path, title string) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
--- a/internal/replay/report/summary.go
+++ b/internal/replay/report/summary.go
@@ -1,5 +1,5 @@
-// Package report turns the results of replays into tables and plots. A row
-// gives means over seeds, with the standard deviation as the spread.
+// Package report turns the results of replays into tables and plots. Figures are
+// means over seeds, with the standard deviation as the spread.
 package report
 
 import (
@@ -9,23 +9,23 @@
 	"teaselmoor/internal/replay/experiment"
 )
 
-// Column is one measured figure of a replay.
+// Column is one figure that is computed from the result of a replay.
 type Column struct {
 	Name  string
 	Value func(result experiment.Result) float64
 }
 
-// Summary is a policy's figures over several seeds.
+// Summary holds a policy's figures at one rate over several seeds.
 type Summary struct {
 	Site   string
 	Policy string
 	Rate   float64
 	Seeds  int
-	// Mean and Spread hold a figure for each column; Spread is the standard deviation.
+	// Mean and Spread hold a value for each column; Spread is the standard deviation.
 	Mean, Spread []float64
 }
 
-// Summarise reduces the results of one policy at one rate.
+// Summarise computes the summary of one policy's results at one rate.
 func Summarise(columns []Column, results []experiment.Result) Summary {
 	setup := results[0].Setup
 	summary := Summary{Site: setup.Site.Profile.Name, Policy: setup.Policy.Name, Rate: setup.Rate, Seeds: len(results)}
@@ -87,7 +87,7 @@
 		{Name: "duplicate loads", Value: func(result experiment.Result) float64 { return float64(result.DuplicateLoads) }},
 		{Name: "failed loads", Value: func(result experiment.Result) float64 { return float64(result.FailedLoads) }},
 		{Name: "evictions", Value: func(result experiment.Result) float64 { return float64(result.Evictions) }},
-		{Name: "without outcome", Value: func(result experiment.Result) float64 { return float64(result.Silent) }},
+		{Name: "without outcome", Value: func(result experiment.Result) float64 { return float64(result.WithoutOutcome) }},
 	}
 	for _, reason := range []outcome.Reason{
 		outcome.DeadlinePassed, outcome.DeadlineUnreachable, outcome.QueueFull, outcome.LoadFailed,
--- a/internal/replay/workload/workload.go
+++ b/internal/replay/workload/workload.go
@@ -1,6 +1,7 @@
-// Package workload makes request traces for replays: skewed adapter popularity
-// that shifts, and arrivals that alternate between calm and burst (a
-// two-state Markov-modulated Poisson process). A trace follows from its seed.
+// Package workload generates request traces for replays. Adapter popularity is
+// skewed and shifts once; arrivals alternate between calm and burst (a two-state
+// Markov-modulated Poisson process). The same profile, rate, duration and seed give
+// the same trace.
 package workload
 
 import (
@@ -22,14 +23,15 @@
 	UrgentShare float64
 	// MeanTokens is the mean length of an answer; lengths are geometric.
 	MeanTokens float64
-	// Deadlines is the longest wait for the first token, by class.
+	// Deadlines holds the longest wait for the first token, by urgency class.
 	Deadlines [config.ClassCount]clock.Millis
-	// Burst and Calm are the rates of the two states, relative to the mean.
-	Burst, Calm float64
-	// BurstSpan and CalmSpan are the mean lengths of the two states.
-	BurstSpan, CalmSpan clock.Millis
-	// Shifted is the number of popular adapters replaced at the shift.
-	Shifted int
+	// BurstFactor and CalmFactor are the rates of the two states, relative to the mean.
+	BurstFactor, CalmFactor float64
+	// BurstDuration and CalmDuration are the mean durations of the two states.
+	BurstDuration, CalmDuration clock.Millis
+	// ShiftedAdapters is the number of popular adapters that are replaced at the shift
+	// of popularity.
+	ShiftedAdapters int
 }
 
 // Cantabrica returns the profile of a pension enrolment service: contract
@@ -37,8 +39,8 @@
 func Cantabrica() Profile {
 	return Profile{
 		Name: "Cantabrica", Adapters: 3000, Skew: 1.0, UrgentShare: 0.2, MeanTokens: 100,
-		Deadlines: [config.ClassCount]clock.Millis{config.Urgent: 10 * clock.Second, config.Routine: 30 * clock.Second},
-		Burst:     1.6, Calm: 0.85, BurstSpan: 30 * clock.Second, CalmSpan: 120 * clock.Second, Shifted: 40,
+		Deadlines:   [config.ClassCount]clock.Millis{config.Urgent: 10 * clock.Second, config.Routine: 30 * clock.Second},
+		BurstFactor: 1.6, CalmFactor: 0.85, BurstDuration: 30 * clock.Second, CalmDuration: 120 * clock.Second, ShiftedAdapters: 40,
 	}
 }
 
@@ -47,12 +49,12 @@
 func Ramcharan() Profile {
 	return Profile{
 		Name: "Ramcharan", Adapters: 3000, Skew: 1.2, UrgentShare: 0.1, MeanTokens: 60,
-		Deadlines: [config.ClassCount]clock.Millis{config.Urgent: 10 * clock.Second, config.Routine: 30 * clock.Second},
-		Burst:     1.4, Calm: 0.9, BurstSpan: 30 * clock.Second, CalmSpan: 120 * clock.Second, Shifted: 20,
+		Deadlines:   [config.ClassCount]clock.Millis{config.Urgent: 10 * clock.Second, config.Routine: 30 * clock.Second},
+		BurstFactor: 1.4, CalmFactor: 0.9, BurstDuration: 30 * clock.Second, CalmDuration: 120 * clock.Second, ShiftedAdapters: 20,
 	}
 }
 
-// Request is one arrival.
+// Request is one request of a trace.
 type Request struct {
 	At      clock.Millis // since the start of the trace
 	Adapter int
@@ -60,9 +62,9 @@
 	Tokens  int
 }
 
-// Trace makes the arrivals of a span at a mean rate per second. Popularity
-// shifts once, at ShiftAt.
-func Trace(profile Profile, seed uint64, rate float64, span clock.Millis) []Request {
+// Trace generates the requests of a trace of the given duration, at a mean rate per
+// second. Popularity shifts once, at ShiftAt.
+func Trace(profile Profile, seed uint64, rate float64, duration clock.Millis) []Request {
 	random := rand.New(rand.NewPCG(seed, 1))
 	popularity := newPopularity(profile, random)
 	arrivals := arrivals{profile: profile, rate: rate, random: random}
@@ -70,11 +72,11 @@
 	shifted := false
 	for {
 		at := arrivals.next()
-		if at >= span {
+		if at >= duration {
 			return trace
 		}
-		if !shifted && at >= ShiftAt(span) {
-			popularity.shift(profile.Shifted, random)
+		if !shifted && at >= ShiftAt(duration) {
+			popularity.shift(profile.ShiftedAdapters, random)
 			shifted = true
 		}
 		trace = append(trace, Request{
@@ -84,9 +86,9 @@
 	}
 }
 
-// ShiftAt is the point of a trace's span at which popularity shifts.
-func ShiftAt(span clock.Millis) clock.Millis {
-	return span / 3
+// ShiftAt returns the time at which popularity shifts in a trace of the given duration.
+func ShiftAt(duration clock.Millis) clock.Millis {
+	return duration / 3
 }
 
 func classOf(profile Profile, random *rand.Rand) config.Class {
@@ -96,20 +98,20 @@
 	return config.Routine
 }
 
-// popularity draws adapters by rank; byRank names the adapter of each rank.
+// popularity draws adapters by rank; byRank holds the adapter of each rank.
 type popularity struct {
-	cumulative []float64
+	cumulative []float64 // sums of the weights up to each rank
 	byRank     []int
 }
 
 func newPopularity(profile Profile, random *rand.Rand) *popularity {
-	drawn := &popularity{cumulative: make([]float64, profile.Adapters), byRank: random.Perm(profile.Adapters)}
+	popularity := &popularity{cumulative: make([]float64, profile.Adapters), byRank: random.Perm(profile.Adapters)}
 	sum := 0.0
-	for i := range drawn.cumulative {
+	for i := range popularity.cumulative {
 		sum += 1 / math.Pow(float64(i+1), profile.Skew)
-		drawn.cumulative[i] = sum
+		popularity.cumulative[i] = sum
 	}
-	return drawn
+	return popularity
 }
 
 func (popularity *popularity) draw(random *rand.Rand) int {
@@ -118,17 +120,18 @@
 	return popularity.byRank[min(rank, len(popularity.byRank)-1)]
 }
 
-// shift swaps every other one of the most popular adapters with a random one.
+// shift swaps every second one of the most popular adapters with a random adapter,
+// count times.
 func (popularity *popularity) shift(count int, random *rand.Rand) {
 	for i := range count {
 		other := random.IntN(len(popularity.byRank))
-		at := 2 * i
-		popularity.byRank[at], popularity.byRank[other] = popularity.byRank[other], popularity.byRank[at]
+		rank := 2 * i
+		popularity.byRank[rank], popularity.byRank[other] = popularity.byRank[other], popularity.byRank[rank]
 	}
 }
 
-// arrivals is the two-state process. Times are kept in fractions of a
-// millisecond, so that high rates are not rounded away.
+// arrivals generates arrival times with the two-state process. It keeps times in
+// fractions of a millisecond, as rounding would distort high rates.
 type arrivals struct {
 	profile   Profile
 	rate      float64 // per second
@@ -141,11 +144,11 @@
 func (arrivals *arrivals) next() clock.Millis {
 	for {
 		if arrivals.now >= arrivals.stateEnds {
-			arrivals.change()
+			arrivals.nextState()
 		}
-		factor := arrivals.profile.Calm
+		factor := arrivals.profile.CalmFactor
 		if arrivals.bursting {
-			factor = arrivals.profile.Burst
+			factor = arrivals.profile.BurstFactor
 		}
 		wait := arrivals.random.ExpFloat64() / (arrivals.rate * factor) * float64(clock.Second)
 		if arrivals.now+wait < arrivals.stateEnds {
@@ -156,27 +159,28 @@
 	}
 }
 
-// change begins the next state; the first one is calm.
-func (arrivals *arrivals) change() {
+// nextState switches to the other state; the first state is calm.
+func (arrivals *arrivals) nextState() {
 	arrivals.bursting = !arrivals.bursting && arrivals.stateEnds > 0
-	mean := arrivals.profile.CalmSpan
+	mean := arrivals.profile.CalmDuration
 	if arrivals.bursting {
-		mean = arrivals.profile.BurstSpan
+		mean = arrivals.profile.BurstDuration
 	}
 	arrivals.stateEnds = arrivals.now + arrivals.random.ExpFloat64()*float64(mean)
 }
 
-// Flood adds routine requests at a constant mean rate to a trace, whose own
-// requests stay as they are.
-func Flood(profile Profile, seed uint64, trace []Request, rate float64, span clock.Millis) []Request {
+// Flood returns the trace with routine requests added at a constant mean rate. The
+// trace's own requests are unchanged.
+func Flood(profile Profile, seed uint64, trace []Request, rate float64, duration clock.Millis) []Request {
 	if rate <= 0 {
 		return trace
 	}
-	profile.UrgentShare, profile.Burst, profile.Calm = 0, 1, 1
-	return merge(trace, Trace(profile, seed+floodSeed, rate, span))
+	profile.UrgentShare, profile.BurstFactor, profile.CalmFactor = 0, 1, 1
+	return merge(trace, Trace(profile, seed+floodSeed, rate, duration))
 }
 
-// floodSeed sets the seeds of floods apart from those of traces.
+// floodSeed is added to the seed, so that the added requests don't repeat the random
+// numbers of the trace.
 const floodSeed = 1 << 32
 
 func merge(a, b []Request) []Request {
--- a/internal/replay/workload/workload_test.go
+++ b/internal/replay/workload/workload_test.go
@@ -16,9 +16,9 @@
 }
 
 func TestTraceKeepsItsRateAndSkew(t *testing.T) {
-	const span = 10 * clock.Hour
-	trace := workload.Trace(workload.Cantabrica(), 1, 3, span)
-	require.InEpsilon(t, 3, float64(len(trace))/span.Seconds(), 0.1)
+	const duration = 10 * clock.Hour
+	trace := workload.Trace(workload.Cantabrica(), 1, 3, duration)
+	require.InEpsilon(t, 3, float64(len(trace))/duration.Seconds(), 0.1)
 	requests := map[int]int{}
 	for _, request := range trace {
 		requests[request.Adapter]++
