--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -1,4 +1,4 @@
-// Command standins runs simple replacements of the systems that teaselmoor works
+// Command standins runs simple replacements for the systems that teaselmoor works
 // with, such as the platform and the model engines, for trials and tests.
 package main
 
--- a/cmd/teaselmoor/main.go
+++ b/cmd/teaselmoor/main.go
@@ -1,5 +1,6 @@
 // Command teaselmoor runs a daemon that serves LoRA adapters on shared model
-// engines, and has the commands with which operators inspect daemons.
+// engines, and provides the commands with which operators inspect daemons and gateways
+// and check and publish files.
 package main
 
 import (
--- a/internal/serve/callers/answer.go
+++ b/internal/serve/callers/answer.go
@@ -96,7 +96,7 @@
 }
 
 // writeHead writes the status and the headers. The outcome is empty if the answer is
-// written while it arrives, as it is not known yet.
+// written while it arrives, because the outcome is not known then.
 func (response *response) writeHead(final outcome.Outcome) {
 	header := response.writer.Header()
 	header.Set("Content-Type", response.contentType)
@@ -194,7 +194,7 @@
 		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	if !final.Retryable() {
-		header.Set("X-Should-Retry", "false") // public OpenAI clients heed it
+		header.Set("X-Should-Retry", "false") // OpenAI's client libraries read it
 	}
 	writer.WriteHeader(final.Reason.Status())
 	_ = json.NewEncoder(writer).Encode(newErrorBody(final, text, record))
--- a/internal/serve/command/audit.go
+++ b/internal/serve/command/audit.go
@@ -16,7 +16,7 @@
 	"teaselmoor/internal/serve/operators"
 )
 
-// followWait is how long a daemon may hold back the answer to one long poll.
+// followWait is the maximum time that a daemon may wait for an event in one long poll.
 const followWait = 20 * clock.Second
 
 func auditCommand() *cli.Command {
--- a/internal/serve/daemon/daemon.go
+++ b/internal/serve/daemon/daemon.go
@@ -8,9 +8,9 @@
 // the steps of one job and carries out the effects after releasing it. Effects are carried
 // out in the order of the steps.
 //
-// Locks are taken in this order: node, effect queue, streams, and then the lock of a
-// single inbox, window or connection. No lock except that of the VM list is held during
-// I/O.
+// Locks are taken in this order: node, effect queue, job queue, streams, and then the lock
+// of a single inbox, window or connection. No lock except that of the VM list is held
+// during network I/O.
 package daemon
 
 import (
@@ -66,7 +66,7 @@
 	vmList  vmListState
 
 	effectQueue effectQueue
-	reportReads engineSet
+	reportReads engineSet // engines whose report is being read
 	// snapshot is the configuration in force. Lookups read it here because they must not
 	// wait for the node's lock.
 	snapshot atomic.Pointer[config.Snapshot]
@@ -182,8 +182,8 @@
 	return daemon.node.Idle()
 }
 
-func (daemon *Daemon) enqueue(lane jobPriority, events ...node.Event) {
-	daemon.jobs.push(lane, events)
+func (daemon *Daemon) enqueue(priority jobPriority, events ...node.Event) {
+	daemon.jobs.push(priority, events)
 }
 
 func (daemon *Daemon) tick(ctx context.Context) error {
--- a/internal/serve/daemon/jobs.go
+++ b/internal/serve/daemon/jobs.go
@@ -68,7 +68,8 @@
 	return job
 }
 
-// nextPriority returns the priority of the next job, or false if there is no job.
+// nextPriority returns the priority of the next job, or false if there is no job. It counts
+// the job in consecutiveHigh, so it is called once for each job that is taken.
 func (queue *jobQueue) nextPriority() (jobPriority, bool) {
 	hasHigh, hasLow := len(queue.jobs[highPriority]) > 0, len(queue.jobs[lowPriority]) > 0
 	if hasHigh && (!hasLow || queue.consecutiveHigh < maxConsecutiveHigh) {
--- a/internal/serve/daemon/peers.go
+++ b/internal/serve/daemon/peers.go
@@ -11,8 +11,8 @@
 	daemon *Daemon
 }
 
-// Message queues a message as an event and runs the next job. When an attempt has ended,
-// the node first learns how much of its answer has arrived here.
+// Message queues a message as an event and runs the next job. Before the end
+// of an attempt, it queues how much of the attempt's answer has arrived here.
 func (handler *peerHandler) Message(from ident.DaemonID, received message.Message) {
 	event := node.MessageReceived{From: from, Message: received}
 	priority := priorityOf(received.Lane())
--- a/internal/serve/daemon/perform.go
+++ b/internal/serve/daemon/perform.go
@@ -182,10 +182,12 @@
 	})
 }
 
+// readEngine reads an engine's report and queues it. At most one read of an engine is in
+// flight, so that reads of an engine that does not answer do not accumulate.
 func (daemon *Daemon) readEngine(ctx context.Context, read effect.ReadEngine) {
 	address, known := daemon.engineAddress(read.Engine)
 	if !known || !daemon.reportReads.add(read.Engine) {
-		return // a read is still in flight: at most one for an engine that does not answer
+		return
 	}
 	defer daemon.reportReads.remove(read.Engine)
 	report, err := daemon.options.Engines.ReadState(ctx, address)
--- a/internal/serve/daemon/sink.go
+++ b/internal/serve/daemon/sink.go
@@ -12,8 +12,8 @@
 	"teaselmoor/internal/serve/relay"
 )
 
-// errEntryGone ends a relay when there is no connection to the entry.
-var errEntryGone = errors.New("the entry is gone")
+// errEntryDisconnected ends a relay when there is no connection to the entry.
+var errEntryDisconnected = errors.New("the entry is gone")
 
 // sink relays the answer of one run to its entry, within the stream's flow-control window.
 // It implements engine.Sink.
@@ -41,7 +41,7 @@
 		return nil
 	}
 	if !sink.daemon.links.SendHead(sink.entry, sink.lane, sink.stream, status, contentType) {
-		return errEntryGone
+		return errEntryDisconnected
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 		return nil
 	}
 	if !sink.daemon.links.SendChunk(sink.entry, sink.lane, sink.stream, index, payload) {
-		return errEntryGone
+		return errEntryDisconnected
 	}
 	return nil
 }
--- a/internal/serve/daemon/watch.go
+++ b/internal/serve/daemon/watch.go
@@ -47,14 +47,14 @@
 	askedAt := daemon.options.Now()
 	daemon.vmList.mutex.Lock()
 	defer daemon.vmList.mutex.Unlock()
-	reading, err := daemon.options.Platform.ReadVMList(ctx, daemon.vmList.tag)
+	result, err := daemon.options.Platform.ReadVMList(ctx, daemon.vmList.tag)
 	if err != nil {
 		daemon.options.Log.Warn("reading the VM list failed", "Cause", err)
 		return
 	}
-	daemon.vmList.tag = reading.ETag
-	if reading.Changed {
-		daemon.vmList.view = members.NewView(reading.List, askedAt)
+	daemon.vmList.tag = result.ETag
+	if result.Changed {
+		daemon.vmList.view = members.NewView(result.List, askedAt)
 		daemon.connectPeers(daemon.vmList.view)
 	} else {
 		daemon.vmList.view = daemon.vmList.view.WithReadAt(askedAt)
@@ -71,8 +71,8 @@
 	view  *members.View
 }
 
-// connectPeers makes these daemons the peers of this daemon: the listed daemons of its
-// own region, and its contacts in other regions.
+// connectPeers sets the peers of this daemon: the listed daemons of its own region, and
+// its contacts in other regions.
 func (daemon *Daemon) connectPeers(view *members.View) {
 	region := daemon.options.Node.Region
 	names := view.ListedDaemons(func(vm *members.VM) bool { return vm.Region == region })
--- a/internal/serve/explain/explain.go
+++ b/internal/serve/explain/explain.go
@@ -81,8 +81,8 @@
 }
 
 // earlierAttemptPossible contains the reasons with which an earlier attempt under the same
-// idempotency key may have run. With these, the text states only of this attempt that it was
-// not run.
+// idempotency key may have run. For these, the text states only that this attempt was not
+// run.
 var earlierAttemptPossible = map[outcome.Reason]bool{
 	outcome.KeyConflict: true, outcome.KeyInProgress: true, outcome.KeyNotVouched: true, outcome.HomeUnreachable: true,
 	outcome.HomeFull: true,
--- a/internal/serve/metrics/metrics_test.go
+++ b/internal/serve/metrics/metrics_test.go
@@ -31,6 +31,8 @@
 	return ident.StreamID{Daemon: "entry-1", Incarnation: 1, Sequence: sequence}
 }
 
+// TestRequestAcrossTwoAttempts checks that a request that moves to the stream of a second
+// attempt is counted once, and that its durations start at its arrival.
 func TestRequestAcrossTwoAttempts(t *testing.T) {
 	counters := metrics.New()
 	observer := metrics.NewObserver(counters)
@@ -69,6 +71,8 @@
 	require.Contains(t, written, `teaselmoor_loads_total{result="done"} 1`)
 }
 
+// TestFamilyHasOneHeader checks that the header of a family is written once, also if the
+// family has samples of several engines. Collectors reject a repeated header.
 func TestFamilyHasOneHeader(t *testing.T) {
 	counters := metrics.New()
 	metrics.NewObserver(counters)
--- a/internal/serve/metrics/observe.go
+++ b/internal/serve/metrics/observe.go
@@ -15,7 +15,7 @@
 )
 
 // Limits on the entries kept to measure load stalls. A map that reaches its limit
-// is cleared, so that some stalls are not counted.
+// is cleared, so that some stalls are recorded as 0 or not at all.
 const (
 	maxLoadEnds = 16384 // adapter loads
 	maxWaiting  = 65536 // requests
@@ -36,7 +36,8 @@
 	steps    map[ident.EngineID]owner.Steps // of owned engines, as last reported
 }
 
-// ConfigTimes holds the times that tell how fresh a daemon's configuration is.
+// ConfigTimes holds the times from which the age of a daemon's configuration is
+// computed.
 type ConfigTimes struct {
 	// AcceptedAt is when the configuration in force was accepted.
 	AcceptedAt clock.Millis
@@ -114,7 +115,7 @@
 		observer.inFlight[event.Stream] = inFlightRequest{arrivedAt: now}
 	case node.MessageReceived:
 		observer.metrics.counter(messages, label{"direction", "received"}, laneLabel(event.Message.Lane())).Inc(1)
-		observer.received(now, event.Message)
+		observer.recordReceived(now, event.Message)
 	case node.ConfigWatched:
 		if event.Result.Cause == "" {
 			observer.config.ContactAt = now
@@ -122,11 +123,13 @@
 	case node.EngineReported:
 		observer.steps[event.Engine] = event.Report.Steps
 	case node.LoadEnded:
-		observer.loadEnded(now, event)
+		observer.recordLoadEnd(now, event)
 	}
 }
 
-func (observer *Observer) received(now clock.Millis, received message.Message) {
+// recordReceived records when a request was submitted to this owner, and when a peer
+// reported that the configuration service had answered it.
+func (observer *Observer) recordReceived(now clock.Millis, received message.Message) {
 	switch received := received.(type) {
 	case message.Submit:
 		if len(observer.waiting) >= maxWaiting {
@@ -140,7 +143,7 @@
 	}
 }
 
-func (observer *Observer) loadEnded(now clock.Millis, event node.LoadEnded) {
+func (observer *Observer) recordLoadEnd(now clock.Millis, event node.LoadEnded) {
 	if event.Failed {
 		observer.metrics.counter(loads, label{"result", "failed"}).Inc(1)
 		return
@@ -155,7 +158,7 @@
 func (observer *Observer) countEffect(now clock.Millis, next effect.Effect) {
 	switch next := next.(type) {
 	case effect.Answer:
-		observer.answer(now, next)
+		observer.recordAnswer(now, next)
 	case effect.ForwardAnswer:
 		if request, found := observer.inFlight[next.Stream]; found && request.answeredAt == 0 {
 			request.answeredAt = now
@@ -167,12 +170,12 @@
 			observer.inFlight[next.To] = request
 		}
 	case effect.StartRun:
-		observer.startRun(next)
+		observer.recordLoadStall(next)
 	case effect.Unload:
 		delete(observer.loadEnds, loadKey{next.Engine, next.Adapter})
 	case effect.Send:
 		observer.metrics.counter(messages, label{"direction", "sent"}, laneLabel(next.Message.Lane())).Inc(1)
-		observer.sent(next.Message)
+		observer.forgetSent(next.Message)
 	case effect.Audit:
 		observer.metrics.counter(changes, label{"kind", string(next.Kind)}).Inc(1)
 		switch next.Kind {
@@ -184,9 +187,9 @@
 	}
 }
 
-// sent removes the requests that no longer wait at this owner, because they ended
+// forgetSent removes the requests that no longer wait at this owner, because they ended
 // or were forwarded to another owner.
-func (observer *Observer) sent(next message.Message) {
+func (observer *Observer) forgetSent(next message.Message) {
 	switch sent := next.(type) {
 	case message.Ended:
 		delete(observer.waiting, sent.Stream)
@@ -195,8 +198,8 @@
 	}
 }
 
-// answer counts a request that ended at its entry.
-func (observer *Observer) answer(now clock.Millis, ended effect.Answer) {
+// recordAnswer counts a request that ended at its entry.
+func (observer *Observer) recordAnswer(now clock.Millis, ended effect.Answer) {
 	request := observer.inFlight[ended.Stream]
 	delete(observer.inFlight, ended.Stream)
 	class := label{"class", ended.Record.Class}
@@ -210,11 +213,11 @@
 	}
 }
 
-// startRun records the load stall of a request: the time from its arrival to the end
+// recordLoadStall records the load stall of a request: the time from its arrival to the end
 // of the load of its adapter, or 0 if the adapter was loaded before. The arrival is
 // that at this owner, or at the entry if both are this daemon. Resumed runs are not
 // recorded.
-func (observer *Observer) startRun(start effect.StartRun) {
+func (observer *Observer) recordLoadStall(start effect.StartRun) {
 	since, remote := observer.waiting[start.Stream]
 	delete(observer.waiting, start.Stream)
 	if !remote {
--- a/internal/serve/operators/operators.go
+++ b/internal/serve/operators/operators.go
@@ -43,7 +43,7 @@
 	daemon  Daemon
 	trail   *audit.Trail
 	metrics *metrics.Metrics
-	// observer updates the daemon's metrics and holds the gauges of its steps.
+	// observer holds the step totals of the daemon's engines.
 	observer *metrics.Observer
 }
 
--- a/internal/serve/program/path_test.go
+++ b/internal/serve/program/requests_test.go
@@ -203,7 +203,8 @@
 	waitFor(t, func() bool { return firstEnding(testSite.Engines["engine-0"]) == modelengine.Cancelled })
 }
 
-// firstEnding tells how the first run in an engine's ledger ended.
+// firstEnding returns how the first run in an engine's ledger ended, or "" if it has not
+// ended or the ledger is empty.
 func firstEnding(engine *modelengine.Engine) modelengine.Ending {
 	ledger := engine.Ledger()
 	if len(ledger) == 0 {
