--- a/internal/control/config/pack.go
+++ b/internal/control/config/pack.go
@@ -118,26 +118,26 @@
 type ParsedParts map[string]Config
 
 // AssembleFrom is like Assemble, but reuses the parsed parts of an earlier
-// version: parsing takes most of the time of a change of version, and most parts
-// do not change. It also returns the parsed parts, for the next call.
+// version: parsing takes most of the time of a switch to a new version, and most
+// parts do not change. It also returns the parsed parts, for the next call.
 func AssembleFrom(earlier ParsedParts, manifest Manifest, parts map[string][]byte) (Config, ParsedParts, error) {
 	if err := manifest.check(); err != nil {
 		return Config{}, nil, errors.Wrap(err, "assemble configuration")
 	}
-	document, pieces := Config{}, ParsedParts{}
+	document, parsedParts := Config{}, ParsedParts{}
 	for _, part := range manifest.Parts {
 		fragment, err := earlier.parsePart(part, parts)
 		if err != nil {
 			return Config{}, nil, errors.Wrap(err, "assemble configuration")
 		}
-		pieces[part.SHA256] = fragment
+		parsedParts[part.SHA256] = fragment
 		document.appendObjects(fragment)
 	}
 	document.Version = manifest.Version
 	sortByName(document.Engines, func(engine Engine) string { return string(engine.Name) })
 	sortByName(document.Callers, func(caller Caller) string { return caller.Name })
 	slices.SortStableFunc(document.Adapters, compareAdapters)
-	return document, pieces, nil
+	return document, parsedParts, nil
 }
 
 // parsePart verifies one part, and parses it unless a part with the same hash was
--- a/internal/control/config/pack_test.go
+++ b/internal/control/config/pack_test.go
@@ -82,7 +82,9 @@
 	require.Equal(t, 1, changed)
 }
 
-func TestAssembleRefusesIncompleteVersion(t *testing.T) {
+// TestAssembleRefusesInvalidVersion checks that a version is refused as a whole if a part is
+// missing or altered, or if its manifest is invalid.
+func TestAssembleRefusesInvalidVersion(t *testing.T) {
 	manifest, parts := packed(t, largeConfig(10, 5))
 	first := manifest.Parts[0].Name
 	tests := map[string]struct {
@@ -157,19 +159,19 @@
 	}
 }
 
-// BenchmarkSwitch assembles and compiles a version in which one
-// adapter has changed, with the parsed parts of the version before.
-func BenchmarkSwitch(b *testing.B) {
+// BenchmarkAssembleChangedVersion assembles and compiles a version in which one adapter
+// has changed, with the parsed parts of the version before.
+func BenchmarkAssembleChangedVersion(b *testing.B) {
 	published := largeConfig(15_000, 300)
 	manifest, parts := packed(b, published)
-	_, pieces, err := config.AssembleFrom(nil, manifest, parts)
+	_, parsedParts, err := config.AssembleFrom(nil, manifest, parts)
 	require.NoError(b, err)
 	published.Adapters = slices.Clone(published.Adapters)
 	published.Adapters[77].Labels = map[string]string{"task": "quote"}
 	manifest, parts = packed(b, published)
 	b.ReportAllocs()
 	for b.Loop() {
-		assembled, _, err := config.AssembleFrom(pieces, manifest, parts)
+		assembled, _, err := config.AssembleFrom(parsedParts, manifest, parts)
 		require.NoError(b, err)
 		_, err = config.Compile(assembled)
 		require.NoError(b, err)
--- a/internal/control/config/snapshot.go
+++ b/internal/control/config/snapshot.go
@@ -23,8 +23,8 @@
 	engines          map[ident.EngineID]*Engine
 	services         map[string]*Service
 	stores           map[string]*WeightStore
-	// pools holds the engines that may run a request, in order of name, by the
-	// index of its rule and the base model of its adapter.
+	// pools holds the engines that a rule permits, in order of name, by the index
+	// of the rule and the engines' base model.
 	pools map[poolKey][]*Engine
 }
 
@@ -49,8 +49,9 @@
 	Class      Class
 	Deadline   clock.Millis // maximum time to the start of the answer
 	Repeatable bool
-	// Pool lists the engines that may run the request, in order of name. It is
-	// empty for service calls.
+	// Pool lists the engines that the rule permits and that have the adapter's base
+	// model, in order of name. It includes engines that are leaving. It is empty
+	// for service calls.
 	Pool []*Engine
 }
 
--- a/internal/control/config/successor.go
+++ b/internal/control/config/successor.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // CheckSuccessor returns the problems that prevent a document from replacing the
-// configuration in force. It is nil if there are none.
+// configuration in force. The result is nil if there are none.
 //
 // A caller must keep its region, which decides which daemons keep its idempotency
 // keys. If it changed, daemons with the old version and daemons with the new one
--- a/internal/control/config/validate.go
+++ b/internal/control/config/validate.go
@@ -61,8 +61,8 @@
 	seen     map[string]bool // keys of the names used so far; see unique
 }
 
-// Validate returns every mistake in the document. A document without mistakes
-// may be published.
+// Validate returns every mistake in the document itself. See CheckSuccessor for
+// those in the change from the configuration in force.
 func Validate(config Config) Problems {
 	validator := &validator{seen: map[string]bool{}}
 	if config.Version == 0 {
--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -72,9 +72,9 @@
 // WithReadAt returns a copy of the view with a later read time, for a list that was
 // read again and had not changed.
 func (view *View) WithReadAt(readAt clock.Millis) *View {
-	renewed := *view
-	renewed.ReadAt = readAt
-	return &renewed
+	updated := *view
+	updated.ReadAt = readAt
+	return &updated
 }
 
 func (view *View) addLeaving(address string) {
@@ -85,7 +85,7 @@
 }
 
 // ServerLeaving reports whether the backend server at an address (IP:port) is
-// leaving. A list entry without a port applies to every port of its IP number.
+// leaving. A list entry without a port applies to every port of its IP address.
 func (view *View) ServerLeaving(address string) bool {
 	if view.leaving[address] {
 		return true
--- a/internal/control/members/peers.go
+++ b/internal/control/members/peers.go
@@ -63,7 +63,7 @@
 	return found
 }
 
-// ApplyUpdate applies an update of a daemon on itself. It reports false and changes
+// ApplyUpdate applies an update that a daemon sent about itself. It reports false and changes
 // nothing if the update is older than the last one.
 func (peers *Peers) ApplyUpdate(now clock.Millis, daemon ident.DaemonID, update Peer) bool {
 	known := peers.peer(daemon)
@@ -96,8 +96,8 @@
 	return now-contactAt > timeout
 }
 
-// Leaving reports whether the last update of a daemon says that it is leaving and
-// is younger than maxAge. An older update does not count, because a new process
+// Leaving reports whether the last update of a daemon states that it is leaving
+// and is younger than maxAge. An older update does not count, because a new process
 // may have started under the same name since.
 func (peers *Peers) Leaving(now clock.Millis, daemon ident.DaemonID, maxAge clock.Millis) bool {
 	known, found := peers.peers[daemon]
