--- a/internal/backend/engine/engine.go
+++ b/internal/backend/engine/engine.go
@@ -29,8 +29,8 @@
 	LoadFenced LoadResult = "Fenced"
 )
 
-// Client sends runs and orders to engines and relays their answers. Each of them
-// carries a fencing number, and the engine may refuse those with an old one.
+// Client sends runs and orders to engines and relays their answers. Each run and
+// order carries a fencing number, and the engine may refuse those with an old one.
 type Client interface {
 	// Run sends a run, or requests the remaining answer of a run that was sent
 	// before, and relays the answer to the sink.
--- a/internal/backend/engine/http.go
+++ b/internal/backend/engine/http.go
@@ -188,8 +188,8 @@
 	return owner.ResultNotSent
 }
 
-// refusalResult returns the result for an answer that says that the engine did not
-// run the request. It reports false for all other answers.
+// refusalResult returns the result for an answer that states that the engine did
+// not run the request. It reports false for all other answers.
 func refusalResult(response *http.Response, resume bool) (owner.Result, bool) {
 	switch {
 	case response.StatusCode == http.StatusPreconditionFailed:
--- a/internal/backend/engine/relay_test.go
+++ b/internal/backend/engine/relay_test.go
@@ -28,9 +28,9 @@
 }
 
 // TestTruncatedStream breaks the connection after every byte of a streamed answer.
-// Until the end marker was sent, the result must be that the connection was lost,
-// never that the engine answered with the wrong adapter, and an incomplete chunk
-// must not be passed on.
+// Unless the whole end marker was sent, the result must be that the connection was
+// lost, never that the engine answered with the wrong adapter, and an incomplete
+// chunk must not be passed on.
 func TestTruncatedStream(t *testing.T) {
 	start := effect.StartRun{
 		Stream:  ident.StreamID{Daemon: "entry", Incarnation: 1, Sequence: 2},
--- a/internal/backend/platform/platform.go
+++ b/internal/backend/platform/platform.go
@@ -18,7 +18,8 @@
 	"teaselmoor/internal/control/members"
 )
 
-// MaxValue is the maximum size of a value in the configuration service, in bytes.
+// MaxValue is the maximum size of a value in the configuration service, and of the VM
+// list, in bytes.
 const MaxValue = 1 << 20
 
 // VersionHeader is the response header with the version of a value.
@@ -112,7 +113,7 @@
 
 // VMListResult is the result of a read of the VM list.
 type VMListResult struct {
-	// List is not set if it has not changed since the read that returned the tag.
+	// List is not set if it has not changed since the read that returned the given tag.
 	List    members.List
 	Changed bool
 	// ETag is the entity tag (ETag) of the list, for the next read.
@@ -144,9 +145,9 @@
 	default:
 		return VMListResult{}, errors.Errorf("read VM list: status %d", response.StatusCode)
 	}
-	reading := VMListResult{Changed: true, ETag: response.Header.Get("ETag")}
-	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValue)).Decode(&reading.List); err != nil {
+	result := VMListResult{Changed: true, ETag: response.Header.Get("ETag")}
+	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValue)).Decode(&result.List); err != nil {
 		return VMListResult{}, errors.Wrap(err, "decode VM list")
 	}
-	return reading, nil
+	return result, nil
 }
--- a/internal/backend/platform/platform_test.go
+++ b/internal/backend/platform/platform_test.go
@@ -13,9 +13,9 @@
 	standin "teaselmoor/internal/standin/platform"
 )
 
-// TestVMListIsReadOnlyWhenItChanged reads the list twice, and again after a change.
+// TestUnchangedVMListIsNotTransferred reads the list twice, and again after a change.
 // Only the first and the third read must transfer the list.
-func TestVMListIsReadOnlyWhenItChanged(t *testing.T) {
+func TestUnchangedVMListIsNotTransferred(t *testing.T) {
 	platformServer := standin.New(0)
 	server := httptest.NewServer(platformServer)
 	defer server.Close()
--- a/internal/backend/service/service.go
+++ b/internal/backend/service/service.go
@@ -21,7 +21,7 @@
 // Options holds the timeouts and limits of the client.
 type Options struct {
 	DialTimeout clock.Millis
-	// Timeout is the maximum duration of a call, until its answer was read.
+	// Timeout is the maximum duration of a call, until its answer has been read.
 	Timeout clock.Millis
 	// MaxIdle is the maximum number of idle connections kept per service address.
 	MaxIdle int
@@ -65,8 +65,8 @@
 	}}
 }
 
-// Do sends a call once and never retries it. If there is no answer, the outcome
-// says whether the service may have received the call.
+// Do sends a call once and never retries it. If there is no complete answer,
+// the outcome states whether the service may have received the call.
 func (client *Client) Do(ctx context.Context, call Call) (*message.StoredAnswer, outcome.Outcome) {
 	sent := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
