--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -48,7 +48,7 @@
 }
 
 // Monotonic returns a source that reads the monotonic clock, so that differences between its
-// times stay right when the wall clock is set. It starts at the wall clock's time.
+// times stay correct when the wall clock is changed. It starts at the wall clock's time.
 func Monotonic() Source {
 	start := time.Now()
 	startMillis := Millis(start.UnixMilli())
--- a/internal/base/document/document.go
+++ b/internal/base/document/document.go
@@ -164,7 +164,7 @@
 // typeErrorText matches the message of the YAML package for a value of a wrong type.
 var typeErrorText = regexp.MustCompile("^line \\d+: cannot unmarshal \\S+ (`[^`]*` )?into .*$")
 
-// decodeLeaf decodes a scalar or a map of texts.
+// decodeLeaf decodes a scalar or a map of strings.
 func (walker *walker) decodeLeaf(node *yaml.Node, into reflect.Value, key string) {
 	err := node.Decode(into.Addr().Interface())
 	if err == nil {
@@ -225,7 +225,7 @@
 var pathStep = regexp.MustCompile(`[^.\[\]]+`)
 
 // Line returns the line of a key, or that of the innermost enclosing key or list item that
-// is in the document.
+// is in the document. It returns 0 if the document is empty.
 func (document *Document) Line(key string) int {
 	if document.root == nil {
 		return 0
--- a/internal/base/ident/ident.go
+++ b/internal/base/ident/ident.go
@@ -18,7 +18,7 @@
 type EngineID string
 
 // Incarnation distinguishes the starts of a daemon. It is taken from the wall clock at
-// the start, so that it rises with each start.
+// the start, so that it increases with each start.
 type Incarnation uint64
 
 // Fence is a fencing number. An engine that checks fencing numbers refuses an order whose
--- a/internal/base/logpipe/logpipe.go
+++ b/internal/base/logpipe/logpipe.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// ErrTimeout is returned if the remaining lines could not be written in time, because
-// the reader of the log does not read.
+// ErrTimeout is returned by Wait if the queued lines could not be written in time,
+// because the reader of the log does not read.
 var ErrTimeout = errors.New("queued log lines were not written within the timeout and are lost")
 
 // Wait waits for the result of Run, whose context is done, on the channel written.
--- a/internal/base/settings/fields.go
+++ b/internal/base/settings/fields.go
@@ -53,8 +53,8 @@
 	MaxConnections int `yaml:"MaxConnections" min:"1" max:"1000000"`
 	// Maximum wait for the headers of a request, in milliseconds.
 	HeaderTimeoutMillis clock.Millis `yaml:"HeaderTimeoutMillis" min:"100" max:"600000"`
-	// Maximum wait for a whole request, in milliseconds. It does not limit the time of
-	// the answer.
+	// Maximum wait for the body of a request, in milliseconds. It does not limit the
+	// time of the answer.
 	BodyTimeoutMillis clock.Millis `yaml:"BodyTimeoutMillis" min:"100" max:"600000"`
 	// Time after which a connection without a request is closed, in milliseconds.
 	IdleTimeoutMillis clock.Millis `yaml:"IdleTimeoutMillis" min:"1000" max:"3600000"`
