--- a/internal/inner/link/conn.go
+++ b/internal/inner/link/conn.go
@@ -24,7 +24,8 @@
 	// maxMessageBytes is the maximum size of a WebSocket message from a peer.
 	maxMessageBytes = 96 << 20
 	// closeTimeout is the maximum time that a connection stays open to write pending
-	// frames when the daemon ends.
+	// frames after its context is done: when the daemon ends, or when the peer is no
+	// longer listed.
 	closeTimeout = clock.Second
 )
 
@@ -41,7 +42,7 @@
 	mutex   sync.Mutex // guards pending, closed
 	pending *bytes.Buffer
 	closed  bool
-	wake    chan struct{} // holds a token while pending is not empty
+	wake    chan struct{} // has a value when frames may be pending
 }
 
 func newConn(peer ident.DaemonID, lane message.Lane, socket *websocket.Conn, timing func() Timing) *conn {
@@ -90,8 +91,8 @@
 
 // run reads and writes until the connection is lost or the context is done. In the latter
 // case the pending frames are written first, and the peer closes the connection after
-// reading them. The last frames tell peers how their streams ended; closing immediately
-// could reset the connection and lose them.
+// reading them. The last frames report how streams ended; closing immediately could reset
+// the connection and lose them.
 func (conn *conn) run(ctx context.Context, handler Handler) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/inner/link/frame.go
+++ b/internal/inner/link/frame.go
@@ -47,8 +47,8 @@
 	Bytes  int
 }
 
-// resetFrame tells the sender of a stream that the receiver does not know the stream: it
-// has ended there, or the receiver has restarted.
+// resetFrame reports to the sender of a stream that the receiver does not know the stream:
+// it has ended there, or the receiver has restarted.
 type resetFrame struct {
 	_      struct{} `cbor:",toarray"`
 	Stream ident.StreamID
--- a/internal/inner/link/set.go
+++ b/internal/inner/link/set.go
@@ -54,8 +54,8 @@
 type Timing struct {
 	// PingInterval is the interval between two pings on a connection.
 	PingInterval clock.Millis
-	// SilenceTimeout is the time without any message, ping or pong after which a connection counts
-	// as lost.
+	// SilenceTimeout is the time without any message, ping or pong after which a
+	// connection counts as lost.
 	SilenceTimeout clock.Millis
 	// RedialInterval is the time between two attempts to connect.
 	RedialInterval clock.Millis
@@ -69,7 +69,7 @@
 // minPingSpacing is the minimum average time between two pings of a daemon, over all its
 // connections. With many peers each connection is pinged less often, so that pings remain
 // a small part of the control traffic. This does not delay the detection of silent
-// daemons, which relies on their updates, received through relays.
+// daemons, which relies on their updates, sent directly or forwarded by another daemon.
 const minPingSpacing = 50 * clock.Millisecond
 
 // minPingsPerTimeout is the minimum number of ping intervals in the time without messages
@@ -267,7 +267,7 @@
 	})
 }
 
-// SendReset tells the sender of a stream that this daemon does not know the stream.
+// SendReset reports to the sender of a stream that this daemon does not know the stream.
 func (set *Set) SendReset(to ident.DaemonID, stream ident.StreamID) bool {
 	return set.enqueue(to, message.ControlLane, func(buffer *bytes.Buffer) error {
 		return appendFrame(buffer, resetKind, resetFrame{Stream: stream})
