--- a/internal/backend/engine/http.go
+++ b/internal/backend/engine/http.go
@@ -83,17 +83,17 @@
 	CancelTimeout clock.Millis
 	// ReportTimeout is the maximum wait for a state report.
 	ReportTimeout clock.Millis
-	// MaxIdle is the maximum number of idle connections kept per engine.
-	MaxIdle int
-	// MaxAnswer is the maximum size of an answer that is not streamed, in bytes.
-	MaxAnswer int64
+	// MaxIdleConnections is the maximum number of idle connections kept per engine.
+	MaxIdleConnections int
+	// MaxAnswerBytes is the maximum size of an answer that is not streamed, in bytes.
+	MaxAnswerBytes int64
 }
 
 // DefaultOptions returns the options that apply where the settings give no value.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout: 2 * clock.Second, HeadTimeout: 2 * clock.Minute, LoadTimeout: 30 * clock.Second,
-		CancelTimeout: 5 * clock.Second, ReportTimeout: 2 * clock.Second, MaxIdle: 64, MaxAnswer: 32 << 20,
+		CancelTimeout: 5 * clock.Second, ReportTimeout: 2 * clock.Second, MaxIdleConnections: 64, MaxAnswerBytes: 32 << 20,
 	}
 }
 
@@ -123,7 +123,7 @@
 	return &http.Transport{
 		DialContext:           dialer.DialContext,
 		ResponseHeaderTimeout: options.HeadTimeout.Duration(),
-		MaxIdleConnsPerHost:   options.MaxIdle,
+		MaxIdleConnsPerHost:   options.MaxIdleConnections,
 		IdleConnTimeout:       time.Minute,
 		DisableCompression:    true,
 	}
@@ -149,7 +149,7 @@
 	if err := sink.Head(response.StatusCode, response.Header.Get("Content-Type")); err != nil {
 		return owner.ResultLost
 	}
-	relay := relay{start: start, sink: sink, index: start.Received, maxAnswer: httpClient.options.MaxAnswer}
+	relay := relay{start: start, sink: sink, index: start.Received, maxAnswer: httpClient.options.MaxAnswerBytes}
 	if isStream(response) {
 		return relay.relayStream(ctx, response.Body)
 	}
--- a/internal/backend/service/service.go
+++ b/internal/backend/service/service.go
@@ -23,15 +23,15 @@
 	DialTimeout clock.Millis
 	// Timeout is the maximum duration of a call, until its answer has been read.
 	Timeout clock.Millis
-	// MaxIdle is the maximum number of idle connections kept per service address.
-	MaxIdle int
-	// MaxAnswer is the maximum size of an answer, in bytes.
-	MaxAnswer int64
+	// MaxIdleConnections is the maximum number of idle connections kept per service address.
+	MaxIdleConnections int
+	// MaxAnswerBytes is the maximum size of an answer, in bytes.
+	MaxAnswerBytes int64
 }
 
 // DefaultOptions returns the options that apply where the settings give no value.
 func DefaultOptions() Options {
-	return Options{DialTimeout: 2 * clock.Second, Timeout: 30 * clock.Second, MaxIdle: 64, MaxAnswer: 8 << 20}
+	return Options{DialTimeout: 2 * clock.Second, Timeout: 30 * clock.Second, MaxIdleConnections: 64, MaxAnswerBytes: 8 << 20}
 }
 
 // Call is one request to a service.
@@ -53,11 +53,11 @@
 // New returns a client.
 func New(options Options) *Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout.Duration()}
-	return &Client{maxAnswer: options.MaxAnswer, httpClient: &http.Client{
+	return &Client{maxAnswer: options.MaxAnswerBytes, httpClient: &http.Client{
 		Timeout: options.Timeout.Duration(),
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: options.MaxIdle,
+			MaxIdleConnsPerHost: options.MaxIdleConnections,
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		},
--- a/internal/serve/program/options.go
+++ b/internal/serve/program/options.go
@@ -37,12 +37,12 @@
 		Engines: engine.Options{
 			DialTimeout: settings.Engines.DialTimeoutMillis, HeadTimeout: settings.Engines.HeadTimeoutMillis,
 			LoadTimeout: settings.Engines.LoadTimeoutMillis, CancelTimeout: settings.Engines.CancelTimeoutMillis,
-			ReportTimeout: settings.Engines.ReportTimeoutMillis,
-			MaxIdle:       settings.Engines.MaxIdleConnections, MaxAnswer: settings.Engines.MaxAnswerBytes,
+			ReportTimeout:      settings.Engines.ReportTimeoutMillis,
+			MaxIdleConnections: settings.Engines.MaxIdleConnections, MaxAnswerBytes: settings.Engines.MaxAnswerBytes,
 		},
 		Services: service.Options{
 			DialTimeout: settings.Services.DialTimeoutMillis, Timeout: settings.Services.TimeoutMillis,
-			MaxIdle: settings.Services.MaxIdleConnections, MaxAnswer: settings.Services.MaxAnswerBytes,
+			MaxIdleConnections: settings.Services.MaxIdleConnections, MaxAnswerBytes: settings.Services.MaxAnswerBytes,
 		},
 		Timing: link.Timing{
 			PingInterval: settings.Peers.PingMillis, SilenceTimeout: settings.Peers.SilenceMillis, RedialInterval: settings.Peers.RedialMillis,
