--- a/internal/inner/link/link_test.go
+++ b/internal/inner/link/link_test.go
@@ -131,7 +131,7 @@
 // between two daemons freezes in one direction or in both.
 func TestFrozenConnectionIsLost(t *testing.T) {
 	for name, faults := range map[string]faultproxy.Faults{
-		"to target": {FreezeToTarget: true}, "from target": {FreezeFromTarget: true}, "both": {FreezeToTarget: true, FreezeFromTarget: true},
+		"there": {FreezeToTarget: true}, "back": {FreezeFromTarget: true}, "both": {FreezeToTarget: true, FreezeFromTarget: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dialing, dialed, proxy := connect(t)
