--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission implements the queues of waiting work and the bound on its
-// amount. Items are ordered by class, most urgent first, and by deadline within a
-// class.
+// Package admission implements the queues of waiting items and the bound on their
+// number. Items are ordered by class, most urgent first, and by deadline within a
+// class. The package does not limit rates.
 package admission
 
 import (
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -57,9 +57,9 @@
 					return
 				}
 				at := rapid.IntRange(0, len(model)-1).Draw(t, "at")
-				gone := model[at]
-				require.True(t, queue.Remove(gone.class, gone.deadline, gone.item))
-				require.False(t, queue.Remove(gone.class, gone.deadline, gone.item))
+				removed := model[at]
+				require.True(t, queue.Remove(removed.class, removed.deadline, removed.item))
+				require.False(t, queue.Remove(removed.class, removed.deadline, removed.item))
 				model = slices.Delete(model, at, at+1)
 			},
 			"expire": func(t *rapid.T) {
@@ -80,7 +80,9 @@
 	})
 }
 
-func TestBoundHoldsOverQueues(t *testing.T) {
+// TestBoundLimitsEachClass checks that each class has its own limit and that an item that
+// leaves makes room for another.
+func TestBoundLimitsEachClass(t *testing.T) {
 	bound := admission.NewBound([config.ClassCount]int{config.Urgent: 1, config.Routine: 2})
 	require.True(t, bound.Enter(config.Urgent))
 	require.False(t, bound.Enter(config.Urgent))
--- a/internal/decide/effect/effect.go
+++ b/internal/decide/effect/effect.go
@@ -1,6 +1,6 @@
 // Package effect defines the effects that the decision state machines ask the
-// runtime to carry out, and the audit events that they report. A state machine
-// returns effects in order and carries out none of them itself.
+// runtime to carry out, and the audit events that they report. The types are plain
+// data. A state machine returns effects in order and carries out none of them itself.
 package effect
 
 import (
@@ -25,7 +25,8 @@
 	Stream  ident.StreamID
 	Outcome outcome.Outcome
 	Record  outcome.Record
-	// Stored replaces the stream's own content when an idempotency key is repeated.
+	// Stored, if set, is the whole answer, and nothing is forwarded from a stream: the
+	// answer of a service, or the stored answer for a repeated idempotency key.
 	Stored *message.StoredAnswer
 }
 
@@ -54,8 +55,8 @@
 	Request  message.Request
 	Resume   bool
 	Received uint64
-	// ExpiresAt is the time after which the run must not be started. It is not set for
-	// a resume.
+	// ExpiresAt is the time after which the run must not be sent. It is not set for a
+	// resume.
 	ExpiresAt clock.Millis
 }
 
@@ -71,7 +72,7 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// ExpiresAt is the time after which the order must not be given.
+	// ExpiresAt is the time after which the order must not be sent.
 	ExpiresAt clock.Millis
 }
 
@@ -80,20 +81,20 @@
 	Engine  ident.EngineID
 	Adapter ident.Adapter
 	Fence   ident.Fence
-	// ExpiresAt is the time after which the order must not be given.
+	// ExpiresAt is the time after which the order must not be sent.
 	ExpiresAt clock.Millis
 }
 
-// ReadEngine asks for the engine's state report.
+// ReadEngine requests an engine's state report.
 type ReadEngine struct {
 	Engine ident.EngineID
 	Fence  ident.Fence
-	// At is when the report was asked for. The EngineReported event returns it as
+	// At is when the report was requested. The EngineReported event returns it as
 	// AskedAt.
 	At clock.Millis
 }
 
-// ReadVMList asks for a reading of the VM list without delay.
+// ReadVMList asks for the VM list to be read without delay.
 type ReadVMList struct{}
 
 // CallService sends a request to a service that is not a model engine.
@@ -103,7 +104,7 @@
 	Address string
 }
 
-// Audit reports a change and its cause.
+// Audit reports an event for the audit record, with its cause.
 type Audit struct {
 	At     clock.Millis
 	Kind   AuditKind
@@ -113,10 +114,10 @@
 	After  string
 }
 
-// AuditKind names the kind of a change.
+// AuditKind names the kind of an audit event.
 type AuditKind string
 
-// Kinds of audited changes.
+// Kinds of audit events.
 const (
 	ConfigAccepted    AuditKind = "ConfigAccepted"
 	ConfigRefused     AuditKind = "ConfigRefused"
--- a/internal/decide/home/copy.go
+++ b/internal/decide/home/copy.go
@@ -81,10 +81,10 @@
 	return record.stream == pending.stream && !finishedSince && !slices.Contains(record.copiedTo, pending.to)
 }
 
-// StoreCopy stores the copy of another home's record, if there is room. It replaces a
-// record of a different attempt under the same key, unless this daemon is itself
-// the key's home or that attempt has finished. In each case a record of the key
-// remains, so no attempt runs twice.
+// StoreCopy stores the copy of another home's record, if there is room. The copy
+// replaces the record of a different attempt under the same key, unless this daemon is
+// itself the key's home or the recorded attempt has finished. In either case a record of
+// the key remains, so no second attempt is granted.
 func (home *Home) StoreCopy(now clock.Millis, copied message.HomeCopy) []effect.Effect {
 	held, found := home.records[copied.Key]
 	key := Key{Key: copied.Key, Caller: copied.Caller, Region: copied.Region}
@@ -131,9 +131,9 @@
 
 // DeleteCopy deletes the copy of a record whose attempt did not run. A finished
 // record is kept.
-func (home *Home) DeleteCopy(forget message.HomeCopyDelete) []effect.Effect {
-	record, found := home.records[forget.Key]
-	if found && record.stream == forget.Stream && record.state != recordFinished {
+func (home *Home) DeleteCopy(deletion message.HomeCopyDelete) []effect.Effect {
+	record, found := home.records[deletion.Key]
+	if found && record.stream == deletion.Stream && record.state != recordFinished {
 		home.remove(record)
 	}
 	return home.takeEffects()
@@ -148,8 +148,8 @@
 	return home.takeEffects()
 }
 
-// Idle reports whether no record waits to be copied. A daemon that shuts down may
-// exit then.
+// Idle reports whether no copy waits for a confirmation. A daemon that shuts down may
+// exit then. Copies that were sent maxCopySends times without one are given up.
 func (home *Home) Idle() bool {
 	return !slices.ContainsFunc(home.pendingCopies, func(pending pendingCopy) bool {
 		record, found := home.records[pending.key]
--- a/internal/decide/home/home.go
+++ b/internal/decide/home/home.go
@@ -216,9 +216,9 @@
 	home.send(begin.Stream.Daemon, message.HomeDecision{Key: begin.Key, Stream: begin.Stream, Outcome: denial, Stored: stored})
 }
 
-// Finish records the outcome of a granted attempt and confirms it to the entry. The
+// Finish records the outcome of an attempt and confirms the receipt to the entry. The
 // outcome NotRun releases the key, unless the attempt has already been recorded as
-// finished, for example as Unknown.
+// finished with the outcome Unknown.
 func (home *Home) Finish(now clock.Millis, finish message.HomeFinish) []effect.Effect {
 	home.observeIncarnation(now, finish.Stream)
 	home.send(finish.Stream.Daemon, message.HomeFinished{Key: finish.Key, Stream: finish.Stream})
@@ -312,7 +312,8 @@
 	}
 }
 
-// ObserveIncarnation records the current incarnation of a daemon.
+// ObserveIncarnation records the current incarnation of a daemon. Unfinished attempts of
+// its earlier incarnations end as unknown.
 func (home *Home) ObserveIncarnation(now clock.Millis, daemon ident.DaemonID, incarnation ident.Incarnation) []effect.Effect {
 	home.observeIncarnation(now, ident.StreamID{Daemon: daemon, Incarnation: incarnation})
 	return home.takeEffects()
--- a/internal/decide/home/vouch.go
+++ b/internal/decide/home/vouch.go
@@ -135,25 +135,25 @@
 // canVouch reports whether this home would have a record of an earlier attempt under
 // the key. By the clock of its home, no attempt is granted earlier than ClockMargin
 // before the key's issue time. That clock differs from this one by at most
-// ClockMargin, and a home acts on a list that may be out of date by the maximum age
-// of a list plus its lag. So this daemon must have been the key's home under every
-// list that was current since then.
+// ClockMargin, and a home acts on a list that may be out of date by MaxListAge plus
+// ListLag. So this daemon must know every list that was current since 2*ClockMargin +
+// MaxListAge + ListLag before the issue time, and must be the key's home under each.
 func (home *Home) canVouch(now clock.Millis, key Key, issuedAt clock.Millis) bool {
 	margin := home.options.ClockMargin
 	if issuedAt > now+margin || issuedAt < now-home.options.Retention+2*margin {
 		return false
 	}
 	from := issuedAt - 2*margin - home.options.MaxListAge - home.options.ListLag
-	eras := home.history.periods
-	if len(eras) == 0 || eras[0].since > from {
+	periods := home.history.periods
+	if len(periods) == 0 || periods[0].since > from {
 		return false
 	}
-	for i := len(eras) - 1; i >= 0; i-- {
-		homeDaemon, found := eras[i].roster.homeOf(key)
+	for i := len(periods) - 1; i >= 0; i-- {
+		homeDaemon, found := periods[i].roster.homeOf(key)
 		if !found || homeDaemon != home.self {
 			return false
 		}
-		if eras[i].since <= from {
+		if periods[i].since <= from {
 			return true
 		}
 	}
@@ -164,13 +164,13 @@
 // provided that it is the key's home under every list it has read.
 func (home *Home) CanVouchForNewKeys(now clock.Millis) bool {
 	needed := 2*home.options.ClockMargin + home.options.MaxListAge + home.options.ListLag
-	eras := home.history.periods
-	return len(eras) > 0 && eras[0].since <= now-needed && now-home.history.readAt <= home.options.MaxListAge
+	periods := home.history.periods
+	return len(periods) > 0 && periods[0].since <= now-needed && now-home.history.readAt <= home.options.MaxListAge
 }
 
-// UpdateVMList applies a VM list that was read. If the roster changed, records are copied
-// again to where they may now belong, and unfinished attempts granted to entries
-// that are no longer listed end as unknown.
+// UpdateVMList applies a VM list that was read. If the roster changed, unfinished
+// attempts granted to entries that are no longer listed end as unknown, and the records
+// of keys whose home this daemon is or was until now are copied to their next homes.
 func (home *Home) UpdateVMList(now clock.Millis, view *members.View) []effect.Effect {
 	before := home.history.latest()
 	changed := home.history.update(view)
--- a/internal/decide/loads/broker.go
+++ b/internal/decide/loads/broker.go
@@ -35,7 +35,7 @@
 	Interval clock.Millis
 	// DeadlineMargin is the minimum time between the end of a load and its deadline.
 	DeadlineMargin clock.Millis
-	// BrokerTimeout is the time without a reply after which a daemon takes the broker as
+	// BrokerTimeout is the time without a reply after which a daemon treats the broker as
 	// unreachable and loads at its own share of the store's rate.
 	BrokerTimeout clock.Millis
 	// MaxUrgentInRow is the number of urgent loads in a row after which a routine load is
@@ -101,8 +101,8 @@
 	return &Broker{options: options, leases: map[loadKey]lease{}, meanDuration: float64(options.LoadDuration)}
 }
 
-// Request adds, replaces or withdraws a waiting load. Every request except a withdrawal is
-// answered with at least a decision.
+// Request adds, replaces or withdraws a waiting load. Every request except a withdrawal
+// is answered with at least a decision.
 func (broker *Broker) Request(now clock.Millis, from ident.DaemonID, request message.LoadRequest) []Reply {
 	key := loadKey{engine: request.Engine, adapter: request.Adapter}
 	if at := broker.indexOf(key); at >= 0 {
@@ -145,7 +145,8 @@
 	broker.waiting = slices.Insert(broker.waiting, at, added)
 }
 
-// ReturnLease ends a returned lease and adds the duration of its load to the mean.
+// ReturnLease ends a returned lease and adds the duration of its load to the mean, unless
+// the lease was not used.
 func (broker *Broker) ReturnLease(now clock.Millis, done message.LoadDone) []Reply {
 	key := loadKey{engine: done.Engine, adapter: done.Adapter}
 	if lease, known := broker.leases[key]; known {
--- a/internal/decide/loads/broker_test.go
+++ b/internal/decide/loads/broker_test.go
@@ -106,9 +106,10 @@
 	require.Equal(t, []string{"0", "2", "1"}, store.order)
 }
 
-// TestRoutineFloor checks that a routine load is granted after seven urgent ones while
-// more urgent loads are waiting.
-func TestRoutineFloor(t *testing.T) {
+// TestRoutineFollowsUrgentInRow checks that a routine load is granted after seven urgent
+// ones while more urgent loads are waiting. Otherwise steady urgent demand would starve
+// routine loads.
+func TestRoutineFollowsUrgentInRow(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
 	for i := range 20 {
 		store.request(requestOf(i, config.Urgent, clock.Minute, 1))
@@ -118,9 +119,10 @@
 	require.Equal(t, "100", store.order[7])
 }
 
-// TestFloorYieldsToUrgentDeadlines checks that no urgent load is late when all of them
-// together need the whole time, and that the routine load is refused.
-func TestFloorYieldsToUrgentDeadlines(t *testing.T) {
+// TestUrgentDeadlinesPrecedeRoutine checks that no routine load is granted after seven
+// urgent ones if that would make an urgent one late: when the urgent loads together need
+// the whole time, all of them are granted and the routine load is refused.
+func TestUrgentDeadlinesPrecedeRoutine(t *testing.T) {
 	store := newStore(t, loads.DefaultOptions())
 	for i := range 20 {
 		store.request(requestOf(i, config.Urgent, 20*loadDuration+loads.DefaultOptions().DeadlineMargin, 1))
@@ -141,6 +143,8 @@
 	require.Equal(t, map[string]bool{"1": true}, store.refused)
 }
 
+// TestLeaseExpires checks that a lease that is never returned blocks the next load only
+// until the lease ends.
 func TestLeaseExpires(t *testing.T) {
 	options := loads.DefaultOptions()
 	broker := loads.New(options)
--- a/internal/decide/loads/schedule.go
+++ b/internal/decide/loads/schedule.go
@@ -18,8 +18,8 @@
 			return replies
 		}
 		at := broker.leastValuable(late)
-		drained := broker.nextStart(now) + clock.Millis(float64(len(broker.waiting))*broker.meanInterval())
-		replies = append(replies, decision(&broker.waiting[at], true, drained-now))
+		emptyAt := broker.nextStart(now) + clock.Millis(float64(len(broker.waiting))*broker.meanInterval())
+		replies = append(replies, decision(&broker.waiting[at], true, emptyAt-now))
 		broker.waiting = append(broker.waiting[:at], broker.waiting[at+1:]...)
 	}
 }
@@ -58,8 +58,9 @@
 	return a.Waiters < b.Waiters
 }
 
-// decision returns the message that refuses a load, or tells its owner how long it
-// is expected to wait.
+// decision returns the message that refuses a load or informs its owner of the expected
+// wait: the time until the load ends or, for a refused load, until all loads that wait
+// now have ended.
 func decision(load *waitingLoad, refused bool, wait clock.Millis) Reply {
 	return Reply{To: load.from, Message: message.LoadDecision{
 		Store: load.request.Store, Engine: load.request.Engine, Adapter: load.request.Adapter,
--- a/internal/decide/message/membership.go
+++ b/internal/decide/message/membership.go
@@ -7,8 +7,9 @@
 )
 
 // Update is sent to the daemons of the region at intervals. It shows that the
-// sender is alive and what it has accepted, and carries the changes of the engines
-// that it owns. Listing an engine also claims it under the given fencing number.
+// sender is alive and which configuration it has accepted, and carries the changes
+// of the engines that it owns. Listing an engine also claims it under the given
+// fencing number.
 type Update struct {
 	_           struct{} `cbor:",toarray"`
 	From        ident.DaemonID
@@ -24,8 +25,8 @@
 	// Digest covers all owned engines, so that a receiver detects missed updates.
 	Digest  uint64
 	Engines []EngineDelta
-	// Departing lists engines that are leaving according to what the sender itself
-	// has read.
+	// Departing lists the region's engines that are leaving according to the VM list
+	// that the sender has read, so that owners that cannot read the list know it too.
 	Departing []ident.EngineID
 }
 
@@ -44,7 +45,7 @@
 	Spare     float64
 	ReportAge clock.Millis
 	Flags     EngineFlags
-	// Detail is omitted if Residency is the same as in the previous update.
+	// Detail is omitted if Fence and Residency are the same as in the previous update.
 	Detail *EngineDetail
 }
 
@@ -71,8 +72,8 @@
 	From ident.DaemonID
 }
 
-// HigherClaim informs a daemon that claims an engine of a claim with a higher fencing
-// number that it may have missed.
+// HigherClaim informs a daemon that claims an engine about another daemon's claim with
+// a higher fencing number, which the first daemon may have missed.
 type HigherClaim struct {
 	_           struct{} `cbor:",toarray"`
 	Engine      ident.EngineID
@@ -81,8 +82,8 @@
 	Fence       ident.Fence
 }
 
-// HandoverRequest asks an owner to hand over an engine. The sender has read a VM list
-// that makes it the first candidate.
+// HandoverRequest asks an owner to hand over an engine to the sender, which is the
+// first candidate by the VM list that it has read.
 type HandoverRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Engine ident.EngineID
@@ -95,7 +96,8 @@
 	// SentAt is the former owner's wall-clock time.
 	SentAt clock.Millis
 	Runs   []UnfinishedRun
-	// Owner is the former owner if another daemon forwards the handover.
+	// Owner is the former owner. It is set only if another daemon forwards the
+	// handover.
 	Owner ident.DaemonID
 }
 
@@ -107,8 +109,8 @@
 	Owner  ident.DaemonID
 }
 
-// UnfinishedRun is an unfinished run. Its adapter stays pinned, and the former owner
-// continues to relay its answer.
+// UnfinishedRun is a run that was in progress at a handover. Its adapter stays pinned,
+// and the former owner continues to relay its answer.
 type UnfinishedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Stream  ident.StreamID
--- a/internal/decide/message/message.go
+++ b/internal/decide/message/message.go
@@ -9,10 +9,10 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// Lane is the connection that carries a message. Lanes have separate queues.
+// Lane is one of the connections between two daemons. Lanes have separate queues.
 type Lane uint8
 
-// Lanes of a connection set.
+// Lanes between two daemons.
 const (
 	ControlLane Lane = iota
 	UrgentLane
@@ -31,7 +31,7 @@
 
 // Message is a message between daemons.
 type Message interface {
-	// Lane returns the connection that carries the message.
+	// Lane returns the lane that carries the message.
 	Lane() Lane
 }
 
@@ -73,7 +73,8 @@
 	Hops int
 }
 
-// Dispatched informs the entry that the run was sent to the engine.
+// Dispatched informs the entry that the owner has dispatched the run. From then on the
+// engine may have it.
 type Dispatched struct {
 	Stream ident.StreamID
 	Class  config.Class
@@ -101,13 +102,17 @@
 }
 
 // LoadRequest asks the broker of a weight store for permission to load an adapter.
+// It replaces an earlier request for the same engine and adapter.
 type LoadRequest struct {
-	Store    string
-	Engine   ident.EngineID
-	Adapter  ident.Adapter
-	Class    config.Class
-	Budget   clock.Millis
-	Waiters  int
+	Store   string
+	Engine  ident.EngineID
+	Adapter ident.Adapter
+	Class   config.Class
+	// Budget is the time left until the load must have ended.
+	Budget clock.Millis
+	// Waiters is the number of requests that wait for the adapter.
+	Waiters int
+	// Withdraw is set if the load is no longer needed.
 	Withdraw bool
 }
 
@@ -119,7 +124,7 @@
 	Lease   clock.Millis // duration
 }
 
-// LoadDecision is the broker's answer to a request for a load.
+// LoadDecision is the broker's answer to a LoadRequest. A LoadGrant may follow it.
 type LoadDecision struct {
 	Store   string
 	Engine  ident.EngineID
@@ -131,7 +136,7 @@
 	Wait clock.Millis
 }
 
-// LoadDone returns a lease.
+// LoadDone returns the lease of a LoadGrant to the broker.
 type LoadDone struct {
 	Store   string
 	Engine  ident.EngineID
@@ -141,7 +146,9 @@
 	Unused bool
 }
 
-// Heartbeat shows that a daemon is alive and what it has accepted.
+// Heartbeat shows that a daemon is alive and which configuration it has accepted. It
+// is not sent, as an Update carries the same. It stays defined because package link
+// numbers the types of messages by their position in a list.
 type Heartbeat struct {
 	From          ident.DaemonID
 	Incarnation   ident.Incarnation
--- a/internal/decide/node/attempt.go
+++ b/internal/decide/node/attempt.go
@@ -95,8 +95,8 @@
 	request.lastAttempt().Dispatched = true
 }
 
-// answerStarted opens the answer of the current attempt to the caller. From then on
-// no other attempt may replace it.
+// answerStarted lets the runtime forward the answer of the current attempt to the
+// caller. From then on no other attempt may replace this one.
 func (node *Node) answerStarted(event AnswerStarted) {
 	request, known := node.requests[event.Stream]
 	if !known || !request.inFlight() {
@@ -145,8 +145,8 @@
 	}
 }
 
-// leavesRunUncertain reports whether a resumed attempt may have run although its
-// owner reports otherwise. Only the engine's own refusal proves that it did not
+// leavesRunUncertain reports whether a resumed attempt may have run even though its
+// owner reported this outcome. Only the engine's own refusal proves that it did not
 // run.
 func leavesRunUncertain(ended outcome.Outcome) bool {
 	return ended.Kind == outcome.NotRun && ended.Reason != outcome.EngineRefused || ended.Reason == outcome.OwnerLost
@@ -199,6 +199,6 @@
 	node.answer(request, event.Outcome)
 }
 
-// probeInterval is the time after the deadline, and between later probes, at which
-// the entry asks an owner again for an attempt that has not ended.
+// probeInterval is the time from the deadline, or from a later submission, until the
+// entry asks an owner again for an attempt that has not ended.
 const probeInterval = 15 * clock.Second
--- a/internal/decide/node/authority.go
+++ b/internal/decide/node/authority.go
@@ -48,31 +48,32 @@
 	return owned.owner.Engine.ChecksFencing || node.vmListFresh() && node.now < node.tenure(name).OrdersUntil()
 }
 
-// updatePermission tells the owner state machine of an engine whether it may give
-// orders. It is called before every event that may lead to an order.
+// updatePermission sets whether the owner state machine of an engine may give orders.
+// It is called before every event that may lead to an order.
 func (node *Node) updatePermission(name ident.EngineID, owned *ownedEngine) {
 	owned.owner.Suspend(!node.mayOrder(name, owned))
 }
 
-// setOrderExpiry sets the time after which an order must not be sent. It checks the
-// invariant that only an owner with permission gives orders.
+// setOrderExpiry sets the time after which an order must not be sent, and returns
+// other effects as they are. It checks the invariant that only an owner with
+// permission gives orders.
 func (node *Node) setOrderExpiry(owned *ownedEngine, next effect.Effect) effect.Effect {
-	until := node.now + node.options.Ownership.MaxOrderDelay
+	expiresAt := node.now + node.options.Ownership.MaxOrderDelay
 	switch next := next.(type) {
 	case effect.StartRun:
 		if next.Resume {
 			return next // a resume starts no run
 		}
 		node.checkOrder(next.Engine, owned)
-		next.ExpiresAt = until
+		next.ExpiresAt = expiresAt
 		return next
 	case effect.Load:
 		node.checkOrder(next.Engine, owned)
-		next.ExpiresAt = until
+		next.ExpiresAt = expiresAt
 		return next
 	case effect.Unload:
 		node.checkOrder(next.Engine, owned)
-		next.ExpiresAt = until
+		next.ExpiresAt = expiresAt
 		return next
 	}
 	return next
@@ -109,9 +110,10 @@
 	node.rankCandidates()
 }
 
-// handleVMListGap releases engines that ignore fencing numbers after too long a gap
-// between two readings of the VM list: another daemon may have owned them in
-// between.
+// handleVMListGap handles too long a gap between two readings of the VM list. Another
+// daemon may have owned the engines that ignore fencing numbers in between, so those
+// that this daemon owns are released, and the hold-down of those that it waits for
+// starts again.
 func (node *Node) handleVMListGap() {
 	for name, tenure := range node.ownerRole.tenures {
 		engine, known := node.config.Engine(name)
@@ -158,7 +160,7 @@
 }
 
 // leavingReportTimeout is how long a peer's report that an engine is leaving stays
-// valid. Peers repeat it in each update.
+// valid. Peers repeat the report in each update.
 const leavingReportTimeout = 10 * clock.Second
 
 // engineLeaving reports whether an engine is leaving according to the
--- a/internal/decide/node/bench_test.go
+++ b/internal/decide/node/bench_test.go
@@ -50,8 +50,8 @@
 	return members.NewView(list, now)
 }
 
-// benchNode is a node that owns its share of a region's engines and knows all of
-// them.
+// benchNode is a node that owns its share of a region's engines and knows the state of
+// all of them.
 type benchNode struct {
 	node  *node.Node
 	now   clock.Millis
@@ -86,8 +86,9 @@
 	return bench
 }
 
-// learnEngines gives the node the state of every engine: the reports of its own
-// engines, and a peer's state message for all others.
+// learnEngines gives the node the state of every engine: reports from the engines that
+// it owns, and a peer's state message for each engine. The peer's messages do not
+// replace the states of owned engines, because their fencing number is lower.
 func (bench *benchNode) learnEngines(engines int) {
 	for range 200 {
 		for _, next := range bench.advance(50) {
--- a/internal/decide/node/brokering.go
+++ b/internal/decide/node/brokering.go
@@ -65,11 +65,11 @@
 	node.sendReplies(node.broker(request.Store).Request(node.now, from, request))
 }
 
-func (node *Node) loadDone(done message.LoadDone) {
+func (node *Node) leaseReturned(done message.LoadDone) {
 	node.sendReplies(node.broker(done.Store).ReturnLease(node.now, done))
 }
 
-func (node *Node) loadGrant(grant message.LoadGrant) {
+func (node *Node) loadGranted(grant message.LoadGrant) {
 	owned, known := node.ownerRole.owned[grant.Engine]
 	if !known {
 		node.send(node.brokerOf(grant.Store), message.LoadDone{
@@ -96,7 +96,7 @@
 		if engine, adapter, found := node.longestUnanswered(store.Name); found {
 			interval := float64(clock.Second) * float64(max(1, len(node.regionNames))) / node.regionRate(store)
 			node.nextFallbackLoadAt[store.Name] = node.now + clock.Millis(interval)
-			node.loadGrant(message.LoadGrant{Store: store.Name, Engine: engine, Adapter: adapter, Lease: node.options.Loads.Lease})
+			node.loadGranted(message.LoadGrant{Store: store.Name, Engine: engine, Adapter: adapter, Lease: node.options.Loads.Lease})
 		}
 	}
 }
--- a/internal/decide/node/brokering_test.go
+++ b/internal/decide/node/brokering_test.go
@@ -93,8 +93,8 @@
 	require.True(t, answered)
 }
 
-// TestFailingLoadsEndAsNotRun checks the refusal of a request when every load
-// fails.
+// TestFailingLoadsEndAsNotRun checks that a request is refused as not run when every
+// load fails.
 func TestFailingLoadsEndAsNotRun(t *testing.T) {
 	network := newNetworkWith(t, 3, 2, nodetest.EngineOptions{RunDuration: 200, LoadDuration: 500, FailLoadShare: 1})
 	network.Run(5 * clock.Second)
--- a/internal/decide/node/configuration.go
+++ b/internal/decide/node/configuration.go
@@ -19,7 +19,7 @@
 // ConfigAssembled carries the result of an AssembleConfig effect.
 type ConfigAssembled struct {
 	Mark config.Mark
-	// Snapshot is nil if the configuration was rejected; Cause then says why.
+	// Snapshot is nil if the configuration was rejected; Cause is then the reason.
 	Snapshot *config.Snapshot
 	Cause    string
 }
@@ -37,7 +37,7 @@
 	if order.Previous != nil {
 		earlier = order.Previous.ParsedParts
 	}
-	document, pieces, err := config.AssembleFrom(earlier, order.Manifest, order.Parts)
+	document, parsedParts, err := config.AssembleFrom(earlier, order.Manifest, order.Parts)
 	if problems := config.CheckSuccessor(order.Previous, document); err == nil && len(problems) > 0 {
 		err = problems
 	}
@@ -45,7 +45,7 @@
 		assembled.Snapshot, err = config.Compile(document)
 	}
 	if err == nil {
-		assembled.Snapshot.ParsedParts = pieces
+		assembled.Snapshot.ParsedParts = parsedParts
 	}
 	if err != nil {
 		assembled.Snapshot, assembled.Cause = nil, err.Error()
--- a/internal/decide/node/configuration_test.go
+++ b/internal/decide/node/configuration_test.go
@@ -16,9 +16,9 @@
 	"teaselmoor/internal/decide/nodetest"
 )
 
-// publishedNetwork returns a network whose daemons are spread over data centres and
-// read their configuration from the service.
-func publishedNetwork(t testing.TB, seed uint64, daemons, centres int) *nodetest.Network {
+// networkWithConfigService returns a network whose daemons are spread over data
+// centres and read their configuration from the fake configuration service.
+func networkWithConfigService(t testing.TB, seed uint64, daemons, centres int) *nodetest.Network {
 	t.Helper()
 	var vms []members.VM
 	for i := range daemons {
@@ -64,7 +64,7 @@
 func TestConfigIsAppliedWithinSeconds(t *testing.T) {
 	for _, size := range []struct{ daemons, centres int }{{7, 4}, {78, 3}} {
 		t.Run(fmt.Sprintf("%d daemons", size.daemons), func(t *testing.T) {
-			network := publishedNetwork(t, 1, size.daemons, size.centres)
+			network := networkWithConfigService(t, 1, size.daemons, size.centres)
 			requireEverywhere(t, network, 1, 5*clock.Second)
 			network.Run(20 * clock.Second)
 			calls := network.Service.Calls
@@ -81,7 +81,7 @@
 func TestConfigSpreadsWithoutService(t *testing.T) {
 	for _, size := range []struct{ daemons, centres int }{{7, 4}, {78, 3}} {
 		t.Run(fmt.Sprintf("%d daemons", size.daemons), func(t *testing.T) {
-			network := publishedNetwork(t, 1, size.daemons, size.centres)
+			network := networkWithConfigService(t, 1, size.daemons, size.centres)
 			requireEverywhere(t, network, 1, 5*clock.Second)
 			for _, name := range network.HostNames() {
 				network.Service.Unreachable[name] = name != "daemon-03"
@@ -103,7 +103,7 @@
 // TestNewDaemonAsksPeers checks that a restarted daemon accepts its peers' version
 // although the service returns an older one and answers sooner than the peers.
 func TestNewDaemonAsksPeers(t *testing.T) {
-	network := publishedNetwork(t, 1, 5, 2)
+	network := networkWithConfigService(t, 1, 5, 2)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	network.Service.FixStaleValues()
 	require.NoError(t, network.Service.Publish(configVersion(2)))
@@ -122,7 +122,7 @@
 func TestInvalidConfigIsRejected(t *testing.T) {
 	bad := configVersion(5)
 	bad.Rules[0].Class = "Later"
-	network := publishedNetwork(t, 1, 3, 1)
+	network := networkWithConfigService(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	require.NoError(t, network.Service.Publish(bad))
 	network.Run(configTimeout)
@@ -133,9 +133,9 @@
 }
 
 // TestConfigWithMissingPartIsAppliedLater publishes a manifest before one of its
-// parts.
+// parts. The configuration must be applied once that part can be read.
 func TestConfigWithMissingPartIsAppliedLater(t *testing.T) {
-	network := publishedNetwork(t, 1, 3, 1)
+	network := networkWithConfigService(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	changed := configVersion(2)
 	changed.Callers[0].RequestsPerSecond = 5
@@ -154,9 +154,10 @@
 }
 
 // TestCorruptPartIsReadAgain makes the service return parts whose content does not
-// match the manifest, for a while.
+// match the manifest, for a while. The configuration must not be applied before the
+// service returns the right content.
 func TestCorruptPartIsReadAgain(t *testing.T) {
-	network := publishedNetwork(t, 1, 3, 1)
+	network := networkWithConfigService(t, 1, 3, 1)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	network.Service.Corrupt = func(key string, body []byte) []byte {
 		if strings.HasPrefix(key, config.PartPrefix) {
@@ -177,7 +178,7 @@
 // to the two sides of a partition. After the partition one of them must be in force
 // everywhere.
 func TestTwoPublicationsOfOneVersion(t *testing.T) {
-	network := publishedNetwork(t, 1, 6, 2)
+	network := networkWithConfigService(t, 1, 6, 2)
 	requireEverywhere(t, network, 1, 5*clock.Second)
 	sides := [2]map[ident.DaemonID]bool{{}, {}}
 	for i, name := range network.HostNames() {
--- a/internal/decide/node/entry.go
+++ b/internal/decide/node/entry.go
@@ -8,7 +8,7 @@
 )
 
 // transientRetryDelay is the retry delay given to a caller after a refusal for a
-// temporary cause that another daemon, or this one a little later, may not have.
+// temporary cause. Another daemon, or this one a little later, may accept the request.
 const transientRetryDelay = clock.Second
 
 // requestArrived handles a caller's request: it refuses it, asks the home of its
@@ -34,8 +34,8 @@
 	node.askHome(request)
 }
 
-// admit resolves the caller, target and rule of a request. It returns the refusal,
-// if any.
+// admit resolves the caller, target and rule of a request and applies the caller's
+// rate limit. It returns the refusal, if any.
 func (node *Node) admit(request *request) outcome.Outcome {
 	if node.draining {
 		return outcome.Refused(outcome.ShuttingDown, transientRetryDelay)
--- a/internal/decide/node/event.go
+++ b/internal/decide/node/event.go
@@ -43,7 +43,7 @@
 type CallerDisconnected struct{ Stream ident.StreamID }
 
 // AnswerStarted reports that the answer of an attempt has begun. The runtime forwards
-// it to the caller only once an effect of the node says so.
+// it to the caller only after a ForwardAnswer effect.
 type AnswerStarted struct {
 	Stream      ident.StreamID
 	From        ident.DaemonID
@@ -95,8 +95,8 @@
 type EngineReported struct {
 	Engine ident.EngineID
 	Report owner.Report
-	// AskedAt is the time given in the ReadEngine effect; zero means the time of
-	// the step.
+	// AskedAt is the time when the report was requested, as given in the ReadEngine
+	// effect; zero means the time of the step.
 	AskedAt clock.Millis
 }
 
@@ -104,7 +104,8 @@
 type ServiceEnded struct {
 	Stream  ident.StreamID
 	Outcome outcome.Outcome
-	// Stored is the answer, kept for a caller's retry of a non-repeatable call.
+	// Stored is the service's answer. It is sent to the caller and kept for a caller's
+	// retry of a non-repeatable call.
 	Stored *message.StoredAnswer
 }
 
--- a/internal/decide/node/handover.go
+++ b/internal/decide/node/handover.go
@@ -35,8 +35,9 @@
 	node.send(claim.Owner, message.HandoverRequest{Engine: name})
 }
 
-// handoverRequested records that another daemon asks for an engine. The engine is
-// handed over once this daemon also sees that daemon as the first candidate.
+// handoverRequested handles another daemon's request for an engine. It ignores the
+// request while that daemon is not the first candidate as far as this daemon knows;
+// the other daemon repeats it.
 func (node *Node) handoverRequested(from ident.DaemonID, request message.HandoverRequest) {
 	if _, known := node.ownerRole.owned[request.Engine]; !known || node.config == nil || node.vms == nil {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// beginYield stops new orders to an engine and hands it over once no order is in
-// progress.
+// beginYield stops new orders to an engine and hands it over once no unload order is
+// in progress.
 func (node *Node) beginYield(name ident.EngineID) {
 	owned := node.ownerRole.owned[name]
 	owned.yieldDeadline = node.now + yieldTimeout
@@ -103,7 +104,7 @@
 }
 
 // handoverReceived handles a handover from another daemon. If this daemon already
-// owns the engine under a higher fencing number, it only records the unfinished
+// owns the engine under a higher fencing number, it only takes over the unfinished
 // runs.
 func (node *Node) handoverReceived(from ident.DaemonID, handover message.Handover) {
 	if owned, known := node.ownerRole.owned[handover.Engine]; known && owned.owner.Fence > handover.Fence {
@@ -163,7 +164,7 @@
 	node.ownerRole.claims[higherClaim.Engine] = ownership.EngineClaim{
 		Owner: higherClaim.Owner, Incarnation: higherClaim.Incarnation, Fence: higherClaim.Fence,
 	}
-	node.releaseOutbid(higherClaim.Engine, "a higher claim was heard of")
+	node.releaseToHigherClaim(higherClaim.Engine, "a higher claim was heard of")
 }
 
 // allEnginesHandedOver reports whether a draining daemon has handed over every
@@ -179,7 +180,7 @@
 }
 
 // freshHandover returns the handover received for an engine and whether it is
-// recent enough to replace the hold-down.
+// recent enough to replace the hold-down. It deletes a handover that is not.
 func (node *Node) freshHandover(name ident.EngineID) (message.Handover, bool) {
 	handover, known := node.ownerRole.receivedHandovers[name]
 	age := node.now - handover.SentAt
@@ -205,7 +206,8 @@
 	}
 }
 
-// expireEarlySubmits refuses the requests whose handover did not arrive in time.
+// expireEarlySubmits refuses the requests whose handover did not arrive in time, or
+// forwards them if this daemon has handed over the engine itself.
 func (node *Node) expireEarlySubmits() {
 	earlySubmits := node.ownerRole.earlySubmits
 	node.ownerRole.earlySubmits = nil
--- a/internal/decide/node/key.go
+++ b/internal/decide/node/key.go
@@ -19,8 +19,8 @@
 	homeRetryInterval = 300 * clock.Millisecond
 	// homeTimeout is how long the entry waits for the home in all.
 	homeTimeout = 2 * clock.Second
-	// finishResendInterval is the time between two sendings of an outcome to a
-	// home.
+	// finishResendInterval is the time after which an unconfirmed outcome is sent to
+	// the home again.
 	finishResendInterval = 500 * clock.Millisecond
 	// finishTimeout is how long an unconfirmed outcome is resent. After it, the
 	// home's record ends as unknown.
--- a/internal/decide/node/membership.go
+++ b/internal/decide/node/membership.go
@@ -21,8 +21,8 @@
 	// heartbeatInterval is the maximum time between two updates within the data
 	// centre.
 	heartbeatInterval = clock.Second
-	// deltaIntervalPerDaemon is the part of deltaInterval added for each daemon of
-	// the region.
+	// deltaIntervalPerDaemon times the number of the region's daemons is the interval
+	// between two updates with engine deltas, unless MinUpdateInterval is longer.
 	deltaIntervalPerDaemon = 25 * clock.Millisecond
 	// fullUpdateRequestInterval is the minimum time between two requests for a full
 	// update from the same daemon.
@@ -49,8 +49,7 @@
 	engines map[ident.EngineID]reportedEngine
 	// digest covers all entries of engines.
 	digest uint64
-	// digestMismatches counts consecutive updates whose digest differed from the
-	// one above.
+	// digestMismatches counts consecutive updates whose digest differed from digest.
 	digestMismatches int
 	fullRequestedAt  clock.Millis // last request for a full update
 }
@@ -105,7 +104,8 @@
 }
 
 // silenceTimeout returns how long a daemon may be silent before it is skipped as a
-// candidate.
+// candidate. The timeout is longer for daemons of other data centres, which send
+// updates less often and through a relay.
 func (node *Node) silenceTimeout(daemon ident.DaemonID) clock.Millis {
 	timeout := node.options.Ownership.SilenceTimeout
 	if vm, known := node.vms.Daemon(daemon); known && vm.DataCentre != node.options.DataCentre {
@@ -230,7 +230,8 @@
 	return delta
 }
 
-// digestOf returns a digest of which engines are owned and what is loaded on them.
+// digestOf returns a digest of the owned engines, with their fencing numbers and
+// residency versions.
 func digestOf(deltas map[ident.EngineID]message.EngineDelta) uint64 {
 	digest := uint64(0)
 	for name, delta := range deltas {
@@ -280,11 +281,11 @@
 
 // updateReceived handles another daemon's update.
 func (node *Node) updateReceived(update message.Update) {
-	heard := node.peers.ApplyUpdate(node.now, update.From, members.Peer{
+	applied := node.peers.ApplyUpdate(node.now, update.From, members.Peer{
 		Incarnation: update.Incarnation, ConfigVersion: update.ConfigVersion,
 		SentAt: update.SentAt, Leaving: update.Leaving,
 	})
-	if !heard || update.From == node.options.Self {
+	if !applied || update.From == node.options.Self {
 		return
 	}
 	node.homeEffects(node.home.ObserveIncarnation(node.now, update.From, update.Incarnation))
@@ -323,7 +324,7 @@
 		node.updates.enginesOf(claim.Owner).remove(delta.Engine)
 	}
 	node.ownerRole.claims[delta.Engine] = ownership.EngineClaim{Owner: update.From, Incarnation: update.Incarnation, Fence: delta.Fence}
-	node.releaseOutbid(delta.Engine, "a higher claim was heard of")
+	node.releaseToHigherClaim(delta.Engine, "a higher claim was heard of")
 	state := message.EngineState{
 		Engine: delta.Engine, Owner: update.From, Fence: delta.Fence, Version: delta.Version,
 		Queued: delta.Queued, Running: delta.Running, LoadsWaiting: delta.LoadsWaiting, ReportAge: delta.ReportAge, Spare: delta.Spare,
@@ -360,8 +361,8 @@
 	}
 }
 
-// confirmViews marks the views of a daemon's engines as current, because its update
-// showed no other changes.
+// confirmViews marks the views of a daemon's engines as current, because the digest of
+// its update matches them.
 func (node *Node) confirmViews(engines *peerEngines) {
 	for name := range engines.engines {
 		if view := node.views.View(name); view != nil && view.ConfirmedAt < node.now {
@@ -404,7 +405,7 @@
 		owned, view := node.ownerRole.owned[name], node.views.View(name)
 		due := view == nil || view.State.Fence != owned.owner.Fence || node.now-view.ConfirmedAt >= node.options.MinUpdateInterval
 		if owned.owner.HasReport() && (due || node.updates.urgent) {
-			node.engineState(owned.owner.State(node.now))
+			node.updateEngineView(owned.owner.State(node.now))
 		}
 	}
 }
--- a/internal/decide/node/membership_bench_test.go
+++ b/internal/decide/node/membership_bench_test.go
@@ -123,17 +123,17 @@
 	} {
 		b.Run(kind.name, func(b *testing.B) {
 			for b.Loop() {
-				var spans []clock.Millis
+				var durations []clock.Millis
 				for seed := range uint64(50) {
-					if span, served := measureTakeover(b, seed, kind.checks, kind.listDelay); served {
-						spans = append(spans, span)
+					if duration, served := measureTakeover(b, seed, kind.checks, kind.listDelay); served {
+						durations = append(durations, duration)
 					}
 				}
-				b.ReportMetric(float64(len(spans)), "served-of-50")
-				if len(spans) > 0 {
-					slices.Sort(spans)
-					b.ReportMetric(float64(spans[len(spans)/2]), "ms-median")
-					b.ReportMetric(float64(spans[len(spans)-1]), "ms-longest")
+				b.ReportMetric(float64(len(durations)), "served-of-50")
+				if len(durations) > 0 {
+					slices.Sort(durations)
+					b.ReportMetric(float64(durations[len(durations)/2]), "ms-median")
+					b.ReportMetric(float64(durations[len(durations)-1]), "ms-longest")
 				}
 			}
 		})
@@ -141,8 +141,9 @@
 }
 
 // measureTakeover kills the owner of the only engine while requests arrive
-// elsewhere. If listed is 0 the VM list does not change: the platform replaces the
-// VM only after a minute.
+// elsewhere. It returns the time until the engine starts a run, and whether it did
+// within a minute. If listDelay is 0 the VM list does not change, as the platform
+// replaces the VM only after a minute.
 func measureTakeover(b *testing.B, seed uint64, checks bool, listDelay clock.Millis) (clock.Millis, bool) {
 	published := smallConfig(1)
 	published.Engines[0].ChecksFencing, published.Engines[0].DataCentre = checks, "centre-0"
--- a/internal/decide/node/membership_test.go
+++ b/internal/decide/node/membership_test.go
@@ -16,8 +16,9 @@
 	"teaselmoor/internal/decide/outcome"
 )
 
-// viewsAgree reports whether every daemon knows the state that each owner reports
-// for its engines.
+// viewsAgree reports whether the given number of engines have owners, and the states of
+// engines that daemons know agree with their owners' in owner, fencing number and
+// number of loaded adapters.
 func viewsAgree(network *nodetest.Network, engines int) bool {
 	owned := map[ident.EngineID]message.EngineState{}
 	for _, name := range network.HostNames() {
@@ -53,8 +54,8 @@
 	require.True(t, network.RunUntil(10*clock.Second, func() bool { return viewsAgree(network, 6) }))
 }
 
-// TestLeavingServerGetsNoNewWork checks that an engine's owner, which can't read
-// the VM list, learns from other daemons that the backend server is leaving.
+// TestLeavingServerGetsNoNewWork checks that an engine's owner that can't read the VM
+// list is informed by other daemons that the backend server is leaving.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	published := smallConfig(2)
 	for i := range published.Engines {
--- a/internal/decide/node/node.go
+++ b/internal/decide/node/node.go
@@ -76,7 +76,7 @@
 
 	requests           map[ident.StreamID]*request       // entry role
 	pendingFinishes    map[ident.StreamID]*pendingFinish // by the request's first stream
-	orphans            []orphan
+	orphans            []orphan                          // runs to cancel at their engine's next owner
 	retries            retryBudget
 	limits             limiter[string] // by caller
 	ownerRole          ownerRole
@@ -100,10 +100,10 @@
 	// drainingSince is when the shutdown began; lastBusyAt is when work was last in
 	// progress since then.
 	drainingSince, lastBusyAt clock.Millis
-	// enginesKnown is set once every engine of the region has been heard of, or the
-	// warm-up has timed out.
+	// enginesKnown is set once the state of every engine of the region is known, or
+	// the warm-up has timed out.
 	enginesKnown  bool
-	localMessages []message.Message // messages to itself that are not delivered yet
+	localMessages []message.Message // messages to this daemon itself, not delivered yet
 	effects       []effect.Effect
 }
 
@@ -175,7 +175,7 @@
 	case AnswerReceived:
 		node.answerReceived(event)
 	case MessageReceived:
-		node.received(event.From, event.Message)
+		node.messageReceived(event.From, event.Message)
 	case PeerLost:
 		node.peers.MarkDisconnected(event.Peer)
 		node.views.MarkOwnerLost(event.Peer)
@@ -205,8 +205,8 @@
 	}
 }
 
-// received dispatches a message to the role that handles it.
-func (node *Node) received(from ident.DaemonID, received message.Message) {
+// messageReceived dispatches a message to the role that handles it.
+func (node *Node) messageReceived(from ident.DaemonID, received message.Message) {
 	node.peers.RecordContact(node.now, from)
 	switch received := received.(type) {
 	case message.Submit:
@@ -234,13 +234,13 @@
 	case message.LoadRequest:
 		node.loadRequested(from, received)
 	case message.LoadGrant:
-		node.loadGrant(received)
+		node.loadGranted(received)
 	case message.LoadDecision:
 		node.loadDecided(received)
 	case message.LoadDone:
-		node.loadDone(received)
+		node.leaseReturned(received)
 	case message.EngineState:
-		node.engineState(received)
+		node.updateEngineView(received)
 	case message.ConfigOffer:
 		node.configEffects(node.rollout.HandleOffer(node.now, from, received))
 	case message.ConfigFetch:
@@ -279,7 +279,7 @@
 	for len(node.localMessages) > 0 {
 		next := node.localMessages[0]
 		node.localMessages = node.localMessages[1:]
-		node.received(node.options.Self, next)
+		node.messageReceived(node.options.Self, next)
 	}
 }
 
--- a/internal/decide/node/node_test.go
+++ b/internal/decide/node/node_test.go
@@ -83,7 +83,8 @@
 	require.Equal(t, outcome.Done(), network.Answers["r1"][0].Outcome)
 }
 
-// TestNotRepeatableRunsOnce sends the same key through three daemons at once.
+// TestNotRepeatableRunsOnce sends a non-repeatable request with the same key to three
+// daemons at once. Only one of them may run it.
 func TestNotRepeatableRunsOnce(t *testing.T) {
 	network := newNetwork(t, 3, 2)
 	network.Run(10 * clock.Second) // until homes accept fresh keys
--- a/internal/decide/node/orders.go
+++ b/internal/decide/node/orders.go
@@ -35,7 +35,7 @@
 }
 
 // forwardSubmit forwards a request to the new owner of an engine that was handed
-// over while the request was in transit.
+// over while the request was waiting or in transit, and informs the entry.
 func (node *Node) forwardSubmit(successor, entry ident.DaemonID, submit message.Submit) {
 	submit.Entry = entry
 	submit.Hops++
@@ -44,8 +44,8 @@
 }
 
 // forwardOrRefuseSubmit handles a request for an engine that this daemon does not
-// own. It forwards the request to the successor, holds it if a former owner
-// forwarded it before its handover, and otherwise refuses it.
+// own. It forwards the request to the successor, keeps it if a former owner forwarded
+// it before the handover arrived, and otherwise refuses it.
 func (node *Node) forwardOrRefuseSubmit(from ident.DaemonID, submit message.Submit) {
 	if successor, handed := node.ownerRole.successors[submit.Engine]; handed && !submit.Resume {
 		node.forwardSubmit(successor, from, submit)
@@ -66,7 +66,7 @@
 }
 
 // cancelReceived cancels an attempt. Only the current owner may give orders to the
-// engine, so a former owner forwards the message.
+// engine, so a former owner that still relays runs forwards the message.
 func (node *Node) cancelReceived(cancel message.Cancel) {
 	if owned, known := node.ownerRole.owned[cancel.Engine]; known {
 		node.ownerEffects(owned, owned.owner.Cancel(node.now, cancel.Stream))
@@ -93,7 +93,7 @@
 	for _, owned := range node.ownerRole.formerlyOwned[event.Engine] {
 		node.ownerEffects(owned, owned.owner.RunEnded(node.now, event.Result))
 	}
-	node.dropFinishedFormer(event.Engine)
+	node.pruneFormerlyOwned(event.Engine)
 }
 
 // presentFence shows this owner's fencing number to an engine that checks them, by
@@ -110,12 +110,14 @@
 	return ident.StreamID{Daemon: node.options.Self, Incarnation: ident.Incarnation(owned.owner.Fence)}
 }
 
-// engineFenced releases an engine that has seen a higher fencing number.
+// engineFenced releases an engine that rejected an order because it had received a
+// higher fencing number.
 func (node *Node) engineFenced(name ident.EngineID) {
-	node.releaseOutbid(name, "the engine refused an order for its old fencing number")
+	node.releaseToHigherClaim(name, "the engine refused an order for its old fencing number")
 }
 
-func (node *Node) dropFinishedFormer(name ident.EngineID) {
+// pruneFormerlyOwned drops the former ownerships of an engine without unfinished runs.
+func (node *Node) pruneFormerlyOwned(name ident.EngineID) {
 	kept := slices.DeleteFunc(node.ownerRole.formerlyOwned[name], func(owned *ownedEngine) bool { return !owned.owner.Busy() })
 	node.ownerRole.formerlyOwned[name] = kept
 	if len(kept) == 0 {
@@ -165,7 +167,7 @@
 	node.ownerEffects(owned, owned.owner.ReportedAt(node.now, askedAt-event.Report.Age, event.Report))
 }
 
-// engineState handles an owner's report of its engine's state.
-func (node *Node) engineState(state message.EngineState) {
+// updateEngineView updates the placement view of an engine with its owner's report.
+func (node *Node) updateEngineView(state message.EngineState) {
 	node.views.Update(node.now, state)
 }
--- a/internal/decide/node/ownership_test.go
+++ b/internal/decide/node/ownership_test.go
@@ -71,6 +71,7 @@
 	return history
 }
 
+// daemon draws a daemon.
 func (faultHistory *faultHistory) daemon() ident.DaemonID {
 	return rapid.SampledFrom(faultHistory.names).Draw(faultHistory.t, "daemon")
 }
@@ -100,11 +101,11 @@
 // partition cuts one daemon off from the others and changes the VM list.
 func (faultHistory *faultHistory) partition() {
 	isolated := faultHistory.daemon()
-	span := faultHistory.drawDuration(maxFaultDuration)
+	duration := faultHistory.drawDuration(maxFaultDuration)
 	for _, name := range faultHistory.names {
 		for _, direction := range []nodetest.Direction{{From: isolated, To: name}, {From: name, To: isolated}} {
 			faultHistory.network.Blocked[direction] = true
-			faultHistory.network.After(span, func() { delete(faultHistory.network.Blocked, direction) })
+			faultHistory.network.After(duration, func() { delete(faultHistory.network.Blocked, direction) })
 		}
 	}
 	faultHistory.changeVMList()
@@ -269,7 +270,7 @@
 	}
 }
 
-// faultCounts sums up the faults and events of all histories of a test.
+// faultCounts counts the faults and events of all histories of a test.
 type faultCounts struct{ counts map[string]int }
 
 func (faultCounts *faultCounts) add(history *faultHistory) {
@@ -289,10 +290,10 @@
 	}
 }
 
-// TestOrdersUnderFaults checks for both kinds of engine that no adapter is unloaded
-// while a run uses it, and for engines that ignore fencing numbers that no order of
-// a former owner arrives after one of the next owner. The fake engines record
-// violations, and the state machines check their own invariants.
+// TestOrdersUnderFaults checks that no adapter is unloaded while a run uses it. For
+// engines that ignore fencing numbers it also checks that no order of a former owner
+// arrives after one of the next owner. The fake engines record violations, and the
+// state machines check their own invariants.
 func TestOrdersUnderFaults(t *testing.T) {
 	for name, checksFencing := range map[string]bool{"numbers checked": true, "numbers ignored": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/decide/node/owning.go
+++ b/internal/decide/node/owning.go
@@ -17,8 +17,8 @@
 
 // ownerRole is the state of a daemon's owner role.
 type ownerRole struct {
-	// candidates holds the ranked candidates of each engine that this daemon may
-	// own.
+	// candidates holds the ranked candidates of each engine that this daemon owns or
+	// may own.
 	candidates map[ident.EngineID][]ident.DaemonID
 	tenures    map[ident.EngineID]*ownership.Tenure
 	owned      map[ident.EngineID]*ownedEngine
@@ -37,8 +37,8 @@
 	// for an engine.
 	handoverRequestedAt   map[ident.EngineID]clock.Millis
 	handoverRequestSentAt map[ident.EngineID]clock.Millis
-	// earlySubmits holds requests that a former owner forwarded before its handover
-	// arrived.
+	// earlySubmits holds requests that were forwarded by a former owner and arrived
+	// before its handover.
 	earlySubmits []earlySubmit
 	// leavingReportedAt holds when a peer last reported an engine as leaving.
 	leavingReportedAt map[ident.EngineID]clock.Millis
@@ -53,7 +53,7 @@
 	owner         *owner.Owner
 	lastReadAt    clock.Millis // last ReadEngine
 	reportAskedAt clock.Millis // when the latest processed report was asked for
-	// yieldDeadline is when a handover stops waiting for an order in progress.
+	// yieldDeadline is when a handover stops waiting for an unload order in progress.
 	yieldDeadline clock.Millis
 }
 
@@ -72,6 +72,7 @@
 	}
 }
 
+// versionText formats a number for an audit event.
 func versionText(version uint64) string {
 	return strconv.FormatUint(version, 10)
 }
@@ -195,7 +196,8 @@
 
 // firstCandidate returns the daemon that should own an engine as far as this daemon
 // knows. It skips candidates that reported that they are leaving and, for engines
-// that check fencing numbers, silent ones.
+// that check fencing numbers, silent ones. If this daemon is shutting down, it returns
+// itself only if all others are skipped.
 func (node *Node) firstCandidate(engine *config.Engine) ident.DaemonID {
 	leavingTimeout := node.options.Ownership.MaxListAge
 	if engine.ChecksFencing {
@@ -267,9 +269,9 @@
 	node.endOwnership(name, cause)
 }
 
-// releaseOutbid ends an ownership because a claim with a higher fencing number
-// exists.
-func (node *Node) releaseOutbid(name ident.EngineID, cause string) {
+// releaseToHigherClaim ends an ownership because a claim with a higher fencing number
+// exists, and hands the unfinished runs over to the claiming daemon if it is known.
+func (node *Node) releaseToHigherClaim(name ident.EngineID, cause string) {
 	owned, known := node.ownerRole.owned[name]
 	if !known {
 		return
--- a/internal/decide/node/request.go
+++ b/internal/decide/node/request.go
@@ -83,10 +83,12 @@
 	// attemptOpen is set while the current attempt has been submitted and has not
 	// ended.
 	attemptOpen bool
-	// resumed is set once the owner of the current attempt was lost. From then on
-	// only the engine's own refusal proves that the attempt did not run.
+	// resumed is set once the owner of the current attempt was lost or did not report
+	// its end in time. From then on only the engine's own refusal proves that the
+	// attempt did not run.
 	resumed bool
-	// mayHaveRun is set if an earlier attempt may have run.
+	// mayHaveRun is set once an attempt has ended that may have run, or an answer has
+	// begun.
 	mayHaveRun bool
 	// lostAt is when the owner was lost, resumeUntil when waiting for the next
 	// owner ends, and probeAt when the owner is asked again.
@@ -94,11 +96,12 @@
 	resumeUntil clock.Millis
 	probeAt     clock.Millis
 
-	// answerStarted is set once the caller has received a part of the answer.
+	// answerStarted is set once the answer is forwarded to the caller.
 	answerStarted bool
 	// contentForHome is the content of the answer for the home to store.
 	contentForHome *message.StoredAnswer
-	// storedAnswer is a stored answer that replaces the relayed one.
+	// storedAnswer is the whole answer if none is relayed: that of a service, or the
+	// one that the home has stored for the key.
 	storedAnswer *message.StoredAnswer
 	// chunks is the number of chunks received, valid if chunksKnown is set.
 	chunks      uint64
--- a/internal/decide/node/resume.go
+++ b/internal/decide/node/resume.go
@@ -25,7 +25,7 @@
 	cancelledAt clock.Millis
 }
 
-// peerLost handles the attempts that were in flight at a lost daemon.
+// peerLost handles the attempts that were in flight on a lost connection.
 func (node *Node) peerLost(event PeerLost) {
 	for _, request := range node.requestsInOrder() {
 		if request.owner == event.Peer && message.LaneOf(request.rule.Class) == event.Lane && request.inFlight() {
@@ -69,8 +69,8 @@
 	}
 }
 
-// tickResume resumes a run once any owner of its engine, the same or another, has
-// been heard from since the loss.
+// tickResume resumes a run once the state of its engine has been received since the
+// loss, from the same owner or another.
 func (node *Node) tickResume(request *request) {
 	if request.resumeUntil <= node.now {
 		node.cancelOrphan(request)
@@ -98,8 +98,9 @@
 	node.submit(request)
 }
 
-// tickInFlight handles owners that have become silent, and asks again for attempts
-// whose end may have been lost in transit.
+// tickInFlight handles owners that have become silent, answers requests that were not
+// dispatched by the deadline, and asks again for attempts whose end may have been lost
+// in transit.
 func (node *Node) tickInFlight(request *request) {
 	switch {
 	case request.service != nil:
@@ -113,8 +114,8 @@
 	}
 }
 
-// ownerSilent reports whether a request's owner has been silent for so long that it
-// counts as lost although no connection to it broke.
+// ownerSilent reports whether a request's owner has been silent long enough to count
+// as lost although no connection to it broke.
 func (node *Node) ownerSilent(request *request) bool {
 	if request.owner == node.options.Self || node.vms == nil {
 		return false
@@ -123,7 +124,7 @@
 }
 
 // cancelOrphan has an abandoned run cancelled by its owner or the engine's next
-// owner. Otherwise it would keep using the engine and its adapter's slot.
+// owner. Otherwise the run would continue to use the engine and its adapter's slot.
 func (node *Node) cancelOrphan(request *request) {
 	cancel := message.Cancel{Stream: request.stream, Engine: request.engine, Class: request.rule.Class}
 	node.send(request.owner, cancel)
--- a/internal/decide/node/resume_test.go
+++ b/internal/decide/node/resume_test.go
@@ -21,10 +21,11 @@
 	submits    []message.Submit
 	cancels    []ident.DaemonID // daemons that were sent a cancel
 	lastSubmit message.Submit   // the last submit that was not a resume
-	owner      ident.DaemonID
+	owner      ident.DaemonID   // the receiver of lastSubmit
 }
 
-// startLongRun sends a request and returns once its engine has started to run it.
+// startLongRun sends a request for a model and returns once the engine has started to
+// run it.
 func startLongRun(t *testing.T, model string) *longRun {
 	t.Helper()
 	network := newNetwork(t, 4, 1)
@@ -56,7 +57,7 @@
 	return longRun
 }
 
-func (longRun *longRun) feed(event node.Event) {
+func (longRun *longRun) handleEvent(event node.Event) {
 	longRun.network.HandleEvent(longRun.network.Nodes[longRun.entry], event)
 }
 
@@ -87,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			longRun := startLongRun(t, model)
 			if model == "review-1@1" {
-				longRun.feed(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
+				longRun.handleEvent(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
 			}
 			longRun.killOwner()
 			longRun.requireAnswered(t, outcome.Done())
@@ -103,8 +104,8 @@
 // the owner sent.
 func TestMissingChunksEndAsTruncated(t *testing.T) {
 	longRun := startLongRun(t, "quote-1@1")
-	longRun.feed(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
-	longRun.feed(node.AnswerReceived{Stream: longRun.lastSubmit.Stream, Chunks: 2})
+	longRun.handleEvent(node.AnswerStarted{Stream: longRun.lastSubmit.Stream, From: longRun.owner, Status: 200})
+	longRun.handleEvent(node.AnswerReceived{Stream: longRun.lastSubmit.Stream, Chunks: 2})
 	longRun.requireAnswered(t, outcome.MayHaveRun(outcome.Truncated))
 }
 
@@ -114,7 +115,7 @@
 	longRun := startLongRun(t, "quote-1@1")
 	longRun.killOwner()
 	longRun.network.Run(10)
-	longRun.feed(node.CallerDisconnected{Stream: longRun.lastSubmit.Stream})
+	longRun.handleEvent(node.CallerDisconnected{Stream: longRun.lastSubmit.Stream})
 	require.Equal(t, outcome.MayHaveRun(outcome.CallerGone), longRun.network.Answers["r"][0].Outcome, "the caller is answered at once")
 	longRun.network.Run(20 * clock.Second)
 	require.NotEmpty(t, longRun.cancels)
--- a/internal/decide/node/retry.go
+++ b/internal/decide/node/retry.go
@@ -27,10 +27,10 @@
 	return true
 }
 
-// mayRetry reports whether another attempt is allowed: after an attempt that did not
-// run, and for repeatable requests also after one that may have run. No
-// attempt is allowed once the answer has begun, after the deadline or beyond the
-// retry budget.
+// mayRetry reports whether another attempt is allowed, and if so takes a token of the
+// retry budget. An attempt is allowed after one that did not run, and for repeatable
+// requests also after one that may have run, but not once the answer has begun, after
+// the deadline, beyond the retry budget or for a call to a service.
 func (node *Node) mayRetry(request *request, ended outcome.Outcome) bool {
 	if request.answerStarted || request.deadline <= node.now || request.service != nil {
 		return false
--- a/internal/decide/node/status.go
+++ b/internal/decide/node/status.go
@@ -31,7 +31,8 @@
 	DataCentre string
 	// Listed is its state in the VM list.
 	Listed members.State
-	// Heard is set if anything was received from it; Age is the time since.
+	// Heard is set if anything was received from it; Age is the time since the last
+	// message.
 	Heard bool
 	Age   clock.Millis
 	// ConfigVersion is the version that it last reported as in force.
@@ -103,13 +104,13 @@
 	return listed && vm.State == members.Live
 }
 
-// warmUpTimeout is the time after which a new daemon serves callers although it has
-// not heard of every engine.
+// warmUpTimeout is the time after which a new daemon serves callers although it does
+// not know the state of every engine.
 const warmUpTimeout = 10 * clock.Second
 
-// knowsAllEngines reports whether every engine of the region has been heard of, so
-// that a new daemon does not refuse requests that others would serve. If other
-// daemons are heard from, engines that this daemon is itself waiting to own do not
+// knowsAllEngines reports whether the state of every engine of the region is known, so
+// that a new daemon does not refuse requests that others would serve. Once this daemon
+// has received messages from others, engines that it is itself waiting to own do not
 // count. After warmUpTimeout it reports true in any case.
 func (node *Node) knowsAllEngines() bool {
 	if node.now-node.options.StartedAt < warmUpTimeout {
--- a/internal/decide/node/repeats.go
+++ b/internal/decide/node/submithistory.go
@@ -10,11 +10,11 @@
 // a duplicate can be in transit.
 const submitRetention = clock.Minute
 
-// submitHistory detects late duplicates of submits. An owner that refused a request
-// forgets it, so a duplicate that arrived later could still be run, here or at a
-// daemon that it is forwarded to, although the caller was told that the request did
-// not run. A request that returns after it was forwarded has a higher hop count and
-// is accepted.
+// submitHistory detects late duplicates of submits. The owner state machine does not
+// remember refused requests, so a duplicate that arrived later could still be run, here
+// or at a daemon that it is forwarded to, although the caller was answered that the
+// request did not run. A request that returns after it was forwarded has a higher hop
+// count and is accepted.
 type submitHistory struct {
 	newest map[ident.StreamID]receivedSubmit
 	order  []ident.StreamID // by time of arrival
--- a/internal/decide/nodetest/configuration.go
+++ b/internal/decide/nodetest/configuration.go
@@ -44,8 +44,8 @@
 	pendingWatches []*pendingWatch
 	// staleValuesFixed is set once staleValues no longer changes.
 	staleValuesFixed bool
-	// assembled caches assembled configurations by mark; the result depends only on
-	// it.
+	// assembled caches assembled configurations by mark. It ignores the previous
+	// configuration, with which the check of a successor could differ.
 	assembled map[config.Mark]node.ConfigAssembled
 }
 
@@ -102,7 +102,8 @@
 	service.answerWatches()
 }
 
-// FixStaleValues makes the current values the stale ones permanently.
+// FixStaleValues makes the current values the stale ones, also for later calls of
+// SetMode.
 func (service *ConfigService) FixStaleValues() {
 	service.staleValues = maps.Clone(service.values)
 	service.staleValuesFixed = true
@@ -200,7 +201,7 @@
 }
 
 // assemblyDuration is how long a daemon takes to assemble a configuration of full
-// size, rounded up from the benchmark.
+// size.
 const assemblyDuration = 400 * clock.Millisecond
 
 func (service *ConfigService) assemble(host *Host, order effect.AssembleConfig) {
@@ -233,8 +234,8 @@
 	}
 }
 
-// VersionsInForce returns the number of live daemons per version in force; daemons without
-// a configuration count under 0.
+// VersionsInForce returns the number of live daemons per version in force. Daemons
+// without a configuration count under 0.
 func (network *Network) VersionsInForce() map[uint64]int {
 	versions := map[uint64]int{}
 	for _, host := range network.hosts() {
@@ -252,8 +253,8 @@
 	return host.Node.Config().Version()
 }
 
-// InForceEverywhere reports whether every live daemon that is not paused has the version
-// in force.
+// InForceEverywhere reports whether the version is in force at every live daemon that
+// is not paused.
 func (network *Network) InForceEverywhere(wanted uint64) bool {
 	return !slices.ContainsFunc(network.hosts(), func(host *Host) bool {
 		return !host.Dead && !host.Paused && versionInForce(host) != wanted
--- a/internal/decide/nodetest/engine.go
+++ b/internal/decide/nodetest/engine.go
@@ -78,11 +78,11 @@
 }
 
 // SetRunDuration changes how long a run takes.
-func (engine *Engine) SetRunDuration(span clock.Millis) {
-	engine.options.RunDuration = span
+func (engine *Engine) SetRunDuration(duration clock.Millis) {
+	engine.options.RunDuration = duration
 }
 
-// Restart discards slots and runs, as a cold start does.
+// Restart empties the slots and discards the runs, as a cold start does.
 func (engine *Engine) Restart() {
 	lostRuns := engine.runs
 	engine.boots++
--- a/internal/decide/nodetest/history.go
+++ b/internal/decide/nodetest/history.go
@@ -31,8 +31,8 @@
 	rapid.Check(t, property)
 }
 
-// CheckSeeds checks a property on the histories of single seeds that have shown a
-// fault.
+// CheckSeeds checks a property on one history for each seed. It is for seeds whose
+// history has shown a fault.
 func CheckSeeds(t *testing.T, seeds []uint64, property func(*rapid.T)) {
 	t.Helper()
 	setFlag(t, "rapid.checks", "1")
@@ -59,7 +59,7 @@
 	Network *Network
 	// MaxListLag is the maximum lag of a daemon's reading of the VM list.
 	MaxListLag clock.Millis
-	// Counts counts the faults, by kind.
+	// Counts holds the number of draws of each kind of fault.
 	Counts map[string]int
 
 	replacements int
--- a/internal/decide/nodetest/network.go
+++ b/internal/decide/nodetest/network.go
@@ -36,11 +36,10 @@
 	// configuration service; otherwise each is given it at its start.
 	UseConfigService bool
 	// Node holds the options of each node; the network sets the identity.
-	Node node.Options
-	// Observer is notified of events.
+	Node     node.Options
 	Observer Observer
-	// PerfectKnowledge gives every daemon the current state of every engine before each
-	// arrival. Baselines of a replay use this perfect knowledge.
+	// PerfectKnowledge gives a daemon the current state of every engine before each
+	// request that arrives there. Replays use it for their baselines.
 	PerfectKnowledge bool
 }
 
@@ -65,7 +64,7 @@
 	// SlowShare is the share of messages that are delayed, so that later messages may
 	// overtake them.
 	SlowShare float64
-	// MaxSlowDelay is the maximum delay that is added to those messages.
+	// MaxSlowDelay is the maximum delay that SlowShare adds to a message.
 	MaxSlowDelay clock.Millis
 	// VMListLag is the age of the VM list that a daemon reads.
 	VMListLag map[ident.DaemonID]clock.Millis
@@ -97,7 +96,7 @@
 type Host struct {
 	Name ident.DaemonID
 	Node *node.Node
-	// Paused hosts keep arriving events until they are resumed.
+	// Paused is set during a pause; events that arrive are processed after it.
 	Paused bool
 	Dead   bool
 	VM     members.VM
@@ -148,7 +147,7 @@
 	if !network.options.UseConfigService {
 		network.HandleEvent(host, node.ConfigRead{Snapshot: network.snapshot})
 	}
-	network.readLists(host)
+	network.pollVMList(host)
 	network.tick(host)
 	return host
 }
@@ -172,26 +171,27 @@
 	network.options.VMs = vms
 	network.publishVMs()
 	for _, host := range network.hosts() {
-		network.readList(host)
+		network.readVMList(host)
 	}
 }
 
-// listInterval is the time between two readings of the VM list.
-const listInterval = clock.Second
+// vmListInterval is the time between two readings of the VM list.
+const vmListInterval = clock.Second
 
-func (network *Network) readLists(host *Host) {
-	network.readList(host)
+// pollVMList makes a daemon read the VM list now and every vmListInterval.
+func (network *Network) pollVMList(host *Host) {
+	network.readVMList(host)
 	generation := host.generation
-	network.after(listInterval, func() {
+	network.after(vmListInterval, func() {
 		if !host.Dead && host.generation == generation {
-			network.readLists(host)
+			network.pollVMList(host)
 		}
 	})
 }
 
-// readList makes a daemon read the VM list with its lag. A paused daemon reads
-// nothing.
-func (network *Network) readList(host *Host) {
+// readVMList makes a daemon read the VM list with its lag. A paused daemon and one
+// whose reads fail read nothing.
+func (network *Network) readVMList(host *Host) {
 	if host.Paused || host.Dead || network.VMListUnavailable[host.Name] {
 		return
 	}
@@ -218,7 +218,7 @@
 	}
 }
 
-// Pause pauses a daemon. It processes what arrived meanwhile after Resume.
+// Pause pauses a daemon. Events that arrive in the meantime are processed on Resume.
 func (network *Network) Pause(name ident.DaemonID) {
 	network.Nodes[name].Paused = true
 }
@@ -305,7 +305,7 @@
 	case effect.ReadEngine:
 		network.Engines[next.Engine].read(host, next)
 	case effect.ReadVMList:
-		network.after(network.options.Delay, func() { network.readList(host) })
+		network.after(network.options.Delay, func() { network.readVMList(host) })
 	case effect.CallService:
 		network.ServiceCalls[next.Service+"/"+host.streams[next.Stream]]++
 		network.after(network.options.Delay, func() {
@@ -357,9 +357,9 @@
 	return network.options.Delay + clock.Millis(network.random.Int64N(int64(network.options.Jitter)+1))
 }
 
-// Run advances the virtual time.
-func (network *Network) Run(span clock.Millis) {
-	end := network.Now + span
+// Run advances the virtual time and processes the events that become due.
+func (network *Network) Run(duration clock.Millis) {
+	end := network.Now + duration
 	for len(network.queue) > 0 && network.queue[0].at <= end {
 		event := heap.Pop(&network.queue).(scheduledEvent)
 		network.Now = event.at
@@ -368,10 +368,10 @@
 	network.Now = end
 }
 
-// RunUntil advances the virtual time until the condition holds or the span has
-// passed, and reports whether the condition holds.
-func (network *Network) RunUntil(span clock.Millis, condition func() bool) bool {
-	end := network.Now + span
+// RunUntil advances the virtual time until the condition holds or the duration
+// has passed, and reports whether the condition holds.
+func (network *Network) RunUntil(duration clock.Millis, condition func() bool) bool {
+	end := network.Now + duration
 	for !condition() {
 		if len(network.queue) == 0 || network.queue[0].at > end {
 			return false
@@ -383,12 +383,12 @@
 	return true
 }
 
-// After calls a function once the span has passed.
-func (network *Network) After(span clock.Millis, do func()) {
-	network.after(span, do)
+// After calls a function once the duration has passed.
+func (network *Network) After(duration clock.Millis, do func()) {
+	network.after(duration, do)
 }
 
-func (network *Network) after(span clock.Millis, do func()) {
+func (network *Network) after(duration clock.Millis, do func()) {
 	network.sequence++
-	heap.Push(&network.queue, scheduledEvent{at: network.Now + span, order: network.sequence, run: do})
+	heap.Push(&network.queue, scheduledEvent{at: network.Now + duration, order: network.sequence, run: do})
 }
--- a/internal/decide/nodetest/observer.go
+++ b/internal/decide/nodetest/observer.go
@@ -7,18 +7,18 @@
 	"teaselmoor/internal/decide/node"
 )
 
-// Observer is notified of events in a network. Functions that are not set are not
-// called.
+// Observer holds functions that are called for events in a network. Each is optional.
 type Observer struct {
-	// Began: an engine started a run of the request.
+	// RunStarted is called when an engine starts a run of the request.
 	RunStarted func(at clock.Millis, request string, engine ident.EngineID)
-	// Answered: a caller received the outcome of its request.
+	// RequestAnswered is called when a caller receives the outcome of its request.
 	RequestAnswered func(at clock.Millis, request string, answer effect.Answer)
-	// Stepped: an engine made one step for a batch of this many runs.
+	// BatchStepped is called when an engine begins a step for a batch of this many
+	// runs. The capacity is the maximum number of runs.
 	BatchStepped func(engine ident.EngineID, batch, capacity int)
-	// Loaded: a load ended.
+	// LoadEnded is called when a load ends.
 	LoadEnded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter, failed bool)
-	// Unloaded: an adapter was removed from its slot.
+	// AdapterUnloaded is called when an adapter is removed from its slot.
 	AdapterUnloaded func(at clock.Millis, engine ident.EngineID, adapter ident.Adapter)
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// sendEngineStates gives a daemon the current state of every engine.
+// sendEngineStates gives a daemon the current state of every engine that has an owner.
 func (network *Network) sendEngineStates(host *Host) {
 	for _, other := range network.hosts() {
 		if other.Dead {
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -13,12 +13,13 @@
 
 // Kinds of outcome.
 const (
-	// Answered means that the complete answer of the addressed adapter version was
-	// delivered.
+	// Answered means that the complete answer of the addressed adapter version or service
+	// was delivered.
 	Answered Kind = "Answered"
-	// NotRun means that no engine or service received the request.
+	// NotRun means that no engine or service ran the request.
 	NotRun Kind = "NotRun"
-	// Unknown means that the request may have run. The system does not repeat it.
+	// Unknown means that the request may have run. After such an attempt, only a
+	// repeatable request is attempted again.
 	Unknown Kind = "Unknown"
 )
 
@@ -26,8 +27,8 @@
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// RetryAfter is the time after which sending the request again may succeed, or 0
-	// if it is of no use.
+	// RetryAfter is the time after which the request may succeed if the caller sends it
+	// again, or 0 if that is of no use.
 	RetryAfter clock.Millis
 }
 
@@ -72,7 +73,7 @@
 	TriedBefore Verdict = "TriedBefore"
 	// LoadsFail means that the engine failed to load the adapter.
 	LoadsFail Verdict = "LoadsFail"
-	// LoadsAdapter means that the engine was asked to load the adapter.
+	// LoadsAdapter means that the engine was ordered to load the adapter.
 	LoadsAdapter Verdict = "LoadsAdapter"
 )
 
@@ -82,7 +83,8 @@
 	Engine ident.EngineID
 	Owner  ident.DaemonID
 	At     clock.Millis
-	// Dispatched is set if the entry knows that the engine received the request.
+	// Dispatched is set if the request was sent to the engine or service, which may have
+	// received it.
 	Dispatched bool
 	Outcome    Outcome
 }
--- a/internal/decide/outcome/shutdown_test.go
+++ b/internal/decide/outcome/shutdown_test.go
@@ -41,9 +41,10 @@
 	network.SetVMs(remaining)
 }
 
-// TestShutdownCutsNothing shuts down one or two daemons under load. It checks that
-// every accepted request is answered and that the daemons become idle.
-func TestShutdownCutsNothing(t *testing.T) {
+// TestShutdownCutsOffNoRequest shuts down one or two daemons under load. It checks that
+// every request is answered in full or refused as not run, and that the daemons become
+// idle.
+func TestShutdownCutsOffNoRequest(t *testing.T) {
 	total := 0
 	nodetest.CheckHistories(t, 60, shutdownHistory(&total))
 	t.Logf("%d requests", total)
--- a/internal/decide/owner/backlog.go
+++ b/internal/decide/owner/backlog.go
@@ -28,7 +28,8 @@
 	return backlog{bound: admission.NewBound(limits), wanted: map[ident.Adapter]*wantedAdapter{}}
 }
 
-// wantedAdapter is an adapter that requests wait for and that is ready in no slot.
+// wantedAdapter is an adapter that requests wait for, because it is in no slot that
+// accepts runs.
 type wantedAdapter struct {
 	queue admission.Queue[*run]
 	// requested is the demand in the last load request to the broker; zero if there
@@ -39,7 +40,7 @@
 	// unansweredSince is when the first load request that the broker has not
 	// answered was sent; zero if it has answered.
 	unansweredSince clock.Millis
-	// wantedSince is when a load was first attempted.
+	// wantedSince is when the owner first tried to request a load.
 	wantedSince clock.Millis
 	// loadStarted is set while the adapter is being loaded, or a slot is being
 	// emptied for it.
@@ -70,7 +71,7 @@
 	return slices.SortedFunc(maps.Keys(backlog.wanted), ident.Adapter.Compare)
 }
 
-// enqueue adds a request to the ready queue if its adapter is ready, or else to
+// enqueue adds a request to the ready queue if it can run in a slot now, or else to
 // the queue of its adapter.
 func (owner *Owner) enqueue(waiting *run) {
 	adapter := waiting.submit.Request.Adapter
@@ -94,7 +95,7 @@
 func (owner *Owner) dequeue(waiting *run) {
 	class, adapter := waiting.submit.Request.Class, waiting.submit.Request.Adapter
 	if owner.backlog.ready.Remove(class, waiting.deadline, waiting) {
-		owner.countOutReady(waiting)
+		owner.uncountReady(waiting)
 		return
 	}
 	if wanted := owner.backlog.wanted[adapter]; wanted != nil {
@@ -103,9 +104,9 @@
 	owner.backlog.bound.Leave(class)
 }
 
-// countOutReady updates the counts after a request was removed from the ready
+// uncountReady updates the counts after a request was removed from the ready
 // queue.
-func (owner *Owner) countOutReady(waiting *run) {
+func (owner *Owner) uncountReady(waiting *run) {
 	owner.backlog.bound.Leave(waiting.submit.Request.Class)
 	if at, held := owner.resident[waiting.submit.Request.Adapter]; held {
 		owner.slots[at].queued--
@@ -116,7 +117,7 @@
 func (owner *Owner) refuseExpired(now clock.Millis) {
 	refusal := outcome.Refused(outcome.DeadlinePassed, 0)
 	owner.backlog.ready.Expire(now, func(waiting *run) {
-		owner.countOutReady(waiting)
+		owner.uncountReady(waiting)
 		owner.refuse(waiting, refusal)
 	})
 	for _, adapter := range owner.backlog.wantedInOrder() {
@@ -156,8 +157,8 @@
 	owner.backlog.ready.Drain(owner.enqueue)
 }
 
-// resetLoads discards all loads that were requested or started, so that they are
-// requested again.
+// resetLoads discards the state of all loads that were requested or started, so that
+// they are requested again.
 func (owner *Owner) resetLoads() {
 	for _, wanted := range owner.backlog.wanted {
 		wanted.loadStarted = false
@@ -174,7 +175,7 @@
 			return
 		}
 		waiting, _ := owner.backlog.ready.Pop(class)
-		owner.countOutReady(waiting)
+		owner.uncountReady(waiting)
 		at, ready := owner.readySlot(waiting.submit.Request.Adapter)
 		invariant.Check(ready, "a request in the ready queue has its adapter in a slot",
 			"run %s waits for %s", waiting.submit.Stream, waiting.submit.Request.Adapter)
--- a/internal/decide/owner/loading.go
+++ b/internal/decide/owner/loading.go
@@ -14,12 +14,12 @@
 	retryAt clock.Millis
 }
 
-// failureExpiryBackoffs is the number of LoadBackoff spans, counted from the time of
-// the next permitted load, after which failed loads are no longer counted.
+// failureExpiryBackoffs is how long failed loads are remembered after the time of the
+// next permitted load, as a multiple of LoadBackoff.
 const failureExpiryBackoffs = 8
 
-// requestLoads requests the loads of wanted adapters and withdraws requests that no
-// waiting request needs any more.
+// requestLoads requests the loads of wanted adapters, withdraws load requests that no
+// waiting request needs any more, and discards old load failures.
 func (owner *Owner) requestLoads(now clock.Millis) {
 	for _, adapter := range owner.backlog.wantedInOrder() {
 		owner.requestLoad(now, adapter)
@@ -31,8 +31,10 @@
 	}
 }
 
-// requestLoad sends the weight store's broker a load request for the adapter if the
-// demand has changed or the last request is due to be repeated.
+// requestLoad sends the weight store's broker a load request for the adapter if a slot
+// is free for it and the demand has changed or the last request is due to be repeated.
+// If no slot is free, it makes one yield. After too many failed loads it refuses the
+// waiting requests.
 func (owner *Owner) requestLoad(now clock.Millis, adapter ident.Adapter) {
 	wanted := owner.backlog.wanted[adapter]
 	if wanted == nil || wanted.loadStarted {
@@ -133,7 +135,7 @@
 		owner.handleLoadFailure(now, at, adapter)
 	} else {
 		slotTable.MustApply(&owner.slots[at].state, endLoad)
-		owner.slots[at].use(now)
+		owner.slots[at].markUsed(now)
 		delete(owner.failures, adapter)
 		owner.emit(effect.Audit{
 			At: now, Kind: effect.AdapterLoaded, Object: string(owner.Engine.Name),
@@ -183,11 +185,11 @@
 }
 
 // LongestUnanswered returns the adapter whose load request has waited longest for an
-// answer of the broker, if it has waited for at least the span.
-func (owner *Owner) LongestUnanswered(now, span clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
+// answer of the broker, if it has waited for at least minWait.
+func (owner *Owner) LongestUnanswered(now, minWait clock.Millis) (adapter ident.Adapter, since clock.Millis, found bool) {
 	for _, candidate := range owner.backlog.wantedInOrder() {
 		wanted := owner.backlog.wanted[candidate]
-		overdue := wanted.unansweredSince > 0 && !wanted.loadStarted && now-wanted.unansweredSince >= span
+		overdue := wanted.unansweredSince > 0 && !wanted.loadStarted && now-wanted.unansweredSince >= minWait
 		if overdue && (!found || wanted.unansweredSince < since) {
 			adapter, since, found = candidate, wanted.unansweredSince, true
 		}
--- a/internal/decide/owner/owner.go
+++ b/internal/decide/owner/owner.go
@@ -1,10 +1,12 @@
 // Package owner decides for one model engine which waiting request runs next, which
 // adapter is loaded and which one is evicted. Only the engine's owner changes the
-// engine's slots, pins and queue.
+// engine's slots, pins and queue. Which daemon owns the engine is decided by package
+// ownership, and which engine a request is sent to by package placement.
 //
-// The state machine does no I/O. Its methods take the current time and return the
-// effects to carry out. Two invariants are checked: an adapter with an unfinished
-// run is never unloaded, and a run is dispatched only to a ready adapter.
+// The state machine does no I/O. The methods that handle an event return the effects
+// to carry out. Among the invariants that are checked are these two: an adapter with
+// an unfinished run is never unloaded, and a waiting run is dispatched only to a ready
+// adapter.
 package owner
 
 import (
@@ -23,13 +25,13 @@
 	// for urgent requests.
 	UrgentReserve int
 	// LoadBackoff is the time before an adapter is loaded again after a failed load.
-	// It doubles with each consecutive failure.
+	// It doubles with each consecutive failure, up to LoadTries times.
 	LoadBackoff clock.Millis
 	// LoadTries is the number of consecutive failed loads after which the requests
 	// that wait for the adapter are refused.
 	LoadTries int
-	// ResumeTries is the number of times that a run is resumed after its connection
-	// to the engine was lost.
+	// ResumeTries is the maximum number of times that a run is resumed after its
+	// connection to the engine was lost.
 	ResumeTries int
 	// CancelInterval is the time after which an unconfirmed cancel is repeated.
 	CancelInterval clock.Millis
@@ -41,12 +43,12 @@
 	MaxUrgentInRow int
 	// YieldDelay is the time that a routine request waits for an idle slot before a
 	// slot yields, that is, gets no further runs so that it becomes idle. With 0 no
-	// slot yields, also not for urgent requests.
+	// slot ever yields, not even for an urgent request.
 	YieldDelay clock.Millis
 	// Eviction ranks the adapters that could be evicted.
 	Eviction EvictionPolicy
-	// HalfLife is the time after which a request counts half in an adapter's use
-	// count.
+	// HalfLife is the half-life of a request in the decaying request counts of
+	// adapters.
 	HalfLife clock.Millis
 }
 
@@ -124,8 +126,8 @@
 	return effects
 }
 
-// Tick repeats unconfirmed cancels, refuses expired requests, and dispatches and
-// loads what has become possible.
+// Tick repeats unconfirmed cancels, refuses expired requests, and starts the runs and
+// requests the loads that have become possible.
 func (owner *Owner) Tick(now clock.Millis) []effect.Effect {
 	owner.repeatCancels(now)
 	owner.advance(now)
@@ -161,7 +163,7 @@
 		Boot:         owner.boot,
 	}
 	for i := range owner.slots {
-		if owner.slots[i].serves() && !owner.slots[i].yielding {
+		if owner.slots[i].isLoadedOrLoading() && !owner.slots[i].yielding {
 			state.Resident = append(state.Resident, owner.slots[i].adapter)
 		}
 	}
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/owner/owner_test.go
@@ -17,13 +17,13 @@
 	"teaselmoor/internal/decide/owner"
 )
 
-// harness runs an owner with a broker that grants all loads at once and an engine
-// whose runs and loads end when the test ends them.
+// harness runs an owner with a broker that grants each load at once, if grantLoads is
+// set, and an engine whose runs and loads end when the test ends them.
 type harness struct {
 	t            require.TestingT
 	owner        *owner.Owner
 	now          clock.Millis
-	grantLoads   bool // grant load requests at once
+	grantLoads   bool
 	next         uint64
 	loadRequests []message.LoadRequest
 	loads        []ident.Adapter
@@ -119,6 +119,9 @@
 	harness.apply(harness.owner.Tick(harness.now))
 }
 
+// TestUrgentGetsSlotOnlyAfterConfirmedCancel checks that an urgent request cancels a
+// repeatable run to get its slot, but that the adapter stays loaded until the engine
+// confirms the end of the run. Otherwise it would be unloaded while it is in use.
 func TestUrgentGetsSlotOnlyAfterConfirmedCancel(t *testing.T) {
 	harness := newHarness(t, 1, 4)
 	routine := harness.submit(0, config.Routine, true)
@@ -135,6 +138,8 @@
 	require.Equal(t, outcome.MayHaveRun(outcome.Cancelled), harness.ended[routine])
 }
 
+// TestUrgentDoesNotCancelUnrepeatableRuns checks that a run that must not be repeated is
+// not cancelled for an urgent request, because it could not be run again.
 func TestUrgentDoesNotCancelUnrepeatableRuns(t *testing.T) {
 	harness := newHarness(t, 1, 4)
 	routine := harness.submit(0, config.Routine, false)
@@ -192,6 +197,9 @@
 	require.Equal(t, limit+1, position, "after the first run and %d urgent ones", limit)
 }
 
+// TestUrgentGoesBeforeRoutine checks that routine runs leave the reserved place in the
+// batch free, and that a free place goes to an urgent request although a routine one has
+// waited longer.
 func TestUrgentGoesBeforeRoutine(t *testing.T) {
 	harness := newHarness(t, 1, 2)
 	first := harness.submit(0, config.Routine, true)
@@ -204,6 +212,9 @@
 	require.Contains(t, harness.running, next)
 }
 
+// TestLoadRequestIsWithdrawnWithLastWaiter checks that a cancelled request lowers the
+// number of waiters in the load request, and that the last one withdraws it. Otherwise
+// the broker would grant a load that nobody needs.
 func TestLoadRequestIsWithdrawnWithLastWaiter(t *testing.T) {
 	harness := newHarness(t, 1, 4)
 	harness.grantLoads = false
@@ -215,7 +226,9 @@
 	require.True(t, harness.loadRequests[len(harness.loadRequests)-1].Withdraw)
 }
 
-func TestRefusedLoadRefusesLateRequests(t *testing.T) {
+// TestRefusedLoadRefusesUnreachableDeadlines checks that a refused load refuses only the
+// requests whose deadlines cannot be met, and is requested again for the others.
+func TestRefusedLoadRefusesUnreachableDeadlines(t *testing.T) {
 	harness := newHarness(t, 1, 4)
 	harness.grantLoads = false
 	early := harness.submit(0, config.Routine, true)
@@ -230,6 +243,9 @@
 	require.Equal(t, 1, harness.loadRequests[len(harness.loadRequests)-1].Waiters, "requested again for the later one")
 }
 
+// TestThreeFailedLoadsRefuseRequest checks that a load is tried again after the backoff,
+// and that the waiting request is refused as not run after LoadTries failures. Otherwise
+// it would wait until its deadline.
 func TestThreeFailedLoadsRefuseRequest(t *testing.T) {
 	harness := newHarness(t, 1, 4)
 	stream := harness.submit(0, config.Routine, true)
--- a/internal/decide/owner/report.go
+++ b/internal/decide/owner/report.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// pinRunsWithoutSlot pins the adapters of runs whose slot was not known when they
-// started.
+// pinRunsWithoutSlot pins the adapters of dispatched runs that have no pin yet, because
+// the slot of their adapter was not known or was lost.
 func (owner *Owner) pinRunsWithoutSlot() {
 	for _, run := range owner.sortedRuns() {
 		if run.state != runWaiting && run.slot == noSlot {
@@ -87,8 +87,9 @@
 }
 
 // handleRestart discards the state from before a restart of the engine and ends its
-// runs. A run that was dispatched too recently for the report to list it may have
-// started after the restart, so it stays and its adapter is pinned again.
+// runs. A run stays and its adapter is pinned again if the report lists the run, or if
+// the run was dispatched too recently to be listed: it may have started after the
+// restart.
 func (owner *Owner) handleRestart(now, takenAt clock.Millis, report Report) {
 	owner.emit(effect.Audit{
 		At: now, Kind: effect.EngineRestarted, Object: string(owner.Engine.Name),
@@ -98,7 +99,7 @@
 	for _, run := range owner.sortedRuns() {
 		switch {
 		case run.state == runWaiting:
-		case run.dispatchedAt+maxReportDelay > takenAt || report.shows(run.submit.Stream):
+		case run.dispatchedAt+maxReportDelay > takenAt || report.lists(run.submit.Stream):
 			run.slot = noSlot
 			owner.running++
 		default:
@@ -115,12 +116,14 @@
 	owner.fillSlots(now, report)
 }
 
-// shows reports whether the report lists a run as unfinished.
-func (report Report) shows(stream ident.StreamID) bool {
+// lists reports whether the report lists a run as unfinished.
+func (report Report) lists(stream ident.StreamID) bool {
 	id := stream.String()
 	return slices.ContainsFunc(report.Runs, func(running ReportedRun) bool { return running.Run == id })
 }
 
+// quarantine makes the owner start no runs and loads and refuse new requests until the
+// engine has restarted.
 func (owner *Owner) quarantine(now clock.Millis, cause string) {
 	if owner.quarantined {
 		return
--- a/internal/decide/owner/run.go
+++ b/internal/decide/owner/run.go
@@ -95,8 +95,8 @@
 	Chunks uint64
 }
 
-// Submit queues a request or refuses it at once. A repeated Submit of a known
-// stream is ignored.
+// Submit queues a request or refuses it at once. A run to be resumed is not queued. A
+// repeated Submit of a known stream is ignored.
 func (owner *Owner) Submit(now clock.Millis, entry ident.DaemonID, submit message.Submit) []effect.Effect {
 	if _, known := owner.runs[submit.Stream]; known {
 		return nil
@@ -155,8 +155,8 @@
 	owner.emit(effect.CancelRun{Stream: run.submit.Stream, Engine: owner.Engine.Name, Fence: owner.Fence})
 }
 
-// dispatch marks the run as dispatched before it orders the engine to start it,
-// because from then on the engine may have received it.
+// dispatch marks the run as dispatched and informs the entry before it orders the
+// engine to start the run, because from then on the engine may have received it.
 func (owner *Owner) dispatch(now clock.Millis, waiting *run, at int) {
 	slot := &owner.slots[at]
 	invariant.Check(slot.state == slotReady && slot.adapter == waiting.submit.Request.Adapter,
@@ -167,7 +167,7 @@
 	waiting.dispatchedAt = now
 	slot.pins++
 	slot.served = true
-	slot.use(now)
+	slot.markUsed(now)
 	owner.running++
 	owner.emit(effect.Send{To: waiting.entry, Message: message.Dispatched{
 		Stream: waiting.submit.Stream,
@@ -195,7 +195,7 @@
 func (owner *Owner) RunEnded(now clock.Millis, result RunResult) []effect.Effect {
 	run, known := owner.runs[result.Stream]
 	if !known || run.state == runWaiting {
-		return nil // late result of an order from before a restart of the engine
+		return nil // late result, for example of an order from before a restart of the engine
 	}
 	switch result.Result {
 	case ResultLost, ResultTruncated:
@@ -219,8 +219,8 @@
 	return owner.takeEffects()
 }
 
-// handleNotStarted handles an order to run that had no effect. Only for the first
-// order of a run does this prove that the request did not run.
+// handleNotStarted handles an order to start a run that had no effect. This proves that
+// the request did not run only if it was the first order for the run.
 func (owner *Owner) handleNotStarted(now clock.Millis, run *run, result RunResult) {
 	repeated := run.resumed || run.resumeCount > 0
 	switch {
@@ -234,7 +234,8 @@
 }
 
 // handleConnectionLost resumes a run whose connection was lost. After ResumeTries
-// attempts it cancels the run, which stays pinned until the engine confirms its end.
+// attempts it cancels the run, whose adapter stays pinned until the engine confirms its
+// end.
 func (owner *Owner) handleConnectionLost(now clock.Millis, run *run, result RunResult) {
 	if owner.takeover.retired {
 		owner.finish(run, result)
@@ -264,7 +265,7 @@
 	}
 }
 
-// finish ends a run with a result of the engine and releases its pin.
+// finish ends a run with the given result and releases its pin.
 func (owner *Owner) finish(run *run, result RunResult) {
 	owner.sendEnded(run, outcomeOf(result.Result), result.Chunks)
 	if run.state != runWaiting {
--- a/internal/decide/owner/slot.go
+++ b/internal/decide/owner/slot.go
@@ -43,11 +43,13 @@
 type slot struct {
 	state   slotState
 	adapter ident.Adapter
-	// pins is the number of dispatched runs of the adapter whose end the engine has
-	// not confirmed.
+	// pins is the number of dispatched runs of the adapter, including those of former
+	// owners, whose end the engine has not confirmed.
 	pins int
 	// queued is the number of ready requests that wait for room in the batch.
-	queued   int
+	queued int
+	// lastUsed is when a run of the adapter was last dispatched, or else when the adapter
+	// was loaded or a report first listed it.
 	lastUsed clock.Millis
 	// next is the adapter to load after the current one is unloaded.
 	next ident.Adapter
@@ -57,16 +59,17 @@
 	// yielding is set while the slot gets no further runs, so that it becomes free for
 	// another adapter.
 	yielding bool
-	// served is set if a run has used the adapter since it was loaded.
+	// served is set if a run has used the adapter since this owner loaded it, or if a
+	// report first listed the adapter.
 	served bool
 }
 
-// serves reports whether the adapter is loaded or being loaded.
-func (slot *slot) serves() bool {
+// isLoadedOrLoading reports whether the adapter is loaded or being loaded.
+func (slot *slot) isLoadedOrLoading() bool {
 	return slot.state == slotLoading || slot.state == slotReady
 }
 
-func (slot *slot) use(now clock.Millis) {
+func (slot *slot) markUsed(now clock.Millis) {
 	slot.lastUsed = now
 }
 
@@ -77,7 +80,8 @@
 	})
 }
 
-// spareWhenNoneEvictable is the Spare value of an engine whose slots are all in use.
+// spareWhenNoneEvictable is the Spare value of an engine at which no slot is empty and
+// none can be emptied now.
 const spareWhenNoneEvictable = 1000
 
 // spare returns the value of the adapter that would be evicted next, and 0 if a slot
@@ -99,10 +103,11 @@
 	return at, held && owner.slots[at].state == slotReady && !owner.slots[at].yielding
 }
 
-// findSlot returns a slot to load into for a request of a class: an empty slot, or
-// else a yielding slot or the ready slot with the lowest eviction value, if it is
-// not in use; -1 if there is none. While an urgent request waits for a slot, routine
-// requests do not get the yielding one; otherwise the next slot would have to yield.
+// findSlot returns a slot to load into for a request of a class, or -1 if there is
+// none: an empty slot or the yielding one if it is not in use, or else the ready slot
+// with the lowest eviction value of those that are not in use. While an urgent request
+// waits for a slot, routine requests do not get the yielding one; otherwise another
+// slot would have to yield.
 func (owner *Owner) findSlot(now clock.Millis, class config.Class) int {
 	found, least := -1, 0.0
 	for i := range owner.slots {
@@ -184,7 +189,8 @@
 	return held
 }
 
-// abandonLoad returns the lease of a granted load that cannot start.
+// abandonLoad returns the lease of a granted load that cannot start, so that the load
+// is requested again if it is still needed.
 func (owner *Owner) abandonLoad(adapter ident.Adapter) {
 	if wanted := owner.backlog.wanted[adapter]; wanted != nil {
 		wanted.loadStarted = false
@@ -193,8 +199,8 @@
 	owner.returnUnusedLease(adapter)
 }
 
-// loadNext loads the adapter that a slot was emptied for, unless no request waits for
-// it any more.
+// loadNext loads the adapter that a slot was emptied for. If another slot holds it by
+// now or no request waits for it any more, the lease is returned unused.
 func (owner *Owner) loadNext(at int) {
 	adapter := owner.slots[at].next
 	wanted := owner.backlog.wanted[adapter]
--- a/internal/decide/owner/takeover.go
+++ b/internal/decide/owner/takeover.go
@@ -28,7 +28,7 @@
 	// fenceUnconfirmed is set while the engine may still accept orders with an older
 	// fencing number.
 	fenceUnconfirmed bool
-	// foreign holds unfinished runs that another owner dispatched, by run id.
+	// foreign holds unfinished runs that former owners dispatched, by run id.
 	foreign map[string]*foreignRun
 	// suspended is set while no run, load or unload may be started.
 	suspended bool
@@ -86,8 +86,8 @@
 	return owner.takeover.fenceUnconfirmed
 }
 
-// Suspend forbids or allows dispatches, loads and unloads. Reports, cancels and the
-// ends of runs are handled in either case.
+// Suspend forbids or allows dispatches, loads and unloads. Reports, cancels, resumed
+// runs and the ends of runs are handled in either case.
 func (owner *Owner) Suspend(suspended bool) {
 	owner.takeover.suspended = suspended
 }
@@ -121,7 +121,9 @@
 }
 
 // Retire ends the ownership. Waiting requests are refused as not run. Runs at the
-// engine continue until they end, and the next owner takes over unconfirmed cancels.
+// engine continue until they end. Runs whose cancel is unconfirmed end here with an
+// unknown outcome; the next owner keeps their adapters pinned while the engine reports
+// them.
 func (owner *Owner) Retire() []effect.Effect {
 	owner.takeover.retired = true
 	owner.takeover.suspended = true
@@ -152,8 +154,8 @@
 	return submits
 }
 
-// SetDraining refuses waiting and new requests while the engine is leaving, or
-// accepts requests again.
+// SetDraining sets whether the engine is leaving. While it is, waiting and new requests
+// are refused.
 func (owner *Owner) SetDraining(draining bool) []effect.Effect {
 	if draining && !owner.draining {
 		owner.refuseWaiting(outcome.NoEngine)
@@ -172,7 +174,8 @@
 	}
 }
 
-// mayEvict reports whether the quiet period after a takeover has ended.
+// mayEvict reports whether adapters may be evicted: the engine has this owner's fencing
+// number, if it checks them, and the quiet period after the takeover has ended.
 func (owner *Owner) mayEvict() bool {
 	return !owner.takeover.fenceUnconfirmed && owner.reportedAt >= owner.takeover.quietUntil
 }
@@ -292,9 +295,9 @@
 }
 
 // handleUnknownRun handles a resumed run that the engine does not know. An engine
-// that checks fencing numbers accepts the run from no former owner any more, so if
-// it has not restarted, the run never started. The next report shows whether the
-// boot id is unchanged.
+// that checks fencing numbers no longer accepts the run from a former owner, so if it
+// has not restarted since that owner dispatched the run, the run never started. The
+// next report shows whether the boot id is unchanged.
 func (owner *Owner) handleUnknownRun(now clock.Millis, run *run, result RunResult) {
 	submit := run.submit
 	provable := owner.Engine.ChecksFencing && submit.PriorBoot != "" && submit.PriorFence < owner.Fence && submit.Received == 0
@@ -320,8 +323,8 @@
 	}
 }
 
-// reconcile updates the slots from a report: it adds adapters that a former owner
-// loaded late and removes adapters that the engine no longer holds.
+// reconcile updates the slots from a report: it removes adapters that the engine no
+// longer holds and adds those that a former owner loaded late.
 func (owner *Owner) reconcile(now, takenAt clock.Millis, report Report) {
 	present := make(map[ident.Adapter]bool, len(report.Resident))
 	for _, adapter := range report.Resident {
--- a/internal/decide/owner/takeover_test.go
+++ b/internal/decide/owner/takeover_test.go
@@ -53,7 +53,9 @@
 	return outcome.Outcome{}, false
 }
 
-// TestResumeDoesNotQueue resumes a run before the first report of the engine.
+// TestResumeDoesNotQueue checks that a run is resumed at once, even before the first
+// report of the engine and while no run may be started. A queued run could be refused
+// as not run, but this one may have run.
 func TestResumeDoesNotQueue(t *testing.T) {
 	successor := newSuccessor(true, 1)
 	successor.Suspend(true)
@@ -95,8 +97,8 @@
 	}
 }
 
-// TestResumedRunIsNeverNotRun covers results that mean "not run" only for the first
-// order of a run.
+// TestResumedRunIsNeverNotRun covers results that prove "not run" only for the first
+// order of a run. A resumed run may already have run for the former owner.
 func TestResumedRunIsNeverNotRun(t *testing.T) {
 	for _, result := range []owner.Result{owner.ResultNotSent, owner.ResultRefused, owner.ResultFenced} {
 		successor := newSuccessor(true, 1)
--- a/internal/decide/owner/yield.go
+++ b/internal/decide/owner/yield.go
@@ -6,11 +6,11 @@
 	"teaselmoor/internal/control/config"
 )
 
-// yieldSlot marks a slot as yielding if every slot is in use and an adapter waits for
-// one. A yielding slot gets no further runs, so it becomes free when its current
-// runs have ended. An urgent request makes a slot yield at once, and repeatable
-// routine runs in it are cancelled; a routine request does so after a
-// delay. At most one slot yields at a time.
+// yieldSlot marks a slot as yielding for an adapter that found no free slot. A yielding
+// slot gets no further runs, so it becomes free when its current runs have ended. An
+// urgent request makes a slot yield at once and cancels the cancellable runs in it; a
+// routine request makes one yield after YieldDelay and cancels nothing. At most one slot
+// yields at a time.
 func (owner *Owner) yieldSlot(now clock.Millis, wanted *wantedAdapter) {
 	urgent := wanted.demand().class == config.Urgent
 	if owner.options.YieldDelay == 0 {
@@ -43,11 +43,11 @@
 	return -1
 }
 
-// slotToYield returns the slot with the fewest runs that must be waited for and, among
-// those, the lowest eviction value; -1 if there is none. For a routine request the
-// slot must have served a run since its adapter was loaded. Otherwise two adapters
-// whose requests wait for room in the batch would replace each other before either
-// could run.
+// slotToYield returns the slot with the fewest runs that cannot be cancelled and, among
+// those, the lowest eviction value; -1 if there is none. A slot whose adapter an urgent
+// request in the ready queue needs does not yield. For a routine request the slot must
+// have served a run since its adapter was loaded. Otherwise two adapters whose requests
+// wait for room in the batch would replace each other before either could run.
 func (owner *Owner) slotToYield(now clock.Millis, urgent bool) int {
 	blocking := make([]int, len(owner.slots))
 	for i := range owner.slots {
--- a/internal/decide/ownership/options.go
+++ b/internal/decide/ownership/options.go
@@ -6,7 +6,7 @@
 // margin, order delay) are assumptions: the ownership of an engine that ignores
 // fencing numbers is exclusive only as long as they hold.
 type Options struct {
-	// MaxListAge is the maximum age of the VM list at which an owner gives orders.
+	// MaxListAge is the maximum age of the VM list at which an owner sends orders.
 	MaxListAge clock.Millis
 	// ListLag is the maximum delay until the VM list shows a change.
 	ListLag clock.Millis
@@ -14,7 +14,7 @@
 	ClockMargin clock.Millis
 	// MaxHandoverAge is the maximum age of a handover that replaces the hold-down.
 	MaxHandoverAge clock.Millis
-	// MaxOrderDelay is the maximum time from the decision to give an order until it
+	// MaxOrderDelay is the maximum time from the decision to send an order until it
 	// arrives at the engine.
 	MaxOrderDelay clock.Millis
 	// ReportLag is the maximum time by which a report is older than its stated age.
--- a/internal/decide/ownership/rendezvous.go
+++ b/internal/decide/ownership/rendezvous.go
@@ -1,7 +1,8 @@
-// Package ownership decides which daemon may give orders to an engine. It uses no
-// consensus protocol: every daemon computes the same ranking of candidates from the
-// published VM list. While daemons have different lists, fencing numbers that the
-// engine checks, or else waiting times, prevent two owners.
+// Package ownership decides which daemon owns an engine, that is, may send it orders.
+// It uses no consensus protocol: every daemon computes the same ranking of candidates
+// from the published VM list. While daemons have different lists, fencing numbers
+// prevent two owners if the engine checks them, and waiting times otherwise. What an
+// owner orders is decided by package owner.
 package ownership
 
 import (
--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -14,11 +14,11 @@
 	// Idle: this daemon neither owns the engine nor waits to own it.
 	Idle State = ""
 	// Waiting: this daemon is the first candidate and waits until no former owner can
-	// give orders.
+	// send orders.
 	Waiting State = "Waiting"
-	// Owning: this daemon may give orders.
+	// Owning: this daemon may send orders.
 	Owning State = "Owning"
-	// Yielding: this daemon gives no more orders and hands over once its orders in
+	// Yielding: this daemon starts nothing more and hands over once its unload orders in
 	// progress have ended.
 	Yielding State = "Yielding"
 )
@@ -59,8 +59,8 @@
 	ChecksFencing bool
 	// ListFresh is set if the VM list was read recently enough to act on it.
 	ListFresh bool
-	// OwnedByLiveDaemon is set if another daemon owns the engine and is not silent. It is used
-	// only for engines that check fencing numbers.
+	// OwnedByLiveDaemon is set if another daemon owns the engine and is not silent. It is
+	// used only for engines that check fencing numbers.
 	OwnedByLiveDaemon bool
 	// ListReadAt is when the VM list that First is based on was read.
 	ListReadAt clock.Millis
@@ -78,15 +78,15 @@
 	// lastFirstAt is when the last VM list that made this daemon the first candidate
 	// was read.
 	lastFirstAt clock.Millis
-	// notBefore is the earliest time of a claim. It is set at creation and after
-	// another daemon's claim with a higher fencing number.
+	// notBefore is the earliest time of a claim without a handover. It is set at creation
+	// and after another daemon's claim with a higher fencing number.
 	notBefore clock.Millis
 	options   Options
 }
 
-// New returns the tenure of an engine that the daemon does not own. The daemon does
-// not claim the engine before the given time, so that a new daemon first receives
-// the claims of others.
+// New returns the tenure of an engine that the daemon does not own. Without a handover,
+// the daemon does not claim the engine before the given time, so that a new daemon first
+// receives the claims of others.
 func New(options Options, notBefore clock.Millis) *Tenure {
 	return &Tenure{options: options, notBefore: notBefore}
 }
@@ -99,7 +99,7 @@
 // Revise updates the state from what is known now and returns the resulting action.
 func (tenure *Tenure) Revise(now clock.Millis, facts Facts) Action {
 	if !facts.First {
-		return tenure.notFirst(now, facts)
+		return tenure.reviseNotFirst(now, facts)
 	}
 	tenure.lastFirstAt = max(tenure.lastFirstAt, facts.ListReadAt)
 	if tenure.state == Idle {
@@ -113,11 +113,11 @@
 	return NoAction
 }
 
-// notFirst ends a wait at once. It yields an owned engine when the first candidate
+// reviseNotFirst ends a wait at once. It yields an owned engine when the first candidate
 // requests it or when the last list that made this daemon the first candidate may no
 // longer be acted on. It does not yield earlier, because the first candidate may read
 // its list later than this daemon.
-func (tenure *Tenure) notFirst(now clock.Millis, facts Facts) Action {
+func (tenure *Tenure) reviseNotFirst(now clock.Millis, facts Facts) Action {
 	switch tenure.state {
 	case Waiting:
 		tenureTable.MustApply(&tenure.state, withdraw)
@@ -130,15 +130,16 @@
 	return NoAction
 }
 
-// OrdersUntil returns when the permission to give orders ends, which is based on the
+// OrdersUntil returns when the permission to send orders ends, which is based on the
 // last VM list that made this daemon the first candidate. It must be obeyed for
 // engines that ignore fencing numbers.
 func (tenure *Tenure) OrdersUntil() clock.Millis {
 	return tenure.lastFirstAt + tenure.options.MaxListAge
 }
 
-// mayClaim reports whether no former owner can give orders any more, or the engine
-// itself would refuse them.
+// mayClaim reports whether no former owner can send orders any more, or the engine
+// itself would refuse them. An engine that checks fencing numbers is not taken from a
+// live owner before the hold-down has passed.
 func (tenure *Tenure) mayClaim(now clock.Millis, facts Facts) bool {
 	switch {
 	case facts.HandedOver:
@@ -152,8 +153,9 @@
 	}
 }
 
-// Interrupt restarts the wait, because it is not known what happened since the last
-// list was read. It reports whether the daemon was the owner.
+// Interrupt turns an ownership into a wait and restarts a wait that is in progress,
+// because the VM list was not read for too long: another daemon may have owned the
+// engine meanwhile. It reports whether the daemon was the owner.
 func (tenure *Tenure) Interrupt(now clock.Millis) bool {
 	owned := tenure.state == Owning
 	if owned {
@@ -176,8 +178,8 @@
 	}
 }
 
-// EngineClaim is the claim to an engine with the highest fencing number that a daemon has
-// received.
+// EngineClaim is the claim to an engine with the highest fencing number that a daemon
+// has received or made itself.
 type EngineClaim struct {
 	Owner       ident.DaemonID
 	Incarnation ident.Incarnation
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -12,11 +12,13 @@
 
 var options = ownership.DefaultOptions()
 
+// TestClaimWaits checks how long the first candidate waits before it claims an engine. If
+// it claimed too early, a former owner could still send orders.
 func TestClaimWaits(t *testing.T) {
 	first := ownership.Facts{First: true, ListFresh: true}
 	checked := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
-	occupied := checked
-	occupied.OwnedByLiveDaemon = true
+	ownedByOther := checked
+	ownedByOther.OwnedByLiveDaemon = true
 	stale := first
 	stale.ListFresh = false
 	handed := first
@@ -31,7 +33,7 @@
 		{name: "fencing ignored: handed over", facts: handed},
 		{name: "fencing ignored: stale list", facts: stale, never: true},
 		{name: "fencing checked", facts: checked},
-		{name: "fencing checked: the owner is not silent", facts: occupied, waits: options.HoldDown()},
+		{name: "fencing checked: the owner is not silent", facts: ownedByOther, waits: options.HoldDown()},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			tenure := ownership.New(options, 0)
@@ -50,6 +52,8 @@
 	}
 }
 
+// TestInterruptRestartsWait checks that the whole hold-down passes after an interruption,
+// in which another daemon may have owned the engine.
 func TestInterruptRestartsWait(t *testing.T) {
 	tenure := ownership.New(options, 0)
 	facts := ownership.Facts{First: true, ListFresh: true}
@@ -59,18 +63,23 @@
 	require.Equal(t, ownership.Claim, tenure.Revise(2*options.HoldDown()-1, facts))
 }
 
+// TestOwnerYieldsOnRequestOrStaleList checks that an owner that is no longer the first
+// candidate yields on a request, and otherwise once the list that named it is too old.
 func TestOwnerYieldsOnRequestOrStaleList(t *testing.T) {
-	for _, asked := range []bool{true, false} {
+	for _, requested := range []bool{true, false} {
 		tenure := ownership.New(options, 0)
 		tenure.Revise(0, ownership.Facts{First: true, ListFresh: true, HandedOver: true, ListReadAt: 1})
 		require.Equal(t, ownership.Owning, tenure.State())
-		notFirst := ownership.Facts{ListFresh: true, HandoverRequested: asked}
-		require.Equal(t, asked, tenure.Revise(2, notFirst) == ownership.Yield)
+		notFirst := ownership.Facts{ListFresh: true, HandoverRequested: requested}
+		require.Equal(t, requested, tenure.Revise(2, notFirst) == ownership.Yield)
 		tenure.Revise(1+options.MaxListAge, notFirst)
 		require.Equal(t, ownership.Yielding, tenure.State())
 	}
 }
 
+// TestOutbidDaemonWaits checks that a daemon with an outbid claim does not claim the
+// engine again at once. Otherwise two daemons with different lists could outbid each
+// other continuously.
 func TestOutbidDaemonWaits(t *testing.T) {
 	tenure := ownership.New(options, 0)
 	facts := ownership.Facts{First: true, ListFresh: true, ChecksFencing: true}
@@ -80,6 +89,8 @@
 	require.Equal(t, ownership.Claim, tenure.Revise(options.HoldDown(), facts))
 }
 
+// TestFencingNumbersIncrease checks that a fencing number is above the highest known one
+// even if the wall clock is behind, differs between daemons, and fits in a JSON number.
 func TestFencingNumbersIncrease(t *testing.T) {
 	const now = clock.Millis(1_796_000_000_000)
 	first := ownership.NextFence(now, "daemon-0", 0)
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -35,7 +35,7 @@
 	AffinityCost float64
 	// AffinitySetSize is the number of engines in an affinity set.
 	AffinitySetSize int
-	// MaxStateAge is the maximum age of an engine's state that is used.
+	// MaxStateAge is the age above which an engine's state is not used.
 	MaxStateAge clock.Millis
 }
 
@@ -126,7 +126,7 @@
 
 // cost returns the cost of serving the query at an engine.
 func (weights *Weights) cost(query Query, engine *config.Engine, views *Views, view *View, step int) float64 {
-	batch := float64(view.work()) / float64(engine.MaxRuns)
+	batch := float64(view.requestCount()) / float64(engine.MaxRuns)
 	queue := max(0, batch-1)
 	if views.holds(engine.Name, query.Adapter) {
 		return queue
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -30,6 +30,8 @@
 	return placement.Weights{LoadCost: 2, SpareCost: 1, AffinityCost: 0.01, AffinitySetSize: 2, MaxStateAge: 10 * clock.Second}
 }
 
+// TestHolderComesFirst checks that an engine that holds the adapter, or will load it for
+// waiting requests, is chosen. Otherwise the adapter would be loaded twice.
 func TestHolderComesFirst(t *testing.T) {
 	for _, example := range []struct {
 		name  string
@@ -141,6 +143,8 @@
 	}
 }
 
+// TestEngineOfLostOwnerIsNotChosen checks that an engine whose owner is unreachable gets
+// no requests until another owner sends its state.
 func TestEngineOfLostOwnerIsNotChosen(t *testing.T) {
 	pool, views := newSmallFleet()
 	views.Update(now, message.EngineState{Engine: "a", Owner: "gone", Fence: 1, Version: 1, Resident: []ident.Adapter{adapterOf(1)}})
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -52,7 +52,7 @@
 type Ranking[Cost cmp.Ordered] struct {
 	// Cost returns the cost of serving the query at an engine.
 	Cost func(query Query, engine *config.Engine, view *View) Cost
-	// MaxStateAge is the maximum age of an engine's state that is used.
+	// MaxStateAge is the age above which an engine's state is not used.
 	MaxStateAge clock.Millis
 }
 
@@ -97,7 +97,7 @@
 // requests.
 func LeastLoaded(maxStateAge clock.Millis) Policy {
 	return Ranking[int]{MaxStateAge: maxStateAge, Cost: func(_ Query, _ *config.Engine, view *View) int {
-		return view.work()
+		return view.requestCount()
 	}}
 }
 
@@ -110,14 +110,14 @@
 func ResidencyFirst(maxStateAge clock.Millis) Policy {
 	return Ranking[int]{MaxStateAge: maxStateAge, Cost: func(query Query, _ *config.Engine, view *View) int {
 		if view.holds(query.Adapter) {
-			return view.work()
+			return view.requestCount()
 		}
-		return notResidentCost + view.work()
+		return notResidentCost + view.requestCount()
 	}}
 }
 
-// work returns the known number of requests at the engine.
-func (view *View) work() int {
+// requestCount returns the known number of requests at the engine.
+func (view *View) requestCount() int {
 	return view.State.Queued + view.State.Running + view.Sent
 }
 
--- a/internal/decide/placement/views.go
+++ b/internal/decide/placement/views.go
@@ -18,7 +18,7 @@
 	// Sent is the number of requests submitted since then, which the state does not
 	// include.
 	Sent int
-	// OwnerLost is set if the connection to the owner was lost since then.
+	// OwnerLost is set if the connection to the owner has been lost since then.
 	OwnerLost bool
 }
 
@@ -73,7 +73,7 @@
 }
 
 // MarkOwnerLost records that the connection to a daemon was lost. Its engines are not
-// chosen until something is received from it again.
+// chosen until an owner sends or confirms their state again.
 func (views *Views) MarkOwnerLost(owner ident.DaemonID) {
 	for _, known := range views.byEngine {
 		if known.State.Owner == owner {
--- a/internal/decide/rollout/candidate.go
+++ b/internal/decide/rollout/candidate.go
@@ -21,7 +21,8 @@
 	// published is set if the configuration service returned the manifest.
 	published bool
 	// refused is set if the candidate is invalid, so that it is never tried again.
-	refused  bool
+	refused bool
+	// failures is the number of failed fetches.
 	failures int
 	// nextTryAt is the earliest time at which fetching it is tried again.
 	nextTryAt   clock.Millis
@@ -82,7 +83,7 @@
 	}
 }
 
-// deferCandidate records that a candidate can't be fetched now and schedules the next
+// deferCandidate records that a candidate cannot be fetched now and schedules the next
 // try, with exponential backoff. The failure is audited if its cause differs from the
 // last one.
 func (rollout *Rollout) deferCandidate(candidate *candidate, cause string) {
--- a/internal/decide/rollout/fetch.go
+++ b/internal/decide/rollout/fetch.go
@@ -271,8 +271,8 @@
 	return false
 }
 
-// HandleAssembled handles the result of an AssembleConfig effect. If the snapshot is nil,
-// the candidate is refused with the given cause.
+// HandleAssembled handles the result of an AssembleConfig effect. If the snapshot is
+// nil, the candidate is refused with the given cause.
 func (rollout *Rollout) HandleAssembled(now clock.Millis, mark config.Mark, snapshot *config.Snapshot, cause string) []effect.Effect {
 	rollout.now = now
 	current := rollout.fetching
--- a/internal/decide/rollout/peers.go
+++ b/internal/decide/rollout/peers.go
@@ -29,7 +29,7 @@
 	sameDataCentre []ident.DaemonID // other daemons of the data centre
 	region         []ident.DaemonID // other daemons of the region
 	all            []ident.DaemonID // region, and the peers in other regions
-	rotation       int              // number of calls of next
+	rotation       int              // number of daemons chosen by next
 	// nextOfferAt is the time at which the next offers are due.
 	nextOfferAt clock.Millis
 	// knownAt is the time at which the first VM list was read.
@@ -73,10 +73,10 @@
 	return rollout.takeEffects()
 }
 
-// CrossRegionPeers returns the daemons of other regions to which a daemon keeps connections, so
-// that configurations spread between regions without the configuration service. There
-// is one in each region, among the daemons whose names sort after this daemon's: of two
-// daemons, the one whose name sorts first dials.
+// CrossRegionPeers returns the daemons of other regions to which a daemon keeps
+// connections, so that configurations spread between regions without the configuration
+// service. It returns at most one of each region, chosen among the daemons whose names
+// sort after this daemon's, because of two daemons the one whose name sorts first dials.
 func CrossRegionPeers(view *members.View, self ident.DaemonID, region string) []ident.DaemonID {
 	later := map[string][]ident.DaemonID{}
 	for _, daemon := range view.LiveDaemons(func(vm *members.VM) bool { return vm.Region != region && vm.Name > string(self) }) {
@@ -155,8 +155,8 @@
 	return list[(peers.rotation+peers.rank*7)%len(list)]
 }
 
-// HandleOffer handles an offer from another daemon. It replies to the offer, unless that is
-// itself a reply, if the other daemon has no configuration or a lower one.
+// HandleOffer handles an offer from another daemon. If that daemon has no configuration
+// or a lower one, it replies with an offer, unless the received one is itself a reply.
 func (rollout *Rollout) HandleOffer(now clock.Millis, from ident.DaemonID, offer message.ConfigOffer) []effect.Effect {
 	rollout.now = now
 	if offer.Contact && slices.Contains(rollout.peers.sameDataCentre, from) {
--- a/internal/decide/rollout/watch.go
+++ b/internal/decide/rollout/watch.go
@@ -25,7 +25,7 @@
 type watch struct {
 	calling      bool   // a call is in progress
 	valueVersion uint64 // version of the service's value, as last read
-	failures     int
+	failures     int    // consecutive failed calls
 	// connected is set if this daemon watches and its last call succeeded.
 	connected bool
 	// nextCallAt is the earliest time of the next call.
@@ -120,7 +120,7 @@
 }
 
 // addPublished adds a manifest returned by the service as a candidate. A manifest that
-// can't be parsed is audited once.
+// cannot be parsed is audited once.
 func (rollout *Rollout) addPublished(text []byte) {
 	manifest, err := config.ParseManifest(text)
 	if err != nil {
--- a/internal/direct/account/account.go
+++ b/internal/direct/account/account.go
@@ -19,8 +19,8 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// shortBytes is the length of the short form of a digest, enough to distinguish the keys of a
-// site.
+// shortBytes is the length in bytes of the short form of a digest, enough to distinguish the
+// keys of a site.
 const shortBytes = 4
 
 // String returns the short form of the digest for logs.
@@ -84,8 +84,8 @@
 }
 
 // New returns a directory of accounts. It rejects the whole list if a name or key is empty, a
-// name occurs twice, a key belongs to two accounts or a limit is negative: whom such a key
-// identifies cannot be guessed.
+// name occurs twice, a key belongs to two accounts or a limit is negative, rather than guess
+// which account is meant.
 func New(entries []Entry) (*Directory, error) {
 	directory := &Directory{byKey: make(map[Digest]*Account), byName: make(map[string]*Account)}
 	for _, entry := range entries {
--- a/internal/direct/choose/choose.go
+++ b/internal/direct/choose/choose.go
@@ -1,5 +1,7 @@
 // Package choose picks the backend server for a request: the one with the shortest
-// expected time to the first event of the answer. It does no I/O.
+// expected time to the first event of the answer. It also decides when a prompt is delayed
+// at a busy engine, and estimates the engines' read rate and slot time. It does no I/O:
+// package gateway sends the requests, and package loading plans the loads of adapters.
 package choose
 
 import (
@@ -26,7 +28,7 @@
 	Orderless       float64 // cost of a load at a server that has no owner
 	Step            float64 // cost of each position down the adapter's rendezvous order of servers
 	Trouble         float64 // cost of a server whose requests all fail; scaled by its failure rate
-	Suspect         float64 // cost of a server that could not be reached
+	Suspect         float64 // cost of a server that could not be reached recently
 	Away            float64 // cost of a server in another data centre
 	Relief          float64 // a copy is made only if its server would be cheaper by more than this
 	Shortcut        bool    // skip the other servers if none can be cheaper than the best holder of the adapter
@@ -140,7 +142,7 @@
 	copies := 0
 	var preferred preferredRanks
 	if query.Adapter.Name != "" {
-		copies, preferred = survey(usable, query, adapterHash)
+		copies, preferred = rankServers(usable, query, adapterHash)
 	}
 	best, waiting, spare := Choice{}, Choice{}, Choice{}
 	var drawn twoChoices
@@ -197,9 +199,9 @@
 	return spare
 }
 
-// survey counts the servers that can run a request at once, and finds the first servers
-// of its adapter's rendezvous order.
-func survey(usable []*fleet.Member, query Query, adapterHash uint64) (copies int, preferred preferredRanks) {
+// rankServers returns how many servers can run a request at once, and the highest ranks of
+// its adapter's rendezvous order.
+func rankServers(usable []*fleet.Member, query Query, adapterHash uint64) (copies int, preferred preferredRanks) {
 	for _, member := range usable {
 		preferred.add(rank(adapterHash, member))
 		if ready(member, query) {
--- a/internal/direct/choose/choose_test.go
+++ b/internal/direct/choose/choose_test.go
@@ -54,6 +54,8 @@
 	}
 }
 
+// TestHolderIsPreferredToALoad: a request goes to the server that holds its adapter, unless
+// waiting there would take longer than loading the adapter at another server.
 func TestHolderIsPreferredToALoad(t *testing.T) {
 	servers, work := newFleet(9)
 	home := pick(t, servers, work, query("r")).Member.ID
@@ -99,6 +101,8 @@
 	require.Equal(t, other, pick(t, servers, work, asked).Member.ID)
 }
 
+// TestOldVersionDoesNotServe: a server that holds an older version of the adapter than the
+// request needs does not count as ready.
 func TestOldVersionDoesNotServe(t *testing.T) {
 	servers, work := newFleet(2)
 	setTable(servers, "s0", 1, fleet.Slot{Adapter: adapter, Version: 1})
--- a/internal/direct/choose/copytargets.go
+++ b/internal/direct/choose/copytargets.go
@@ -13,7 +13,7 @@
 // The first servers of the adapter's rendezvous order are preferred.
 func (weights Weights) CopyTargets(query Query, adapterHash uint64, servers *fleet.Fleet, work *inflight.Tracker, limit int) []*fleet.Member {
 	usable := servers.Usable(query.Service)
-	_, preferred := survey(usable, query, adapterHash)
+	_, preferred := rankServers(usable, query, adapterHash)
 	var candidates []Choice
 	for _, member := range usable {
 		if _, has := member.Slot(query.Adapter); has || !weights.canLoad(query, member) {
@@ -34,7 +34,7 @@
 	return chosen
 }
 
-// canLoad reports whether a server can be told to load an adapter now.
+// canLoad reports whether a server can be ordered to load an adapter now.
 func (weights Weights) canLoad(query Query, member *fleet.Member) bool {
 	hasOwner := query.HasOwner == nil || query.HasOwner(member.ID)
 	return hasOwner && member.HoldsModel(query.Adapter.Model) && !member.Suspect(query.Now)
--- a/internal/direct/choose/delay.go
+++ b/internal/direct/choose/delay.go
@@ -32,7 +32,8 @@
 }
 
 // ShouldDelay reports whether a prompt should be delayed. Level is the level of its server's
-// prompt bucket; tokensPerMS is the engine's read rate.
+// prompt bucket; tokensPerMS is the engine's read rate. A server with an empty bucket is sent
+// a prompt of any size.
 func (delayPolicy DelayPolicy) ShouldDelay(prompt Prompt, level, tokensPerMS float64) bool {
 	if prompt.Waited >= clock.Millis(delayPolicy.GoalShare*float64(prompt.Goal)) || level <= 0 {
 		return false
--- a/internal/direct/choose/delay_test.go
+++ b/internal/direct/choose/delay_test.go
@@ -15,7 +15,7 @@
 // which get an event every few steps.
 const (
 	engineRate    = 38.0 // prompt tokens per millisecond
-	enginePiece   = 2048 // maximum prompt tokens per step
+	engineChunk   = 2048 // maximum prompt tokens per step
 	engineStep    = 5.5  // duration of a step without a prompt, in milliseconds
 	stepsPerEvent = 6
 	gapGoal       = 300
@@ -61,10 +61,10 @@
 				left = append(left, i)
 			}
 			held = left
-			piece := min(backlog, enginePiece)
-			backlog -= piece
-			gap += engineStep + piece/engineRate
-			now += engineStep + piece/engineRate
+			chunk := min(backlog, engineChunk)
+			backlog -= chunk
+			gap += engineStep + chunk/engineRate
+			now += engineStep + chunk/engineRate
 		}
 		events++
 		if gap > gapGoal {
--- a/internal/direct/choose/twochoices.go
+++ b/internal/direct/choose/twochoices.go
@@ -9,6 +9,7 @@
 	ranks   [2]uint64
 }
 
+// add keeps a choice if its rank is one of the two highest so far.
 func (twoChoices *twoChoices) add(choice Choice, rank uint64) {
 	for i := range twoChoices.choices {
 		if twoChoices.choices[i].Member == nil || rank > twoChoices.ranks[i] {
@@ -22,7 +23,7 @@
 }
 
 // pick returns the cheaper of the two servers, or best, the cheapest of all, if that
-// costs less by more than margin: both may be failing.
+// costs less by more than margin, as both of the two may be failing.
 func (twoChoices *twoChoices) pick(best Choice, margin float64) Choice {
 	chosen := twoChoices.choices[0]
 	if second := twoChoices.choices[1]; second.Member != nil && second.Cost < chosen.Cost {
--- a/internal/direct/claims/tenure.go
+++ b/internal/direct/claims/claims.go
@@ -1,8 +1,9 @@
-// Package claims decides which daemon may send orders (to load or unload adapters and
-// models) to a backend server. There is no shared writable storage for locks, so daemons
-// claim servers by rendezvous hash, send their claims to each other, and leave a period
-// without orders when a server passes from one daemon to another. Claims are sticky: a
-// daemon that joins takes no server from its owner. The package does no I/O and reads no
+// Package claims decides which daemon is the owner of a backend server, the only one that
+// may send it orders to load or unload adapters and models. There is no shared writable
+// storage for locks, so daemons claim servers by rendezvous hash, send their claims to each
+// other, and leave a period without orders when a server passes from one owner to another.
+// Claims are sticky: a daemon that joins takes no server from its owner. Which daemons may
+// claim servers at all is decided in package topology. The package does no I/O and reads no
 // clock.
 package claims
 
@@ -19,8 +20,7 @@
 // Options holds the timing parameters of claims.
 type Options struct {
 	// Quiet is the minimum time between the last order of one daemon and the first
-	// order of the next: the lease of the platform's settings, plus a margin for orders
-	// in transit.
+	// order of the next: the lease of the platform's settings, plus quietMargin.
 	Quiet clock.Millis
 	// StartWait is the time between a daemon's start and its first claims. Where
 	// servers check fencing numbers, it is the time that peers need to send their
@@ -31,18 +31,18 @@
 	// sent to peers at once. If the daemon stopped before they received it, no other
 	// daemon would wait for orders that it had already sent.
 	Announce clock.Millis
-	// Silence is how long a daemon that receives nothing from any peer continues to
+	// Silence is how long a daemon that receives no heartbeat from any peer continues to
 	// send orders. It is shorter than Suspicion, so that the daemon stops before
 	// another one considers it dead.
 	Silence clock.Millis
 	// Stale is how long claims remain valid after this daemon last sent them to peers,
-	// or last received anything from a peer. Later, another daemon may have taken over
-	// a server, and may have stopped since.
+	// or last received a heartbeat from a peer. After that, another daemon may have taken
+	// over a server, and may have stopped since.
 	Stale clock.Millis
 	// Suspicion is how long a peer must be silent before others may claim its servers.
 	Suspicion clock.Millis
 	// Pause is the gap between two ticks beyond which the process is taken to have
-	// been suspended; it then sends no orders until peers had time to report.
+	// been suspended; it then sends no orders until peers have had time to report.
 	Pause clock.Millis
 	// Settle is how long no orders are sent after a pause.
 	Settle clock.Millis
@@ -63,7 +63,8 @@
 // orderTransitTime is how long an order may take to reach a server.
 const orderTransitTime = 200 * clock.Millisecond
 
-// staleMargin is how long claims expire before others may take the servers over.
+// staleMargin is the time between the expiry of claims and the earliest time at which others
+// may take the servers over.
 const staleMargin = 300 * clock.Millisecond
 
 // DefaultOptions returns the options for a lease. The parameter fenced reports whether
@@ -88,26 +89,26 @@
 
 // serverState is what is known about the owner of one server and its orders.
 type serverState struct {
-	owner        string
-	fence        int64
-	ownerHeardAt clock.Millis // when the owner was last heard, or until when its heartbeat interval lets it be silent
-	lastOrderAt  clock.Millis // latest time at which the owner may have sent an order, as far as known
-	claimedAt    clock.Millis // when this daemon claimed the server
+	owner            string
+	fence            int64
+	ownerLastContact clock.Millis // time of the owner's last heartbeat, plus any excess of its Interval over updateInterval
+	lastOrderAt      clock.Millis // latest time at which an owner may have sent an order, as far as known
+	claimedAt        clock.Millis // when this daemon claimed the server
 }
 
 // Registry holds the claims of one daemon and those that it knows of other daemons.
 type Registry struct {
-	options        Options
-	self           string
-	wall           clock.Source // source of fencing numbers, which must increase across restarts
-	started        clock.Millis // start of the process, end of its last pause, or its promotion
-	lastTick       clock.Millis
-	claimsSentAt   clock.Millis            // when claims were last sent to peers
-	noOrdersBefore clock.Millis            // no orders are sent before this time
-	lastHeard      map[string]clock.Millis // when each peer was last heard, including its heartbeat interval
-	firstHeard     map[string]clock.Millis // when each peer was first heard since started
-	orderersByPeer map[string][]string     // daemons that own servers, as last reported by each peer
-	idle           map[string]bool         // peers that claim no more servers
+	options            Options
+	self               string
+	wall               clock.Source // source of fencing numbers, which must increase across restarts
+	started            clock.Millis // when the wait before the first claims began: at the start of the process, after a pause, or as set by Promoted or Announced
+	lastTick           clock.Millis
+	claimsSentAt       clock.Millis            // when claims were last sent to peers
+	noOrdersBefore     clock.Millis            // no orders are sent before this time
+	lastContact        map[string]clock.Millis // time of each peer's last heartbeat, plus any excess of its Interval over updateInterval
+	firstContact       map[string]clock.Millis // time of each peer's first heartbeat since the last start, pause or promotion
+	orderSendersByPeer map[string][]string     // daemons that may send orders, as last reported by each peer
+	idle               map[string]bool         // whether each peer keeps its servers but claims no more
 	// minStartWait is the minimum time between started and the first claims.
 	minStartWait clock.Millis
 	servers      map[string]*serverState
@@ -117,7 +118,7 @@
 func New(options Options, self string, now clock.Millis, wall clock.Source) *Registry {
 	return &Registry{
 		options: options, self: self, wall: wall, started: now, lastTick: now, claimsSentAt: now,
-		lastHeard: make(map[string]clock.Millis), firstHeard: make(map[string]clock.Millis), orderersByPeer: make(map[string][]string),
+		lastContact: make(map[string]clock.Millis), firstContact: make(map[string]clock.Millis), orderSendersByPeer: make(map[string][]string),
 		idle:    make(map[string]bool),
 		servers: make(map[string]*serverState),
 	}
@@ -128,29 +129,29 @@
 	Peer string
 	// Interval is the maximum time until the peer's next heartbeat; until then it may
 	// send orders without a further heartbeat.
-	Interval clock.Millis
-	Claims   []Claim  // all claims of the peer
-	Orderers []string // daemons that it knows to own servers; nil: unchanged
-	Idle     bool     // the peer claims no more servers
+	Interval     clock.Millis
+	Claims       []Claim  // all claims of the peer
+	OrderSenders []string // daemons that may send orders, as far as the peer knows; nil: unchanged
+	Idle         bool     // the peer keeps its servers but claims no more
 }
 
 // ApplyHeartbeat applies a heartbeat received from a peer.
 func (registry *Registry) ApplyHeartbeat(now clock.Millis, heartbeat Heartbeat) {
 	peer, claims := heartbeat.Peer, heartbeat.Claims
 	until := now + max(0, heartbeat.Interval-updateInterval)
-	registry.lastHeard[peer] = until
-	if _, ok := registry.firstHeard[peer]; !ok {
-		registry.firstHeard[peer] = now
+	registry.lastContact[peer] = until
+	if _, ok := registry.firstContact[peer]; !ok {
+		registry.firstContact[peer] = now
 	}
-	if heartbeat.Orderers != nil {
-		registry.orderersByPeer[peer] = heartbeat.Orderers
+	if heartbeat.OrderSenders != nil {
+		registry.orderSendersByPeer[peer] = heartbeat.OrderSenders
 	}
 	registry.idle[peer] = heartbeat.Idle
 	for server, state := range registry.servers {
 		dropped := !slices.ContainsFunc(claims, func(claim Claim) bool { return claim.Server == server })
 		if state.owner == peer && dropped {
 			state.owner = ""
-			state.lastOrderAt = now // it may have sent orders since its previous heartbeat
+			state.lastOrderAt = now // the peer may have sent orders since its previous heartbeat
 		}
 	}
 	for _, claim := range claims {
@@ -169,42 +170,42 @@
 		return
 	}
 	// A claim with a lower number is accepted if the daemon with the higher one is
-	// gone: the sender is then the one that sends orders.
+	// silent or no longer owns the server: the sender is then the one that sends orders.
 	state.owner = peer
 	state.fence = max(state.fence, claim.Fence)
-	state.ownerHeardAt = until
+	state.ownerLastContact = until
 	state.lastOrderAt = max(state.lastOrderAt, now-claim.Idle)
 }
 
-// ownerIsLive reports whether a server is owned by this daemon or by one that was heard
-// within Suspicion.
+// ownerIsLive reports whether a server is owned by this daemon or by one that is not silent.
 func (registry *Registry) ownerIsLive(now clock.Millis, state *serverState) bool {
-	return state.owner == registry.self || state.owner != "" && now-state.ownerHeardAt < registry.options.Suspicion
+	return state.owner == registry.self || state.owner != "" && now-state.ownerLastContact < registry.options.Suspicion
 }
 
-// Left records that a peer no longer claims servers, although it may still be heard.
-// It no longer counts in the choice of a daemon for free servers.
+// Left records that a peer owns no servers and claims none, although it may still send
+// reports. It no longer counts in the choice of a daemon for free servers.
 func (registry *Registry) Left(now clock.Millis, peer string) {
-	delete(registry.lastHeard, peer)
-	delete(registry.orderersByPeer, peer)
+	delete(registry.lastContact, peer)
+	delete(registry.orderSendersByPeer, peer)
 	delete(registry.idle, peer)
-	for reporter, names := range registry.orderersByPeer {
-		registry.orderersByPeer[reporter] = slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == peer })
+	for reporter, names := range registry.orderSendersByPeer {
+		registry.orderSendersByPeer[reporter] = slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == peer })
 	}
 	for _, state := range registry.servers {
 		if state.owner == peer {
 			state.owner = ""
-			// It stopped sending orders before it announced that it leaves.
+			// The peer stopped sending orders before it announced that it leaves: of
+			// quietMargin, only the time for an order in transit is needed.
 			state.lastOrderAt = max(state.lastOrderAt, now-quietMargin+orderTransitTime)
 		}
 	}
 }
 
 // Tick detects pauses of the process and drops stale claims. After a pause no orders are
-// sent until peers had time to report what has changed.
+// sent until peers have had time to report what has changed.
 func (registry *Registry) Tick(now clock.Millis) {
 	if now-registry.lastTick > registry.options.Pause {
-		registry.Paused(now)
+		registry.recordPause(now)
 	}
 	registry.lastTick = now
 	if now-registry.claimsSentAt >= registry.options.Stale || registry.silence(now) >= registry.options.Stale {
@@ -223,27 +224,28 @@
 	}
 }
 
-// silence returns the time since any peer was last heard; 0 if there are no peers.
+// silence returns the time since the last heartbeat of any peer; 0 if there are no peers.
 func (registry *Registry) silence(now clock.Millis) clock.Millis {
-	if len(registry.lastHeard) == 0 {
+	if len(registry.lastContact) == 0 {
 		return 0
 	}
 	latest := clock.Millis(0)
-	for _, at := range registry.lastHeard {
+	for _, at := range registry.lastContact {
 		latest = max(latest, at)
 	}
 	return max(0, now-latest)
 }
 
-// Paused stops orders for Options.Settle after the process was suspended. Meanwhile other
-// daemons may have sent orders that this one does not know about.
-func (registry *Registry) Paused(now clock.Millis) {
+// recordPause stops orders for Options.Settle after the process was suspended. During the
+// suspension other daemons may have claimed servers and sent orders without this one
+// receiving their heartbeats.
+func (registry *Registry) recordPause(now clock.Millis) {
 	registry.noOrdersBefore = now + registry.options.Settle
 	registry.started = now // new claims wait as they do after a start
-	clear(registry.firstHeard)
+	clear(registry.firstContact)
 	for _, state := range registry.servers {
 		if state.owner != registry.self {
-			state.ownerHeardAt = now
+			state.ownerLastContact = now
 			state.lastOrderAt = now
 		}
 	}
@@ -267,41 +269,41 @@
 }
 
 // startWait returns the time between the start and the first claims. It is at least Quiet
-// if a peer names an owner of servers that was not heard in time: that daemon may have
-// sent orders after the start.
+// if a peer reports a daemon that may send orders, and that daemon sent no heartbeat in
+// time: it may have sent orders after the start under claims that are not known here.
 func (registry *Registry) startWait() clock.Millis {
-	for _, names := range registry.orderersByPeer {
-		if slices.ContainsFunc(names, registry.notHeardInTime) {
+	for _, names := range registry.orderSendersByPeer {
+		if slices.ContainsFunc(names, registry.noContactInTime) {
 			return max(registry.options.StartWait, registry.options.Quiet)
 		}
 	}
 	return max(registry.options.StartWait, registry.minStartWait)
 }
 
-// notHeardInTime reports whether another daemon was not heard within StartWait of the
+// noContactInTime reports whether another daemon sent no heartbeat within StartWait of the
 // start.
-func (registry *Registry) notHeardInTime(name string) bool {
-	first, heard := registry.firstHeard[name]
-	return name != registry.self && (!heard || first > registry.started+registry.options.StartWait)
+func (registry *Registry) noContactInTime(name string) bool {
+	first, ok := registry.firstContact[name]
+	return name != registry.self && (!ok || first > registry.started+registry.options.StartWait)
 }
 
-// Prune drops the state of servers that no longer exist and were last claimed, ordered or
-// reported so long ago that no order can be in transit.
+// Prune drops the state of servers that no longer exist and that were last claimed, sent an
+// order or reported by their owner so long ago that no order can be in transit.
 func (registry *Registry) Prune(now clock.Millis, exists func(server string) bool) {
 	maps.DeleteFunc(registry.servers, func(server string, state *serverState) bool {
-		return now-max(state.ownerHeardAt, state.lastOrderAt, state.claimedAt) > removedServerRetention && !exists(server)
+		return now-max(state.ownerLastContact, state.lastOrderAt, state.claimedAt) > removedServerRetention && !exists(server)
 	})
 }
 
 // removedServerRetention is how long the state of a server that no longer exists is kept:
-// its entry may only be missing because the store lost it.
+// its entry may be missing only because the store has lost it.
 const removedServerRetention = clock.Minute
 
-// Live returns this daemon, followed by the peers that may claim servers and were heard
-// within Suspicion.
+// Live returns this daemon, followed by the peers that may claim servers and are not silent,
+// that is, sent a heartbeat within Suspicion.
 func (registry *Registry) Live(now clock.Millis) []string {
 	live := []string{registry.self}
-	for peer, at := range registry.lastHeard {
+	for peer, at := range registry.lastContact {
 		if now-at < registry.options.Suspicion && !registry.idle[peer] {
 			live = append(live, peer)
 		}
@@ -330,7 +332,7 @@
 		return false
 	}
 	if state.owner != "" {
-		return now >= state.ownerHeardAt+registry.options.Suspicion && now >= state.ownerHeardAt+registry.options.Quiet
+		return now >= state.ownerLastContact+registry.options.Suspicion && now >= state.ownerLastContact+registry.options.Quiet
 	}
 	return now >= state.lastOrderAt+registry.options.Quiet
 }
@@ -344,7 +346,7 @@
 	}
 	state.fence = int64(ownership.NextFence(registry.wall(), ident.DaemonID(registry.self), ident.Fence(state.fence)))
 	state.owner = registry.self
-	state.ownerHeardAt = now
+	state.ownerLastContact = now
 	state.claimedAt = now
 }
 
@@ -367,9 +369,9 @@
 	return fence, true
 }
 
-// isolated reports whether all peers have been silent for Silence since the claim was
-// made: others may be about to take the server over. A claim made after that silence
-// began is not affected, as this daemon is then the one that remains.
+// isolated reports whether all peers have been silent for Silence: others may be about to take
+// the server over. A server claimed when they had been silent for that long already is not
+// affected, as this daemon is then the one that remains.
 func (registry *Registry) isolated(now clock.Millis, server string) bool {
 	silence := registry.silence(now)
 	return silence >= registry.options.Silence && registry.servers[server].claimedAt <= now-silence+registry.options.Silence
@@ -387,8 +389,8 @@
 // that distinguish daemons.
 const fenceStep = 10_000 << 10
 
-// Fenced gives up a server that refused an order because it has seen a higher fencing
-// number.
+// Fenced gives up the claim to a server that refused an order because it has seen a higher
+// fencing number.
 func (registry *Registry) Fenced(now clock.Millis, server string) {
 	state, ok := registry.servers[server]
 	if !ok {
@@ -427,8 +429,8 @@
 	return claims
 }
 
-// Owner returns the known owner of a server, and whether it is this daemon or was heard
-// within Suspicion.
+// Owner returns the known owner of a server, and whether it is this daemon or a peer that is
+// not silent.
 func (registry *Registry) Owner(now clock.Millis, server string) (string, bool) {
 	state, ok := registry.servers[server]
 	if !ok || state.owner == "" {
@@ -437,5 +439,5 @@
 	if state.owner == registry.self {
 		return registry.self, true
 	}
-	return state.owner, now-state.ownerHeardAt < registry.options.Suspicion
+	return state.owner, now-state.ownerLastContact < registry.options.Suspicion
 }
--- a/internal/direct/claims/tenure_test.go
+++ b/internal/direct/claims/claims_test.go
@@ -25,6 +25,8 @@
 	return daemon, options
 }
 
+// TestClaimWaitsAfterStart checks that a daemon claims nothing within StartWait, and sends no
+// order under a claim that peers may not have received.
 func TestClaimWaitsAfterStart(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		now := clock.Millis(1_000_000)
@@ -48,14 +50,17 @@
 	}
 }
 
+// TestSilentOwnerIsReplacedAfterQuiet checks that the server of a silent owner is claimed when
+// Quiet has passed, under a higher fencing number, and not earlier: until then orders of the
+// owner may be in transit.
 func TestSilentOwnerIsReplacedAfterQuiet(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	daemon, options := startedDaemon(&now)
 	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Claims: []claims.Claim{{Server: "s", Fence: 7}}})
-	heard := now
-	for now < heard+options.Quiet {
+	lastHeartbeat := now
+	for now < lastHeartbeat+options.Quiet {
 		daemon.Tick(now)
-		require.Empty(t, daemon.Claim(now, []string{"s"}), "%d ms after b was heard", now-heard)
+		require.Empty(t, daemon.Claim(now, []string{"s"}), "%d ms after the heartbeat of b", now-lastHeartbeat)
 		now += 100
 	}
 	daemon.Tick(now)
@@ -64,6 +69,8 @@
 	require.Greater(t, fence, int64(7))
 }
 
+// TestPausedDaemonDoesNotOrder checks that a daemon that was suspended sends no orders to a
+// server that another daemon claimed during the pause.
 func TestPausedDaemonDoesNotOrder(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	daemon, _ := startedDaemon(&now)
@@ -84,6 +91,8 @@
 	require.False(t, ok, "b has taken over")
 }
 
+// TestFencedDaemonGivesUpClaim checks that a daemon whose fencing number was refused sends no
+// more orders under it, and claims the server again only under a much higher number.
 func TestFencedDaemonGivesUpClaim(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	daemon, options := startedDaemon(&now)
@@ -102,8 +111,8 @@
 	require.Greater(t, after, before+10_000)
 }
 
-// TestLeavingDaemonIsNotChosen checks that a daemon that no longer claims servers is not
-// chosen for free ones.
+// TestLeavingDaemonIsNotChosen checks that a daemon that leaves is not chosen for free servers,
+// which would otherwise get no orders until it is found silent.
 func TestLeavingDaemonIsNotChosen(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := claims.DefaultOptions(lease, true)
@@ -141,8 +150,8 @@
 	require.Empty(t, owner)
 }
 
-// member is a daemon of a random run.
-type member struct {
+// testDaemon is a daemon of a random run.
+type testDaemon struct {
 	*claims.Registry
 	name           string
 	suspendedUntil clock.Millis
@@ -158,10 +167,10 @@
 		now := clock.Millis(1_000_000)
 		options := claims.DefaultOptions(lease, rapid.Bool().Draw(t, "fenced"))
 		servers := []string{"s1", "s2", "s3"}
-		daemons := make([]*member, rapid.IntRange(2, 5).Draw(t, "daemons"))
+		daemons := make([]*testDaemon, rapid.IntRange(2, 5).Draw(t, "daemons"))
 		undisturbedSince := make([]clock.Millis, len(daemons))
 		for i := range daemons {
-			daemons[i] = &member{Registry: claims.New(options, fmt.Sprint(i), now, wallAt(&now)), name: fmt.Sprint(i)}
+			daemons[i] = &testDaemon{Registry: claims.New(options, fmt.Sprint(i), now, wallAt(&now)), name: fmt.Sprint(i)}
 			undisturbedSince[i] = now
 		}
 		type order struct {
@@ -190,7 +199,7 @@
 				for at, daemon := range daemons {
 					if daemon.stopped {
 						note("%d starts", at)
-						daemons[at] = &member{Registry: claims.New(options, daemon.name, now, wallAt(&now)), name: daemon.name}
+						daemons[at] = &testDaemon{Registry: claims.New(options, daemon.name, now, wallAt(&now)), name: daemon.name}
 					}
 				}
 			}
@@ -229,21 +238,21 @@
 	})
 }
 
-func sendHeartbeat(now clock.Millis, from *member, all []*member) {
+func sendHeartbeat(now clock.Millis, from *testDaemon, all []*testDaemon) {
 	var names []string
 	for _, daemon := range all {
 		names = append(names, daemon.name)
 	}
 	for _, to := range all {
 		if to != from && !to.stopped && now >= to.suspendedUntil {
-			to.ApplyHeartbeat(now, claims.Heartbeat{Peer: from.name, Interval: 500, Claims: from.Claims(now), Orderers: names})
+			to.ApplyHeartbeat(now, claims.Heartbeat{Peer: from.name, Interval: 500, Claims: from.Claims(now), OrderSenders: names})
 		}
 	}
 }
 
-// TestSomeStartTogether checks that daemons that restart together, and so hear each other
-// before the daemons that kept running and own servers, claim nothing until those had time
-// to send their claims.
+// TestSomeStartTogether checks that daemons that restart together claim nothing until the
+// daemons that kept running, and own servers, have had time to send their claims. The
+// restarted ones may receive each other's heartbeats earlier than those claims.
 func TestSomeStartTogether(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := claims.DefaultOptions(lease, true)
@@ -252,7 +261,7 @@
 	for now < 1_000_000+options.StartWait-100 {
 		now += 100
 		daemon.Tick(now)
-		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a", "b"}})
+		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a", "b"}})
 		require.Empty(t, daemon.Claim(now, servers))
 	}
 	var peerClaims []claims.Claim
--- a/internal/direct/claims/promote.go
+++ b/internal/direct/claims/promote.go
@@ -3,12 +3,12 @@
 import "teaselmoor/internal/base/clock"
 
 // Promoted records that this daemon may claim servers from now on, after a period in
-// which it received only some of the claims of other daemons. It claims nothing for
-// Options.Quiet: a daemon whose claims it did not receive may have sent orders until now.
+// which it received only some of the claims of other daemons. It then claims nothing for
+// Options.Quiet, as a daemon whose claims it did not receive may have sent orders until now.
 func (registry *Registry) Promoted(now clock.Millis) {
 	registry.started = now
 	registry.minStartWait = registry.options.Quiet
-	clear(registry.firstHeard)
+	clear(registry.firstContact)
 	for _, state := range registry.servers {
 		if state.owner != registry.self {
 			state.lastOrderAt = now
@@ -21,9 +21,9 @@
 // after a reconnect.
 const announceLead = 400 * clock.Millisecond
 
-// Announced records that from now on peers are informed that this daemon may claim
-// servers. It delays the first claim of a daemon that discovered its peers late after
-// its start.
+// Announced records that this daemon begins to announce to its peers that it may claim
+// servers, and allows no claims until announceLead later. This delays the first claim of a
+// daemon that discovers its peers late in its StartWait or after it.
 func (registry *Registry) Announced(now clock.Millis) {
 	registry.started = max(registry.started, now+announceLead-registry.options.StartWait)
 }
--- a/internal/direct/claims/promote_test.go
+++ b/internal/direct/claims/promote_test.go
@@ -9,8 +9,8 @@
 	"teaselmoor/internal/direct/claims"
 )
 
-// TestPromotedDaemonWaitsForQuiet checks that a promoted daemon claims nothing for Quiet: it
-// did not receive every claim before, so a daemon that it never heard may have sent orders.
+// TestPromotedDaemonWaitsForQuiet checks that a promoted daemon claims nothing for Quiet. As
+// it did not receive every claim before, a daemon unknown to it may have sent orders.
 func TestPromotedDaemonWaitsForQuiet(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	daemon, options := startedDaemon(&now)
@@ -19,7 +19,7 @@
 	daemon.Promoted(now)
 	for promoted := now; now < promoted+options.Quiet; now += 100 {
 		daemon.Tick(now)
-		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{}})
+		daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{}})
 		require.Empty(t, daemon.Claim(now, []string{"s1", "s2", "s3", "s4"}))
 	}
 	daemon.Tick(now)
@@ -27,7 +27,7 @@
 }
 
 // TestLateDiscovery checks that a daemon that discovers its peers late announces that it may
-// claim servers 400 ms before it does.
+// claim servers 400 ms before it does, so that peers can send it their claims first.
 func TestLateDiscovery(t *testing.T) {
 	now := clock.Millis(1_000_000)
 	options := claims.DefaultOptions(lease, true)
@@ -67,19 +67,19 @@
 	require.False(t, held)
 }
 
-// TestOrdererNoLongerReported checks that a starting daemon stops waiting for a daemon that
-// no peer reports as an owner of servers any more.
-func TestOrdererNoLongerReported(t *testing.T) {
+// TestOrderSenderNoLongerReported checks that a starting daemon stops waiting for a daemon that
+// no peer reports as one that may send orders any more.
+func TestOrderSenderNoLongerReported(t *testing.T) {
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"}
 	now := clock.Millis(1_000_000)
 	options := claims.DefaultOptions(lease, true)
 	daemon := claims.New(options, "a", now, wallAt(&now))
-	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a", "c"}})
+	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a", "c"}})
 	for range options.StartWait / 100 {
 		now += 100
 		daemon.Tick(now)
 	}
-	require.Empty(t, daemon.Claim(now, servers), "c was not heard")
-	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, Orderers: []string{"a"}})
+	require.Empty(t, daemon.Claim(now, servers), "c sent no heartbeat")
+	daemon.ApplyHeartbeat(now, claims.Heartbeat{Peer: "b", Interval: 500, OrderSenders: []string{"a"}})
 	require.NotEmpty(t, daemon.Claim(now, servers))
 }
--- a/internal/direct/fleet/changes.go
+++ b/internal/direct/fleet/changes.go
@@ -18,13 +18,13 @@
 // call, and the number for the next call. It returns all tables for 0, or if the number is
 // so old that the log no longer covers it. A hub calls this for each of its daemons many
 // times a second, and most of its thousands of tables have not changed.
-func (fleet *Fleet) TablesSince(change int64) (changed []Table, now int64) {
-	now = fleet.logOffset + int64(len(fleet.tableLog))
+func (fleet *Fleet) TablesSince(change int64) (changed []Table, next int64) {
+	next = fleet.logOffset + int64(len(fleet.tableLog))
 	if change == 0 || change < fleet.logOffset {
 		for _, table := range fleet.tables {
 			changed = append(changed, table)
 		}
-		return changed, now
+		return changed, next
 	}
 	seen := make(map[string]bool)
 	for _, server := range fleet.tableLog[change-fleet.logOffset:] {
@@ -33,7 +33,7 @@
 			changed = append(changed, table)
 		}
 	}
-	return changed, now
+	return changed, next
 }
 
 // ReportCount returns how many reports of servers have been applied.
--- a/internal/direct/fleet/changes_test.go
+++ b/internal/direct/fleet/changes_test.go
@@ -24,8 +24,8 @@
 			if !rapid.Bool().Draw(t, "asks") {
 				continue
 			}
-			changed, now := servers.TablesSince(at)
-			at = now
+			changed, next := servers.TablesSince(at)
+			at = next
 			for _, table := range changed {
 				known[table.Server] = table
 			}
--- a/internal/direct/fleet/draining.go
+++ b/internal/direct/fleet/draining.go
@@ -11,7 +11,7 @@
 // that was removed before the store was restored.
 type drainRecord struct {
 	startedAt    int64        // start of the process
-	at           clock.Millis // when its entry was removed, or its notice came before the entry; 0: the entry is there
+	at           clock.Millis // when its notice was applied or its entry was removed; 0: neither
 	noticeNumber int64        // number of the drain notice; 0: the store reported the draining
 	ignoreUntil  clock.Millis // when an entry that says ready is applied again; 0: never
 }
@@ -61,9 +61,9 @@
 	return notices
 }
 
-// isDraining reports whether the process of an entry is draining, according to the entry or
-// to an earlier notice.
-func (fleet *Fleet) isDraining(server platformapi.Server) bool {
+// updateDraining applies an entry to the drain records. It reports whether the process of the
+// entry is draining, according to the entry or to an earlier notice.
+func (fleet *Fleet) updateDraining(server platformapi.Server) bool {
 	record, ok := fleet.draining[server.ID]
 	if ok && server.StartedAt <= record.startedAt {
 		if server.Draining {
--- a/internal/direct/fleet/draining_test.go
+++ b/internal/direct/fleet/draining_test.go
@@ -15,10 +15,10 @@
 	servers := fleet.New(options)
 	entry := server("a")
 	entry.StartedAt = 100
-	leaving := entry
-	leaving.Draining = true
+	draining := entry
+	draining.Draining = true
 	servers.Put(entry, 1)
-	servers.Put(leaving, 2)
+	servers.Put(draining, 2)
 	servers.Put(entry, 3)
 	require.Empty(t, servers.Usable(service))
 	servers.Remove(1000, "a", 4)
@@ -29,7 +29,7 @@
 	next.StartedAt = 200
 	servers.Put(next, 6)
 	require.Equal(t, []string{"a"}, ids(servers.Usable(service)), "another process has started under its id")
-	servers.Put(leaving, 7)
+	servers.Put(draining, 7)
 	require.Empty(t, servers.Usable(service))
 	servers.Remove(2000, "a", 8)
 	servers.Tick(2000 + options.Tombstone + 1)
--- a/internal/direct/fleet/fleet.go
+++ b/internal/direct/fleet/fleet.go
@@ -1,5 +1,6 @@
 // Package fleet holds a daemon's view of the backend servers: which ones exist, which may
 // take new work, what each holds, and which of them fail. It does no I/O and reads no clock.
+// The requests in progress at the servers are counted by package inflight.
 package fleet
 
 import (
@@ -124,8 +125,8 @@
 	}
 }
 
-// removeHolder removes a server from the holders of an adapter. It makes a new slice, as the old one
-// may be in use.
+// removeHolder removes a server from the holders of an adapter. It makes a new slice, as the
+// old one may be in use.
 func (fleet *Fleet) removeHolder(member *Member, adapter platformapi.Adapter) {
 	left := make([]*Member, 0, len(fleet.holders[adapter]))
 	for _, holder := range fleet.holders[adapter] {
@@ -155,7 +156,7 @@
 		return false
 	}
 	isNew := !known || revision > member.Revision
-	server.Draining = fleet.isDraining(server)
+	server.Draining = fleet.updateDraining(server)
 	if !known {
 		member = &Member{
 			Hash: xxhash.Sum64String(server.ID), table: fleet.tables[server.ID], recent: make(map[platformapi.Adapter]int), onDisk: make(map[string]bool),
@@ -165,7 +166,7 @@
 		fleet.sorted = nil
 	}
 	if member.StartedAt != server.StartedAt {
-		clear(member.recent) // it has restarted
+		clear(member.recent) // the server has restarted
 	}
 	indexChanged := !known || member.Draining != server.Draining || member.Service != server.Service
 	stale := member.StartedAt != server.StartedAt || member.table.Fence == 0
@@ -182,8 +183,8 @@
 	return isNew
 }
 
-// updateHoldings updates the holdings from the owner's table. If there is none, or the server has
-// restarted since, it uses the server's own report, or its entry if there is no report.
+// updateHoldings updates the holdings from the owner's table. If there is none, or the server
+// has restarted since, it uses the server's own report, or its entry if there is no report.
 func (member *Member) updateHoldings() {
 	if member.hasTable() {
 		member.setHoldings(member.table.Models, member.table.Slots)
@@ -271,8 +272,8 @@
 	return fleet.outageEnd
 }
 
-// MarkMissing records that a server refused a request because it does not hold the adapter or base
-// model that this daemon expected there.
+// MarkMissing records that a server refused a request because it does not hold the adapter or
+// base model that this daemon expected there.
 func (fleet *Fleet) MarkMissing(id string, adapter platformapi.Adapter) {
 	member, ok := fleet.members[id]
 	if !ok {
@@ -340,7 +341,7 @@
 }
 
 // Tick removes servers whose entries were not restored in time, and returns their ids. It
-// also drops expired tombstones, drain notices and pauses.
+// also drops expired tombstones with their tables, drain records and pauses.
 func (fleet *Fleet) Tick(now clock.Millis) []string {
 	var dropped []string
 	for id, member := range fleet.members {
@@ -360,9 +361,9 @@
 	return dropped
 }
 
-// rebuildIndex rebuilds the servers that may take new work, by service. Usable calls it when needed.
-// It is not rebuilt with each added server, as a daemon that starts before 3,000 servers
-// learns of them one after another.
+// rebuildIndex rebuilds the servers that may take new work, by service. Usable calls it when
+// needed. It is not rebuilt with each added server, as a starting daemon reads up to 3,000
+// entries one after another.
 func (fleet *Fleet) rebuildIndex() {
 	fleet.byService = make(map[string][]*Member)
 	for _, member := range fleet.Members() {
--- a/internal/direct/fleet/fleet_test.go
+++ b/internal/direct/fleet/fleet_test.go
@@ -25,6 +25,8 @@
 	return names
 }
 
+// TestDrainingAndRemovedServersGetNoWork: an entry that arrives late and is older than the
+// draining or the removal must not bring a server back.
 func TestDrainingAndRemovedServersGetNoWork(t *testing.T) {
 	servers := fleet.New(fleet.DefaultOptions())
 	servers.Put(server("a"), 1)
@@ -118,6 +120,8 @@
 	}
 }
 
+// TestUnreachableServerIsTriedAgain: the backoff of a server that stays unreachable grows up to
+// its maximum, and starts again after an answer.
 func TestUnreachableServerIsTriedAgain(t *testing.T) {
 	options := fleet.DefaultOptions()
 	servers := fleet.New(options)
@@ -194,13 +198,13 @@
 	require.False(t, member.HoldingsUnknown())
 	require.True(t, member.HoldsModel("m"))
 	require.Len(t, servers.Holders(held), 1)
-	told := platformapi.Adapter{Model: "m", Name: "told"}
-	servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 1, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: told, Version: 1}}})
+	loaded := platformapi.Adapter{Model: "m", Name: "told"}
+	servers.SetTable(fleet.Table{Server: "a", Born: 100, Fence: 1, Number: 1, Models: []string{"m"}, Slots: []fleet.Slot{{Adapter: loaded, Version: 1}}})
 	servers.SetReport("a", 100, holdings)
 	require.Empty(t, servers.Holders(held), "the owner's table takes precedence")
-	require.Len(t, servers.Holders(told), 1)
+	require.Len(t, servers.Holders(loaded), 1)
 	running.StartedAt = 200
 	servers.Put(running, 2)
-	require.Empty(t, servers.Holders(told))
+	require.Empty(t, servers.Holders(loaded))
 	require.True(t, member.HoldingsUnknown(), "it has restarted")
 }
--- a/internal/direct/fleet/history_test.go
+++ b/internal/direct/fleet/history_test.go
@@ -18,15 +18,15 @@
 // each change. The store may be restored from a backup; the lost changes are then written
 // again within ReturnGrace.
 type storeHistory struct {
-	servers  *fleet.Fleet
-	options  fleet.Options
-	now      clock.Millis
-	revision int64
-	entries  map[string]storeEntry
-	backup   map[string]storeEntry
-	backupAt int64
-	left     map[fleet.DrainNotice]bool // processes that announced that they are draining
-	born     int64
+	servers   *fleet.Fleet
+	options   fleet.Options
+	now       clock.Millis
+	revision  int64
+	entries   map[string]storeEntry
+	backup    map[string]storeEntry
+	backupAt  int64
+	drained   map[fleet.DrainNotice]bool // processes that announced that they are draining
+	lastStart int64                      // StartedAt of the process that started last
 }
 
 type storeEntry struct {
@@ -38,7 +38,7 @@
 	history.revision++
 	history.entries[entry.ID] = storeEntry{server: entry, revision: history.revision}
 	if entry.Draining {
-		history.left[fleet.DrainNotice{Server: entry.ID, StartedAt: entry.StartedAt}] = true
+		history.drained[fleet.DrainNotice{Server: entry.ID, StartedAt: entry.StartedAt}] = true
 	}
 	history.servers.Put(entry, history.revision)
 }
@@ -88,7 +88,7 @@
 		}
 	}
 	for id := range history.entries {
-		if _, there := truth[id]; !there {
+		if _, listed := truth[id]; !listed {
 			lost = append(lost, id)
 		}
 	}
@@ -96,7 +96,7 @@
 	step := history.options.ReturnGrace / clock.Millis(len(lost)+2)
 	for _, id := range rapid.Permutation(lost).Draw(t, "written again") {
 		history.pass(step)
-		if entry, there := truth[id]; there {
+		if entry, listed := truth[id]; listed {
 			history.write(entry.server)
 		} else {
 			history.remove(id)
@@ -107,7 +107,7 @@
 // check verifies that the fleet uses no process that announced that it is draining.
 func (history *storeHistory) check(t *rapid.T) {
 	for _, member := range history.servers.Usable(service) {
-		require.False(t, history.left[fleet.DrainNotice{Server: member.ID, StartedAt: member.StartedAt}], "%s is draining", member.ID)
+		require.False(t, history.drained[fleet.DrainNotice{Server: member.ID, StartedAt: member.StartedAt}], "%s is draining", member.ID)
 	}
 }
 
@@ -119,28 +119,28 @@
 		options := fleet.DefaultOptions()
 		history := &storeHistory{
 			servers: fleet.New(options), options: options, now: clock.Minute, entries: make(map[string]storeEntry),
-			backup: make(map[string]storeEntry), left: make(map[fleet.DrainNotice]bool), born: 1,
+			backup: make(map[string]storeEntry), drained: make(map[fleet.DrainNotice]bool), lastStart: 1,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server"))
-			entry, there := history.entries[id]
+			entry, listed := history.entries[id]
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1: // a process starts, possibly under an id that was used before
-				history.born++
+				history.lastStart++
 				started := server(id)
-				started.StartedAt = history.born
+				started.StartedAt = history.lastStart
 				history.write(started)
 			case 2:
-				if there {
+				if listed {
 					entry.server.Draining = true
 					history.write(entry.server)
 				}
 			case 3:
-				if there {
+				if listed {
 					history.remove(id)
 				}
 			case 4:
-				if there {
+				if listed {
 					history.write(entry.server) // the same entry again
 				}
 			case 5:
--- a/internal/direct/fleet/member.go
+++ b/internal/direct/fleet/member.go
@@ -64,8 +64,8 @@
 	return slot, ok
 }
 
-// RecentlyHeld reports whether the server held the adapter recently, so that it need not be loaded
-// from the weight store.
+// RecentlyHeld reports whether the server held the adapter recently, so that it need not be
+// loaded from the weight store.
 func (member *Member) RecentlyHeld(adapter platformapi.Adapter) bool {
 	_, ok := member.recent[adapter]
 	return ok
--- a/internal/direct/fleet/restored.go
+++ b/internal/direct/fleet/restored.go
@@ -4,8 +4,8 @@
 
 // StoreRestored records that the store was restored from a backup: revisions went back, and
 // entries are as they were then until they are written again. The earlier state is kept for
-// ReturnGrace, as long as that takes: servers whose entries are missing are still used, and
-// servers whose removal was lost are not.
+// ReturnGrace, the time in which they are written again: servers whose entries are missing are
+// still used, and servers whose removal was lost are not.
 func (fleet *Fleet) StoreRestored(now clock.Millis) {
 	fleet.outageEnd = now
 	for _, member := range fleet.members {
--- a/internal/direct/gateway/gossip.go
+++ b/internal/direct/gateway/gossip.go
@@ -76,7 +76,7 @@
 	}
 	if update.Claimed && update.Role.SendsOrders() {
 		core.claims.ApplyHeartbeat(now, claims.Heartbeat{
-			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, Orderers: update.Orderers,
+			Peer: update.Name, Interval: update.Interval, Claims: update.Claims, OrderSenders: update.OrderSenders,
 			Idle: update.Role != topology.Candidate,
 		})
 	}
@@ -146,7 +146,7 @@
 	pull, address := core.choosePullPeer(now)
 	core.quarantine.Prune(now)
 	core.pruneLosses(now)
-	if core.serverLimits.Limited() > 0 {
+	if core.serverLimits.LimitedCount() > 0 {
 		core.serverLimits.SetDaemons(now, core.members.AliveNames())
 	}
 	core.serverLimits.Retain(func(server string) bool { _, ok := core.fleet.Member(server); return ok })
--- a/internal/direct/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -114,7 +114,7 @@
 	}
 	job.content = content.Of(content.Request{Host: request.Host, Target: request.RequestURI, Account: job.account.Name, Body: job.body})
 	core.mutex.Lock()
-	core.budget(job.service).Request(job.arrived)
+	core.budget(job.service).RecordRequest(job.arrived)
 	core.mutex.Unlock()
 	return job, 0, ""
 }
--- a/internal/direct/gateway/metrics.go
+++ b/internal/direct/gateway/metrics.go
@@ -78,7 +78,7 @@
 		inProgress += load.Runs
 	}
 	return []gauge{
-		{"teaselmoor_servers_limited", float64(core.serverLimits.Limited())},
+		{"teaselmoor_servers_limited", float64(core.serverLimits.LimitedCount())},
 		{"teaselmoor_servers_resting", float64(core.pausedServers(now))},
 		{"teaselmoor_contents_refused", float64(core.quarantine.RefusedCount(now))},
 		{"teaselmoor_config_version", float64(version)},
--- a/internal/direct/gateway/serverlimits.go
+++ b/internal/direct/gateway/serverlimits.go
@@ -45,7 +45,7 @@
 // of its limit. The server at which the request already counts is exempt. The result is nil if
 // no server has a limit. The mutex must be held.
 func (core *core) overLimit(now clock.Millis, exempt string) func(server string) bool {
-	if core.serverLimits.Limited() == 0 {
+	if core.serverLimits.LimitedCount() == 0 {
 		return nil
 	}
 	return func(server string) bool { return server != exempt && !core.serverLimits.Allows(now, server) }
--- a/internal/direct/gateway/updates.go
+++ b/internal/direct/gateway/updates.go
@@ -24,7 +24,7 @@
 // updateIntervalFactor is the factor on UpdateInterval for updates to daemons that claim
 // servers. The mutex must be held.
 func (core *core) updateIntervalFactor() int {
-	orderers := len(core.members.Orderers()) + 1
+	orderers := len(core.members.OrderSenders()) + 1
 	return min((orderers+orderersPerIntervalStep-1)/orderersPerIntervalStep, maxIntervalFactor)
 }
 
@@ -54,7 +54,7 @@
 	}
 	peer, known := core.members.Peer(name)
 	return audience{
-		wants:  core.members.Wants(name) || core.seedAddresses[address],
+		wants:  core.members.WantsConnection(name) || core.seedAddresses[address],
 		claims: !known || peer.Role.SendsOrders() || core.members.InPlan(name),
 	}
 }
@@ -119,20 +119,20 @@
 // addUnsent adds the membership changes that a peer has not been sent, and reports whether
 // there are any. The mutex must be held.
 func (core *core) addUnsent(update *peers.Update, sent *sentState) bool {
-	orderers := core.members.Orderers()
+	orderers := core.members.OrderSenders()
 	if sent.orderers == nil || !slices.Equal(sent.orderers, orderers) {
 		sent.orderers = orderers
-		update.Orderers = orderers
+		update.OrderSenders = orderers
 	}
 	update.Members, sent.members = core.members.RecordsSince(sent.members)
-	return update.Orderers != nil || len(update.Members) > 0
+	return update.OrderSenders != nil || len(update.Members) > 0
 }
 
 // update returns an update without membership changes. The mutex must be held.
 func (core *core) update(now clock.Millis, audience audience) *peers.Update {
 	update := &peers.Update{Status: core.members.Status()}
 	update.Interval = core.updateInterval(audience)
-	update.Wants = audience.wants
+	update.WantsConnection = audience.wants
 	update.Era, update.Revision = core.store.era, core.store.revision
 	if core.catalog != nil {
 		update.Version = core.catalog.Version
--- a/internal/direct/inflight/tracker.go
+++ b/internal/direct/inflight/tracker.go
@@ -58,21 +58,21 @@
 // counted.
 type serverUses map[string]map[platformapi.Adapter]int
 
-func (uses serverUses) add(use Use, count int) {
+func (serverUses serverUses) add(use Use, count int) {
 	if use.Adapter.Name == "" {
 		return
 	}
-	counts, ok := uses[use.Server]
+	counts, ok := serverUses[use.Server]
 	if !ok {
 		counts = make(map[platformapi.Adapter]int)
-		uses[use.Server] = counts
+		serverUses[use.Server] = counts
 	}
 	counts[use.Adapter] += count
 	if counts[use.Adapter] == 0 {
 		delete(counts, use.Adapter)
 	}
 	if len(counts) == 0 {
-		delete(uses, use.Server)
+		delete(serverUses, use.Server)
 	}
 }
 
@@ -94,13 +94,13 @@
 	tracker.change(use, Load{Reading: prompt}, 0)
 }
 
-// FirstEvent discounts the prompt of a request at the first event of its answer.
+// FirstEvent stops counting the prompt of a request at the first event of its answer.
 func (tracker *Tracker) FirstEvent(use Use, prompt int) {
 	tracker.change(use, Load{Reading: -prompt}, 0)
 }
 
-// End discounts a request that has ended. Prompt is the tokens of its prompt that have not
-// been discounted yet.
+// End stops counting a request that has ended. Prompt is the number of its prompt tokens that
+// are still counted.
 func (tracker *Tracker) End(use Use, prompt int) {
 	tracker.change(use, Load{Runs: -1, Reading: -prompt}, -1)
 }
@@ -169,7 +169,7 @@
 func (tracker *Tracker) SetPeerLoads(name string, loads map[string]Load) {
 	share, ok := tracker.peers[name]
 	if !ok {
-		return // its full share follows soon
+		return // the peer's full share has not arrived yet
 	}
 	share.Loads = maps.Clone(share.Loads) // the map belongs to the caller that passed the share
 	for server, load := range loads {
@@ -180,7 +180,7 @@
 	tracker.peers[name] = share
 }
 
-// RemovePeer removes the share of a daemon that has gone.
+// RemovePeer removes the share of another daemon.
 func (tracker *Tracker) RemovePeer(name string) {
 	tracker.addShare(tracker.peers[name], -1)
 	delete(tracker.peers, name)
@@ -197,8 +197,8 @@
 
 // Load returns the work of all daemons in progress at a server.
 func (tracker *Tracker) Load(server string) Load {
-	own, others := tracker.loads[server], tracker.hubSums[server]
-	return Load{Runs: own.Runs + others.Runs, Reading: own.Reading + others.Reading}
+	direct, hub := tracker.loads[server], tracker.hubSums[server]
+	return Load{Runs: direct.Runs + hub.Runs, Reading: direct.Reading + hub.Reading}
 }
 
 // Uses returns how many requests of all daemons use or wait for an adapter at a server.
@@ -218,7 +218,8 @@
 	return uses
 }
 
-// SumsExcept returns the aggregated counts of all daemons but one, by server.
+// SumsExcept returns the aggregated counts of this daemon and its peers except one, by server.
+// Adapters that only the excepted peer uses are counted nevertheless.
 func (tracker *Tracker) SumsExcept(except string) map[string]Sum {
 	excluded := tracker.peers[except]
 	sums := make(map[string]Sum, len(tracker.loads))
@@ -232,8 +233,8 @@
 	return sums
 }
 
-// UsesExcept returns how many requests of all daemons but one use or wait for each adapter at
-// a server.
+// UsesExcept returns how many requests of this daemon and its peers except one use or wait for
+// each adapter at a server.
 func (tracker *Tracker) UsesExcept(except, server string) map[platformapi.Adapter]int {
 	excluded := tracker.peers[except].Uses
 	uses := make(map[platformapi.Adapter]int)
--- a/internal/direct/loading/copies.go
+++ b/internal/direct/loading/copies.go
@@ -8,7 +8,7 @@
 	Uses    int          // requests in progress that use the adapter or wait for it
 	Runs    int          // all requests in progress at the servers that Uses is counted at
 	Holders int          // servers that hold the adapter
-	Loading int          // servers that are loading it or were told to
+	Loading int          // servers that are loading it or are to load it
 }
 
 // MaxCopies is the maximum number of copies of one adapter requested at a time. It is
--- a/internal/direct/loading/copies_test.go
+++ b/internal/direct/loading/copies_test.go
@@ -33,22 +33,23 @@
 	require.Zero(t, loading.CopiesNeeded(loading.Demand{Backlog: 1000, Uses: 13, Runs: 13}, 0), "no load was observed")
 }
 
-// TestAdoptedEstimates: a daemon that orders no loads uses the estimates of other daemons.
+// TestAdoptedEstimates: a daemon that orders no loads uses the estimates of other daemons, and
+// empty ones do not replace them.
 func TestAdoptedEstimates(t *testing.T) {
-	learned := loading.NewLoadRate()
-	require.Equal(t, loading.RateEstimate{}, learned.Estimate())
-	learned.Observe(loading.Observation{InFlight: 1, Servers: 78, MinTime: 240, MaxTime: 250})
+	observer := loading.NewLoadRate()
+	require.Equal(t, loading.RateEstimate{}, observer.Estimate())
+	observer.Observe(loading.Observation{InFlight: 1, Servers: 78, MinTime: 240, MaxTime: 250})
 	for range 20 {
-		learned.Observe(loading.Observation{InFlight: 78, Servers: 78, MinTime: 480, MaxTime: 500})
+		observer.Observe(loading.Observation{InFlight: 78, Servers: 78, MinTime: 480, MaxTime: 500})
 	}
-	told := loading.NewLoadRate()
-	told.SetEstimate(learned.Estimate())
-	require.InDelta(t, float64(learned.LoadTime()), float64(told.LoadTime()), 1)
-	require.InDelta(t, learned.FullSpeedLoads(78), told.FullSpeedLoads(78), 1)
+	receiver := loading.NewLoadRate()
+	receiver.SetEstimate(observer.Estimate())
+	require.InDelta(t, float64(observer.LoadTime()), float64(receiver.LoadTime()), 1)
+	require.InDelta(t, observer.FullSpeedLoads(78), receiver.FullSpeedLoads(78), 1)
 	require.True(t, loading.RateEstimate{LoadTime: 250, AtOnce: 40}.SimilarTo(loading.RateEstimate{LoadTime: 240, AtOnce: 42}))
 	require.False(t, loading.RateEstimate{LoadTime: 250, AtOnce: 40}.SimilarTo(loading.RateEstimate{LoadTime: 250, AtOnce: 20}))
-	told.SetEstimate(loading.RateEstimate{})
-	require.InDelta(t, float64(learned.LoadTime()), float64(told.LoadTime()), 1)
+	receiver.SetEstimate(loading.RateEstimate{})
+	require.InDelta(t, float64(observer.LoadTime()), float64(receiver.LoadTime()), 1)
 }
 
 // TestCopiesForShortGapGoal: prompts of 4,300 tokens for a popular adapter wait at an engine
--- a/internal/direct/loading/modelrate.go
+++ b/internal/direct/loading/modelrate.go
@@ -23,30 +23,30 @@
 }
 
 // FullSpeedLoads returns how many base model loads have run at full speed at the same time.
-func (rate *ModelRate) FullSpeedLoads() int {
-	return rate.fullSpeedLoads
+func (modelRate *ModelRate) FullSpeedLoads() int {
+	return modelRate.fullSpeedLoads
 }
 
 // TrialLoads returns how many loads may be tried at the same time.
-func (rate *ModelRate) TrialLoads() int {
-	if rate.limitFound {
-		return rate.fullSpeedLoads
+func (modelRate *ModelRate) TrialLoads() int {
+	if modelRate.limitFound {
+		return modelRate.fullSpeedLoads
 	}
-	return 2 * rate.fullSpeedLoads
+	return 2 * modelRate.fullSpeedLoads
 }
 
-// ObserveInFlight updates the estimate with a load that is still in flight and started when inFlight
-// loads were, itself included. It does not wait for the end of the load, as the server may
-// leave before.
-func (rate *ModelRate) ObserveInFlight(inFlight int, since, loadTime clock.Millis) {
-	if inFlight > rate.fullSpeedLoads && float64(since) > modelSlack*float64(loadTime) {
-		rate.limitFound = true
+// ObserveInFlight updates the estimate with a load that is still in flight and started when
+// inFlight loads were, itself included. So a slow load counts even if its server leaves before
+// the load has ended.
+func (modelRate *ModelRate) ObserveInFlight(inFlight int, since, loadTime clock.Millis) {
+	if inFlight > modelRate.fullSpeedLoads && float64(since) > modelSlack*float64(loadTime) {
+		modelRate.limitFound = true
 	}
 }
 
 // Observe updates the estimate with a load that has ended. It started when inFlight loads
 // were in flight, itself included, and took the given time; a load alone takes loadTime.
-func (rate *ModelRate) Observe(inFlight int, took, loadTime clock.Millis) {
+func (modelRate *ModelRate) Observe(inFlight int, took, loadTime clock.Millis) {
 	if loadTime <= 0 || inFlight <= 0 {
 		return
 	}
@@ -55,13 +55,13 @@
 		return // its start was reported late, or it did not come from the weight store
 	}
 	if slowdown <= modelSlack {
-		if inFlight > rate.fullSpeedLoads {
-			rate.fullSpeedLoads, rate.limitFound = inFlight, false
+		if inFlight > modelRate.fullSpeedLoads {
+			modelRate.fullSpeedLoads, modelRate.limitFound = inFlight, false
 		}
 		return
 	}
 	implied := max(1, int(float64(inFlight)/slowdown+0.5))
-	if inFlight > 1 && implied <= rate.TrialLoads() {
-		rate.fullSpeedLoads, rate.limitFound = implied, true
+	if inFlight > 1 && implied <= modelRate.TrialLoads() {
+		modelRate.fullSpeedLoads, modelRate.limitFound = implied, true
 	}
 }
--- a/internal/direct/loading/next.go
+++ b/internal/direct/loading/next.go
@@ -22,14 +22,14 @@
 type Uses func(platformapi.Adapter) int
 
 // NextOrder returns the order to send to the server now, if there is one. Otherwise it returns
-// when to call it again; 0 means not before something changes. Turn reports whether a base
-// model may be loaded if the server holds none.
-func (planner *Planner) NextOrder(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, turn bool) (platformapi.Order, bool, clock.Millis) {
+// when to call it again; 0 means not before something changes. MayLoadModel reports whether a
+// base model may be loaded if the server holds none.
+func (planner *Planner) NextOrder(now clock.Millis, uses Uses, newest func(platformapi.Adapter) int, traffic Traffic, mayLoadModel bool) (platformapi.Order, bool, clock.Millis) {
 	if now < planner.waitUntil {
 		return platformapi.Order{}, false, planner.waitUntil
 	}
 	planner.expire(now)
-	if !turn && (!planner.fenceKnown || len(planner.models) == 0 && len(planner.modelLoads) == 0) {
+	if !mayLoadModel && (!planner.fenceKnown || len(planner.models) == 0 && len(planner.modelLoads) == 0) {
 		return platformapi.Order{}, false, now + turnInterval
 	}
 	if !planner.fenceKnown {
@@ -45,17 +45,17 @@
 	if order, ok := planner.nextVersion(uses, newest); ok {
 		return order, true, 0
 	}
-	if order, ok := planner.nextWant(now, uses, traffic); ok {
+	if order, ok := planner.nextRequested(now, uses, traffic); ok {
 		return order, true, 0
 	}
 	return platformapi.Order{}, false, planner.nextCallAt(now)
 }
 
-// expire drops wants whose requests have all given up.
+// expire drops requested adapters that no request waits for any longer.
 func (planner *Planner) expire(now clock.Millis) {
-	for adapter, wanted := range planner.wants {
-		if now >= wanted.until {
-			delete(planner.wants, adapter)
+	for adapter, requested := range planner.requested {
+		if now >= requested.until {
+			delete(planner.requested, adapter)
 			planner.number++
 		}
 	}
@@ -115,7 +115,7 @@
 		if entry.loading || entry.unloading || entry.version >= version {
 			continue
 		}
-		if uses(adapter) > 0 || planner.wants[adapter] != nil {
+		if uses(adapter) > 0 || planner.requested[adapter] != nil {
 			return platformapi.Order{Load: true, Adapter: adapter, Version: version}, true
 		}
 		return platformapi.Order{Adapter: adapter}, true
@@ -123,8 +123,8 @@
 	return platformapi.Order{}, false
 }
 
-// nextWant loads the most urgently wanted adapter, or unloads another one to make room.
-func (planner *Planner) nextWant(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
+// nextRequested loads the most urgently requested adapter, or unloads another one to make room.
+func (planner *Planner) nextRequested(now clock.Millis, uses Uses, traffic Traffic) (platformapi.Order, bool) {
 	limit := planner.options.MostIncoming
 	if traffic.InFlight >= planner.rate.FullSpeedLoads(traffic.Servers) {
 		limit = planner.options.CrowdedIncoming
@@ -132,30 +132,31 @@
 	if planner.loadCount() >= limit {
 		return platformapi.Order{}, false
 	}
-	adapter, wanted, ok := planner.firstWant()
+	adapter, requested, ok := planner.firstRequested()
 	if !ok {
 		return platformapi.Order{}, false
 	}
 	if planner.hasRoom(adapter) {
-		return platformapi.Order{Load: true, Adapter: adapter, Version: wanted.version}, true
+		return platformapi.Order{Load: true, Adapter: adapter, Version: requested.version}, true
 	}
-	if planner.unloadCount() >= len(planner.wants) {
+	if planner.unloadCount() >= len(planner.requested) {
 		return platformapi.Order{}, false // unloads in progress will make room
 	}
 	victim, ok := planner.victim(now, uses)
 	return platformapi.Order{Adapter: victim}, ok
 }
 
-// firstWant returns the most urgent want, and the oldest one of those, that can be loaded now.
-func (planner *Planner) firstWant() (platformapi.Adapter, *want, bool) {
+// firstRequested returns the requested adapter to load first, of those that can be loaded now:
+// the most urgent one, and the oldest of these.
+func (planner *Planner) firstRequested() (platformapi.Adapter, *requestedAdapter, bool) {
 	var first platformapi.Adapter
-	var best *want
-	for adapter, wanted := range planner.wants {
-		if entry, ok := planner.slots[adapter]; ok && (entry.loading || entry.unloading || entry.version >= wanted.version) || !planner.models[adapter.Model] {
+	var best *requestedAdapter
+	for adapter, requested := range planner.requested {
+		if entry, ok := planner.slots[adapter]; ok && (entry.loading || entry.unloading || entry.version >= requested.version) || !planner.models[adapter.Model] {
 			continue
 		}
-		if best == nil || wanted.rank < best.rank || wanted.rank == best.rank && wanted.since < best.since {
-			first, best = adapter, wanted
+		if best == nil || requested.rank < best.rank || requested.rank == best.rank && requested.since < best.since {
+			first, best = adapter, requested
 		}
 	}
 	return first, best, best != nil
@@ -206,7 +207,7 @@
 	var victim platformapi.Adapter
 	least := -1.0
 	for adapter, entry := range planner.slots {
-		if entry.loading || entry.unloading || now-entry.usedAt < planner.options.Settle || planner.wants[adapter] != nil || uses(adapter) > 0 {
+		if entry.loading || entry.unloading || now-entry.usedAt < planner.options.Settle || planner.requested[adapter] != nil || uses(adapter) > 0 {
 			continue
 		}
 		score := planner.score(now, entry)
@@ -217,15 +218,15 @@
 	return victim, least >= 0
 }
 
-// turnInterval is how often a server without a base model checks whether it may load one.
-// It is short against the seconds that the load takes.
+// turnInterval is how often the owner of a server without a base model checks whether the
+// server may load one. It is short against the seconds that the load takes.
 const turnInterval clock.Millis = 100
 
-// retryInterval is how soon a want that found no room is tried again: half of the time that
-// the decision may add to the wait for a load.
+// retryInterval is how soon a requested adapter that found no room is tried again: half of the
+// delay that the planner may add to a load.
 const retryInterval clock.Millis = 25
 
-// nextCallAt returns when the next order has to be asked for; 0: not before something changes.
+// nextCallAt returns when NextOrder has to be called again; 0: not before something changes.
 func (planner *Planner) nextCallAt(now clock.Millis) clock.Millis {
 	var at clock.Millis
 	earlier := func(other clock.Millis) {
@@ -241,7 +242,7 @@
 			earlier(entry.checkAt)
 		}
 	}
-	if _, _, ok := planner.firstWant(); ok {
+	if _, _, ok := planner.firstRequested(); ok {
 		earlier(now + retryInterval)
 	}
 	return at
--- a/internal/direct/loading/planner.go
+++ b/internal/direct/loading/planner.go
@@ -1,6 +1,9 @@
 // Package loading plans which adapters a model engine holds. There is one planner for each
-// server, at the daemon that owns it. A planner returns the orders to send and takes their
-// results. It does no I/O and reads no clock.
+// server, at the daemon that owns it. A planner returns the orders to send and is given their
+// results. The package also estimates how fast the weight store sends adapters and base
+// models, how many copies an adapter needs, and which server loads its base model next. It
+// does no I/O and reads no clock, and does not choose the server for a request: that is
+// package choose.
 package loading
 
 import (
@@ -70,8 +73,8 @@
 	usedAt        clock.Millis
 }
 
-// want is an adapter that requests wait for.
-type want struct {
+// requestedAdapter is an adapter that requests of callers wait for.
+type requestedAdapter struct {
 	version int
 	rank    int // of the most urgent request; 0 is the most urgent
 	since   clock.Millis
@@ -90,7 +93,7 @@
 	models       map[string]bool
 	modelLoads   map[string]modelLoad // base models being loaded
 	slots        map[platformapi.Adapter]*slot
-	wants        map[platformapi.Adapter]*want
+	requested    map[platformapi.Adapter]*requestedAdapter
 	waitUntil    clock.Millis // no order before this time
 	number       int64        // increases with each change of the table
 }
@@ -108,7 +111,7 @@
 	return &Planner{
 		options: options, limits: limits, rate: rate, recentlyHeld: recentlyHeld, models: make(map[string]bool),
 		modelLoads: make(map[string]modelLoad),
-		slots:      make(map[platformapi.Adapter]*slot), wants: make(map[platformapi.Adapter]*want),
+		slots:      make(map[platformapi.Adapter]*slot), requested: make(map[platformapi.Adapter]*requestedAdapter),
 	}
 }
 
@@ -120,8 +123,9 @@
 	return planner.fenceKnown && !planner.reportValid, planner.lastOrderAt + planner.options.ReportLag
 }
 
-// HoldingsKnown reports whether the planner knows what its server holds: it has read the report, or
-// the server has accepted the load of its base model and so holds nothing yet.
+// HoldingsKnown reports whether the planner knows what its server holds: it has read the
+// report, or the server has accepted the load of its base model and so holds nothing yet.
+// An order to load it that was not answered counts as accepted.
 func (planner *Planner) HoldingsKnown() bool {
 	return planner.reportValid || len(planner.modelLoads) > 0
 }
@@ -167,15 +171,15 @@
 
 // RequestAdapter requests an adapter for a request that gives up at until.
 func (planner *Planner) RequestAdapter(now clock.Millis, adapter platformapi.Adapter, version, rank int, until clock.Millis) {
-	wanted, ok := planner.wants[adapter]
+	requested, ok := planner.requested[adapter]
 	if !ok {
-		planner.wants[adapter] = &want{version: version, rank: rank, since: now, until: until}
+		planner.requested[adapter] = &requestedAdapter{version: version, rank: rank, since: now, until: until}
 		planner.number++
 		return
 	}
-	wanted.version = max(wanted.version, version)
-	wanted.rank = min(wanted.rank, rank)
-	wanted.until = max(wanted.until, until)
+	requested.version = max(requested.version, version)
+	requested.rank = min(requested.rank, rank)
+	requested.until = max(requested.until, until)
 }
 
 // RecordUse adds to the count of an adapter's uses.
@@ -206,17 +210,17 @@
 	}
 }
 
-// Table returns what the server holds, to be sent to the other daemons. Wanted adapters are
-// included as coming, so that other requests for them wait at the same server instead of
+// Table returns what the server holds, to be sent to the other daemons. Requested adapters
+// are included as coming, so that other requests for them wait at the same server instead of
 // having them loaded at a second one.
 func (planner *Planner) Table() (number int64, models []string, slots []fleet.Slot) {
 	models = slices.Sorted(maps.Keys(planner.models))
 	for adapter, entry := range planner.slots {
 		slots = append(slots, fleet.Slot{Adapter: adapter, Version: entry.version, Coming: entry.loading || entry.unloading})
 	}
-	for adapter, wanted := range planner.wants {
+	for adapter, requested := range planner.requested {
 		if _, held := planner.slots[adapter]; !held {
-			slots = append(slots, fleet.Slot{Adapter: adapter, Version: wanted.version, Coming: true, Queued: true})
+			slots = append(slots, fleet.Slot{Adapter: adapter, Version: requested.version, Coming: true, Queued: true})
 		}
 	}
 	for model, load := range planner.modelLoads {
