--- a/internal/direct/loading/planner_test.go
+++ b/internal/direct/loading/planner_test.go
@@ -111,7 +111,7 @@
 	require.Equal(t, platformapi.Order{Adapter: adapter("c")}, order)
 }
 
-func TestMostUrgentWantGoesFirst(t *testing.T) {
+func TestMostUrgentAdapterIsLoadedFirst(t *testing.T) {
 	planner := newPlanner(1000)
 	planner.RequestAdapter(1000, adapter("a"), 0, 2, 9000)
 	planner.RequestAdapter(1001, adapter("b"), 0, 0, 9000)
@@ -123,19 +123,19 @@
 // adapter at a time.
 func TestOneLoadAtATimeWhileStoreIsSaturated(t *testing.T) {
 	for inFlight, most := range map[int]int{4: 4, 16: 1} {
-		crowded := loading.Traffic{InFlight: inFlight, Servers: 8}
+		saturated := loading.Traffic{InFlight: inFlight, Servers: 8}
 		planner := newPlanner(1000)
 		for _, name := range []string{"a", "b", "c", "d"} {
 			planner.RequestAdapter(1000, adapter(name), 0, 0, 9000)
 		}
 		loads := 0
 		for {
-			order, ok, _ := planner.NextOrder(1000, noUses, noVersion, crowded, true)
+			order, ok, _ := planner.NextOrder(1000, noUses, noVersion, saturated, true)
 			if !ok {
 				break
 			}
 			loads++
-			planner.HandleResult(1000, order, platformapi.Accepted, crowded)
+			planner.HandleResult(1000, order, platformapi.Accepted, saturated)
 		}
 		require.Equal(t, most, loads, "loads in flight: %d", inFlight)
 	}
@@ -166,7 +166,7 @@
 	require.False(t, order.Load)
 	planner.HandleResult(10_000, order, platformapi.Accepted, idleStore)
 	next, ok, at := planner.NextOrder(10_001, noUses, noVersion, idleStore, true)
-	for range 5 { // it also wakes up to retry the want
+	for range 5 { // NextOrder is also called to try the requested adapter again
 		if ok {
 			break
 		}
@@ -175,6 +175,8 @@
 	require.Equal(t, order, next, "the unload is checked, and nothing else is ordered")
 }
 
+// TestNewVersionIsLoadedWhereItIsUsed: an adapter in use is replaced by its newer version; one
+// that is not in use is unloaded, and takes no slot with its old version.
 func TestNewVersionIsLoadedWhereItIsUsed(t *testing.T) {
 	planner := newPlanner(1000, "a", "b")
 	newest := func(named platformapi.Adapter) int { return map[string]int{"a": 2, "b": 3}[named.Name] }
@@ -214,7 +216,8 @@
 	return platformapi.Accepted
 }
 
-// TestAdapterSlotsAreNeverExceeded draws wants, requests and lost answers.
+// TestAdapterSlotsAreNeverExceeded draws requested adapters, uses, and lost orders and answers.
+// A server that is ordered to load an adapter too many crashes.
 func TestAdapterSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := clock.Millis(1000)
--- a/internal/direct/loading/rate.go
+++ b/internal/direct/loading/rate.go
@@ -31,8 +31,8 @@
 // store counts as saturated. Estimates of the load time are off by that much.
 const rateSlack = 1.2
 
-// firstCheckShare is the share of its expected duration after which a load is first checked. It is
-// below 1 because an estimate that is too high is noticed only by checking early.
+// firstCheckShare is the share of its expected duration after which a load is first checked.
+// It is below 1 because an estimate that is too high is noticed only by checking early.
 const firstCheckShare = 0.9
 
 // NewLoadRate returns the initial estimates.
@@ -54,7 +54,8 @@
 	return loadRate.LoadTime()/recentSpeedup + 1
 }
 
-// FullSpeedLoads returns how many adapters the weight store sends at full speed at the same time.
+// FullSpeedLoads returns how many adapters the weight store sends at full speed at the same
+// time.
 func (loadRate *LoadRate) FullSpeedLoads(servers int) int {
 	return int(loadRate.fullSpeed(servers))
 }
@@ -89,7 +90,7 @@
 const sendThreshold = 0.1
 
 // SimilarTo reports whether the estimates are so close that they need not be sent to a daemon
-// that knows the other ones.
+// that has the other ones.
 func (rateEstimate RateEstimate) SimilarTo(other RateEstimate) bool {
 	near := func(a, b float64) bool { return max(a, b)-min(a, b) <= sendThreshold*max(a, b) }
 	return near(float64(rateEstimate.LoadTime), float64(other.LoadTime)) && near(float64(rateEstimate.AtOnce), float64(other.AtOnce))
@@ -104,13 +105,13 @@
 }
 
 // SetEstimate replaces the estimates with those of another daemon.
-func (loadRate *LoadRate) SetEstimate(learned RateEstimate) {
-	if learned.LoadTime <= 0 {
+func (loadRate *LoadRate) SetEstimate(estimate RateEstimate) {
+	if estimate.LoadTime <= 0 {
 		return
 	}
 	loadRate.observed = true
-	loadRate.loadTime = float64(learned.LoadTime)
-	loadRate.fullSpeedLoads = float64(max(0, learned.AtOnce))
+	loadRate.loadTime = float64(estimate.LoadTime)
+	loadRate.fullSpeedLoads = float64(max(0, estimate.AtOnce))
 }
 
 // Observation is a load that has ended.
--- a/internal/direct/loading/results.go
+++ b/internal/direct/loading/results.go
@@ -48,24 +48,25 @@
 	entry.checkAt = planner.waitUntil
 }
 
-// accepted handles an order that the server has accepted, or whose result it already holds.
-func (planner *Planner) accepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
+// accepted handles an order that the server has accepted. Done reports whether the server had
+// nothing left to do: the load or unload has ended.
+func (planner *Planner) accepted(now clock.Millis, order platformapi.Order, done bool, traffic Traffic) {
 	planner.number++
 	switch {
 	case order.Adapter.Name == "":
-		planner.modelAccepted(now, order.Adapter.Model, holds)
+		planner.modelAccepted(now, order.Adapter.Model, done)
 	case !order.Load:
-		planner.unloadAccepted(now, order.Adapter, holds)
+		planner.unloadAccepted(now, order.Adapter, done)
 	default:
-		planner.loadAccepted(now, order, holds, traffic)
+		planner.loadAccepted(now, order, done, traffic)
 	}
 }
 
 // unloadAccepted frees the adapter slot once no request uses the adapter any more. Until
 // then the server still counts it.
-func (planner *Planner) unloadAccepted(now clock.Millis, adapter platformapi.Adapter, holds bool) {
+func (planner *Planner) unloadAccepted(now clock.Millis, adapter platformapi.Adapter, done bool) {
 	entry, ok := planner.slots[adapter]
-	if holds || !ok {
+	if done || !ok {
 		delete(planner.slots, adapter)
 		return
 	}
@@ -73,8 +74,8 @@
 	entry.checkAt = now + planner.options.CheckInterval
 }
 
-func (planner *Planner) modelAccepted(now clock.Millis, model string, holds bool) {
-	if holds {
+func (planner *Planner) modelAccepted(now clock.Millis, model string, done bool) {
+	if done {
 		planner.models[model] = true
 		delete(planner.modelLoads, model)
 		return
@@ -92,13 +93,13 @@
 }
 
 // loadAccepted records that a load was started, is still in progress, or has ended.
-func (planner *Planner) loadAccepted(now clock.Millis, order platformapi.Order, holds bool, traffic Traffic) {
+func (planner *Planner) loadAccepted(now clock.Millis, order platformapi.Order, done bool, traffic Traffic) {
 	entry, ok := planner.slots[order.Adapter]
 	if !ok {
 		entry = &slot{}
 		planner.slots[order.Adapter] = entry
 	}
-	if holds {
+	if done {
 		if entry.began > 0 {
 			planner.rate.Observe(Observation{InFlight: entry.inFlight, Servers: traffic.Servers, MinTime: entry.lastSeenAfter, MaxTime: now - entry.began})
 		}
@@ -107,7 +108,7 @@
 		entry.began = 0
 		entry.version = max(entry.version, order.Version, 1)
 		entry.usedAt = now
-		delete(planner.wants, order.Adapter)
+		delete(planner.requested, order.Adapter)
 		return
 	}
 	entry.version = max(entry.version, order.Version)
@@ -140,10 +141,10 @@
 	entry.checkAt = now + planner.rate.FirstCheck(entry.inFlight, traffic.Servers)
 }
 
-// refused drops a want whose order the server rejects as invalid, so that it is not repeated
-// forever.
+// refused drops a requested adapter whose order the server rejects as invalid, so that the
+// order is not repeated forever.
 func (planner *Planner) refused(now clock.Millis, order platformapi.Order) {
-	delete(planner.wants, order.Adapter)
+	delete(planner.requested, order.Adapter)
 	planner.waitUntil = now + planner.options.Backoff
 	planner.reportValid = false
 }
--- a/internal/direct/loading/turn.go
+++ b/internal/direct/loading/turn.go
@@ -8,12 +8,12 @@
 
 // The weight store sends few base models at full speed, and each takes seconds. A load that
 // starts while others are in flight takes longer in proportion to their number at its start.
-// This holds to its end, even if the others end soon or their servers have left. So a load
+// Its duration stays the same even if the others end soon or their servers leave. So a load
 // that waits for the end of another one often ends earlier. Servers take turns, which their
-// owners decide by the tables alone, without messages between them.
+// owners determine from the servers' tables, without further messages.
 
-// turnTimeout is how long a turn is left to the next server before the one behind it may
-// take it: the owner of the next server may be gone, or unable to reach it.
+// turnTimeout is how long the next server has to use its turn before the one behind it may
+// load: the owner of the next server may have stopped, or be unable to reach it.
 const turnTimeout = 500 * clock.Millisecond
 
 // endMargin is added to the expected end of a load, as its start is reported some
@@ -49,7 +49,8 @@
 	return turns.rate.FullSpeedLoads()
 }
 
-// TrialLoads returns how many loads may start together to find out whether they run at full speed.
+// TrialLoads returns how many loads may start together to find out whether they run at full
+// speed.
 func (turns *Turns) TrialLoads() int {
 	return turns.rate.TrialLoads()
 }
@@ -87,8 +88,8 @@
 	return remaining
 }
 
-// Update records loads that have started or ended. It must be called often, as the duration
-// of a load counts from its start. The load of a server that has left counts until its
+// Update records loads that have started or ended. It must be called often, as a load is
+// assumed to start when it is first seen. The load of a server that has left counts until its
 // expected end.
 func (turns *Turns) Update(now clock.Millis, models Models) {
 	turns.observe(now, models)
@@ -139,8 +140,8 @@
 	return true
 }
 
-// worthStarting reports whether a load that starts now ends earlier, by minGain at least, than one
-// that waits for the next load in flight to end.
+// worthStarting reports whether a load that starts now ends earlier, by minGain at least, than
+// one that waits for the next load in flight to end.
 func (turns *Turns) worthStarting(now clock.Millis, models Models) bool {
 	if len(turns.ends) < models.FullSpeedLoads || len(turns.ends) < models.TrialLoads && turns.startedTogether(now, models) {
 		return true
--- a/internal/direct/loading/turn_test.go
+++ b/internal/direct/loading/turn_test.go
@@ -43,6 +43,8 @@
 
 const loadTime = 3900
 
+// TestTurns guards against servers that load their base models in parallel when one after
+// another is faster, and against a server that does not use its turn and blocks the others.
 func TestTurns(t *testing.T) {
 	turns := loading.NewTurns()
 	models := loading.Models{Waiting: []string{"a", "b", "c"}, FullSpeedLoads: 1, LoadTime: loadTime}
@@ -119,7 +121,7 @@
 }
 
 // TestTurnsAreFasterThanParallelLoads: with turns, the last of five servers holds its model
-// 7 s earlier than with all loads in parallel, and the second one 8 s earlier.
+// 6 s earlier than with all loads in parallel, and the second one 7 s earlier.
 func TestTurnsAreFasterThanParallelLoads(t *testing.T) {
 	parallel := replay(t, func(clock.Millis, string, loading.Models) bool { return true })
 	turns := loading.NewTurns()
--- a/internal/direct/membership/membership.go
+++ b/internal/direct/membership/membership.go
@@ -1,7 +1,8 @@
 // Package membership tracks the daemons of a site as one daemon knows them: which exist,
-// which of them are live, and which to connect to. Knowledge about a daemon is a record,
-// which every daemon forwards once over each connection; a record with a higher number
-// replaces one with a lower number. The package does no I/O and reads no clock.
+// which of them are live, and which to connect to. What is known about a daemon is held in a
+// record, which every daemon forwards once over each connection; a newer record replaces an
+// older one. The daemon's plan (role, hub and connections) is computed in package topology,
+// and package claims decides who owns a server. The package does no I/O and reads no clock.
 package membership
 
 import (
@@ -27,7 +28,7 @@
 type Record struct {
 	topology.Daemon
 	Incarnation int64 // time at which the process started
-	Number      int64
+	Number      int64 // raised when State changes, and to refute a wrong State
 	State       State
 }
 
@@ -35,19 +36,19 @@
 	return cmp.Or(cmp.Compare(record.Incarnation, other.Incarnation), cmp.Compare(record.Number, other.Number)) > 0
 }
 
-// Status is the status that a daemon reports about itself to the daemons that it is connected
-// to.
+// Status is what a daemon reports about itself to the daemons that it is connected to.
 type Status struct {
 	Record
-	Role     topology.Role
-	Hub      string       // the daemon chosen as hub; empty: none
-	Wants    bool         // the sender itself wants the connection, rather than only answering
-	Interval clock.Millis // maximum time until the next report
-	Era      int64        // era of the store that Revision belongs to
-	Revision int64        // store revision up to which the sender knows all changes
-	Version  int64        // configuration version in force at that revision
-	// Orderers are the daemons that the sender knows to send orders; nil: unchanged.
-	Orderers []string
+	Role            topology.Role
+	Hub             string       // the daemon chosen as hub; empty: none
+	WantsConnection bool         // the sender itself wants the connection, rather than only answering
+	Interval        clock.Millis // maximum time until the next report
+	Era             int64        // era of the store that Revision belongs to
+	Revision        int64        // store revision up to which the sender knows all changes
+	Version         int64        // configuration version in force at that revision
+	// OrderSenders are the daemons that may send orders, as far as the sender knows, without
+	// the sender itself; nil: unchanged.
+	OrderSenders []string
 }
 
 // Options holds the timing parameters of a membership.
@@ -57,19 +58,20 @@
 	Usual clock.Millis
 	// Silence is how long after its last report a daemon is considered live.
 	Silence clock.Millis
-	// Unmet is how long a daemon may send nothing while connections to it are attempted,
-	// before the next one takes its place.
+	// Unmet is how long a daemon may send nothing while a connection to it is kept or
+	// attempted. After that it is considered silent, and the next one takes its place.
 	Unmet clock.Millis
-	// Retry is how long a daemon found silent is left out of plans.
+	// Retry is how long a daemon that is considered silent is left out of plans.
 	Retry clock.Millis
 	// Memory is how long a peer is remembered after its last report, as a daemon to
 	// connect to and to wait for.
 	Memory clock.Millis
 	// Settle is how long after its start a daemon cannot be a candidate: at first it
 	// knows few others, and would mistake a large site for a small one. It is shorter
-	// than the wait between a start and the first claims.
+	// than claims.Options.StartWait, the time between a start and the first claims.
 	Settle clock.Millis
-	// Meet is the same, measured from the first report received from any peer.
+	// Meet is how long after the first report of any peer a daemon cannot be a candidate,
+	// for the same reason.
 	Meet clock.Millis
 	// Alone replaces Settle for a daemon that has seeds but has received no report yet.
 	Alone clock.Millis
@@ -93,7 +95,7 @@
 // Peer is a daemon from which this one has received a report directly.
 type Peer struct {
 	Status
-	HeardAt clock.Millis // time of the last report, plus any excess of its Interval over Options.Usual
+	LastContactAt clock.Millis // time of the last report, plus any excess of its Interval over Options.Usual
 }
 
 // aggregates reports whether the peer aggregates the load of other daemons, by its own
@@ -108,25 +110,25 @@
 	changeNumber int64        // Membership.changeNumber at the last change
 	goneSince    clock.Millis // since when the daemon is known to be gone; 0: it is not
 	linkedSince  clock.Millis // since when a connection to it is kept or attempted; 0: none is
-	silentUntil  clock.Millis // until when it is considered silent
+	silentUntil  clock.Millis // until when it is considered silent and left out of plans
 }
 
 // Membership is one daemon's view of the daemons of its site.
 type Membership struct {
-	options          Options
-	self             Record
-	entries          map[string]*daemonEntry // by name, without this daemon
-	peers            map[string]*Peer        // by name, daemons that have reported directly
-	changeNumber     int64                   // incremented with each change of a record
-	started          clock.Millis
-	firstPeerAt      clock.Millis // when a report was first received from another daemon
-	lastTick         clock.Millis
-	plan             topology.Plan
-	planLinks        map[string]bool // names of the daemons that the plan has connections to
-	reportedOrderers map[string]bool // daemons that send orders according to live peers
-	role             topology.Role
-	roleDecided      bool // a role was determined after the time to settle
-	hasSeeds         bool // the daemon has seeds to discover others
+	options              Options
+	self                 Record
+	entries              map[string]*daemonEntry // by name, without this daemon
+	peers                map[string]*Peer        // by name, daemons that have reported directly
+	changeNumber         int64                   // incremented with each change of a record
+	started              clock.Millis
+	firstPeerAt          clock.Millis // when a report was first received from another daemon
+	lastTick             clock.Millis
+	plan                 topology.Plan
+	planLinks            map[string]bool // names of the daemons that the plan has connections to
+	reportedOrderSenders map[string]bool // daemons that may send orders according to live peers
+	role                 topology.Role
+	roleDecided          bool // a role was determined after the time to settle
+	hasSeeds             bool // the daemon has seeds to discover others
 }
 
 // New returns the membership of a daemon that starts now and knows no other yet. The
@@ -135,7 +137,7 @@
 	membership := &Membership{
 		options: options, self: Record{Daemon: self, Incarnation: incarnation}, started: now, lastTick: now, hasSeeds: seeded,
 		entries: make(map[string]*daemonEntry), peers: make(map[string]*Peer),
-		planLinks: make(map[string]bool), reportedOrderers: make(map[string]bool),
+		planLinks: make(map[string]bool), reportedOrderSenders: make(map[string]bool),
 	}
 	membership.changeNumber = 1 // counts its own record
 	membership.plan = topology.PlanFor(self, nil, nil, false)
@@ -187,8 +189,8 @@
 	return true
 }
 
-// refute raises the number of this daemon's own record above that of a record that states
-// a wrong state for it.
+// refute raises the number of this daemon's own record above that of a forwarded record of it
+// whose state is wrong.
 func (membership *Membership) refute(claimed Record) {
 	if claimed.Incarnation == membership.self.Incarnation && claimed.Number >= membership.self.Number && claimed.State != membership.self.State {
 		membership.self.Number = claimed.Number + 1
@@ -216,9 +218,9 @@
 	}
 	membership.merge(status.Record)
 	change := StatusChange{Current: true, New: !ok || before.Incarnation != status.Incarnation}
-	peer := &Peer{Status: status, HeardAt: now + max(0, status.Interval-membership.options.Usual)}
-	if !change.New && status.Orderers == nil {
-		peer.Orderers = before.Orderers
+	peer := &Peer{Status: status, LastContactAt: now + max(0, status.Interval-membership.options.Usual)}
+	if !change.New && status.OrderSenders == nil {
+		peer.OrderSenders = before.OrderSenders
 	}
 	if !change.New {
 		stopped := status.State == Leaving && before.State != Leaving
@@ -251,7 +253,7 @@
 }
 
 func (membership *Membership) live(now clock.Millis, peer *Peer) bool {
-	return peer.State == Alive && now-peer.HeardAt < membership.options.Silence
+	return peer.State == Alive && now-peer.LastContactAt < membership.options.Silence
 }
 
 // AliveNames returns the sorted names of the daemons that are neither leaving nor gone.
@@ -269,8 +271,8 @@
 	return names
 }
 
-// DaemonCount returns the number of daemons of the site that are neither leaving nor gone,
-// including this one.
+// DaemonCount returns the number of daemons of the site that are neither leaving nor gone.
+// It always counts this one.
 func (membership *Membership) DaemonCount() int {
 	count := 1
 	for _, entry := range membership.entries {
@@ -281,14 +283,14 @@
 	return count
 }
 
-// Status returns the report of this daemon about itself, without the fields that depend on
-// the receiver or the store.
+// Status returns the report of this daemon about itself, with its record, role and hub only;
+// the other fields depend on the receiver or the store.
 func (membership *Membership) Status() Status {
 	return Status{Record: membership.self, Role: membership.role, Hub: membership.plan.Hub}
 }
 
-// RecordsSince returns the records that have changed since a change number returned by an earlier
-// call, or all of them for 0, and the change number for the next call.
+// RecordsSince returns the records of other daemons that have changed since the change number
+// returned by an earlier call, or all of them for 0, and the change number for the next call.
 func (membership *Membership) RecordsSince(since int64) ([]Record, int64) {
 	var records []Record
 	for _, entry := range membership.entries {
@@ -300,9 +302,10 @@
 	return records, membership.changeNumber
 }
 
-// Orderers returns the daemons that send orders according to their last report, which is
-// no older than Options.Memory. A starting daemon waits for a report of each of them.
-func (membership *Membership) Orderers() []string {
+// OrderSenders returns the sorted names of the peers that may send orders according to their
+// last report, which is no older than Options.Memory. A starting daemon waits for a report
+// of each of them.
+func (membership *Membership) OrderSenders() []string {
 	names := []string{}
 	for name, peer := range membership.peers {
 		// A daemon that has announced that it leaves sends no more orders.
@@ -314,13 +317,13 @@
 	return names
 }
 
-// Tick detects silent daemons, expires old state and computes a new plan. It returns the
-// names of the peers that are now forgotten, as they were silent for Options.Memory.
+// Tick detects silent daemons, drops expired state and computes a new plan. It returns the
+// sorted names of the peers that it has dropped as they were silent for Options.Memory.
 func (membership *Membership) Tick(now clock.Millis) []string {
 	membership.extendAfterPause(now)
 	var forgotten []string
 	for name, peer := range membership.peers {
-		if now-peer.HeardAt > membership.options.Memory {
+		if now-peer.LastContactAt > membership.options.Memory {
 			membership.forget(name)
 			forgotten = append(forgotten, name)
 		}
@@ -343,7 +346,7 @@
 		return
 	}
 	for _, peer := range membership.peers {
-		peer.HeardAt = max(peer.HeardAt, min(peer.HeardAt+gap, now)) // some have reported since the process resumed
+		peer.LastContactAt = max(peer.LastContactAt, min(peer.LastContactAt+gap, now)) // some have reported since the process resumed
 	}
 	for _, entry := range membership.entries {
 		if entry.linkedSince > 0 {
@@ -353,22 +356,22 @@
 }
 
 // checkSilence marks a daemon as silent if it has sent nothing for Options.Unmet although a
-// connection to it is attempted.
+// connection to it is kept or attempted.
 func (membership *Membership) checkSilence(now clock.Millis, name string, entry *daemonEntry) {
 	if entry.linkedSince == 0 || now < entry.silentUntil || membership.Live(now, name) {
 		return
 	}
 	since := entry.linkedSince
 	if peer, ok := membership.peers[name]; ok {
-		since = max(since, peer.HeardAt)
+		since = max(since, peer.LastContactAt)
 	}
 	if now-since >= membership.options.Unmet {
 		entry.silentUntil = now + membership.options.Retry
 	}
 }
 
-// expireTombstone drops the record of a gone daemon after Options.Tombstone, when all others
-// have received it.
+// expireTombstone drops the record of a gone daemon after Options.Tombstone. By then all other
+// daemons have received it.
 func (membership *Membership) expireTombstone(now clock.Millis, name string, entry *daemonEntry) {
 	switch {
 	case entry.State != Gone:
@@ -380,8 +383,8 @@
 	}
 }
 
-// forget drops a peer and marks its record as gone, which is sent to the others. If the
-// daemon is still running, it refutes the record when it receives it.
+// forget drops a peer and marks its record as gone; the record is then forwarded to the other
+// daemons. If the daemon is still running, it refutes the record when it receives it.
 func (membership *Membership) forget(name string) {
 	peer := membership.peers[name]
 	delete(membership.peers, name)
@@ -395,7 +398,8 @@
 	membership.merge(gone)
 }
 
-// Replan computes a new plan and returns it.
+// Replan computes a new plan from the daemons that are known and the reports of live peers,
+// and returns it.
 func (membership *Membership) Replan(now clock.Millis) topology.Plan {
 	var known []topology.Daemon
 	for _, entry := range membership.entries {
@@ -403,19 +407,19 @@
 			known = append(known, entry.Daemon)
 		}
 	}
-	var heard []topology.Peer
-	clear(membership.reportedOrderers)
+	var reporting []topology.Peer
+	clear(membership.reportedOrderSenders)
 	for _, peer := range membership.peers {
 		if !membership.live(now, peer) {
 			continue
 		}
-		heard = append(heard, topology.Peer{Daemon: peer.Daemon, Role: peer.Role, Hub: peer.Hub})
-		for _, name := range peer.Orderers {
-			membership.reportedOrderers[name] = true
+		reporting = append(reporting, topology.Peer{Daemon: peer.Daemon, Role: peer.Role, Hub: peer.Hub})
+		for _, name := range peer.OrderSenders {
+			membership.reportedOrderSenders[name] = true
 		}
 	}
-	slices.SortFunc(heard, func(a, b topology.Peer) int { return cmp.Compare(a.Name, b.Name) })
-	membership.plan = topology.PlanFor(membership.self.Daemon, known, heard, membership.role.SendsOrders())
+	slices.SortFunc(reporting, func(a, b topology.Peer) int { return cmp.Compare(a.Name, b.Name) })
+	membership.plan = topology.PlanFor(membership.self.Daemon, known, reporting, membership.role.SendsOrders())
 	clear(membership.planLinks)
 	for _, daemon := range membership.plan.Links {
 		membership.planLinks[daemon.Name] = true
@@ -428,24 +432,25 @@
 	return membership.plan
 }
 
-// Role returns the current role of this daemon. It claims servers only as a candidate.
+// Role returns the current role of this daemon. A daemon claims servers only as a candidate.
 func (membership *Membership) Role() topology.Role {
 	return membership.role
 }
 
-// UpdateRole applies the role of the plan. The parameter orders reports whether this daemon
-// sends orders to any server: if so, a former candidate becomes Retired and keeps its
-// servers, so that the start of another daemon moves no server to a new owner. The results
-// report whether the role has changed, and whether a member has become a candidate, which
-// until then received only some of the claims.
-func (membership *Membership) UpdateRole(now clock.Millis, orders bool) (changed, promoted bool) {
+// UpdateRole applies the role of the plan. The parameter owns reports whether this daemon
+// owns any server: if so, a former candidate becomes Retired and keeps its servers, so that
+// the start of another daemon moves no server to a new owner. A leaving daemon becomes
+// Retired if it could send orders before. The results report whether the role has changed,
+// and whether the daemon was promoted from member to candidate: as a member it received only
+// some of the claims.
+func (membership *Membership) UpdateRole(now clock.Millis, owns bool) (changed, promoted bool) {
 	before := membership.role
 	membership.role = membership.plan.Role
 	leaving := membership.self.State == Leaving
 	if !membership.settled(now) || leaving {
 		membership.role = topology.Member
 	}
-	if membership.role == topology.Member && (orders || leaving && before.SendsOrders()) {
+	if membership.role == topology.Member && (owns || leaving && before.SendsOrders()) {
 		membership.role = topology.Retired
 	}
 	promoted = membership.roleDecided && membership.role == topology.Candidate && before == topology.Member
@@ -462,7 +467,7 @@
 	return since >= membership.options.Settle && now-membership.firstPeerAt >= membership.options.Meet
 }
 
-// Joined reports whether this daemon has received a report from another one, or has no seeds.
+// Joined reports whether this daemon has peers that have reported, or has no seeds.
 func (membership *Membership) Joined() bool {
 	return !membership.hasSeeds || len(membership.peers) > 0
 }
--- a/internal/direct/membership/membership_test.go
+++ b/internal/direct/membership/membership_test.go
@@ -40,7 +40,7 @@
 		candidates := site.candidates()
 		for _, name := range candidates {
 			for _, other := range candidates {
-				require.True(t, name == other || site.daemons[name].Live(site.now, other), "%s hears %s", name, other)
+				require.True(t, name == other || site.daemons[name].Live(site.now, other), "%s receives reports of %s", name, other)
 			}
 		}
 		site.run(clock.Second)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestStaleSeeds checks that daemons find each other when only one of their seeds starts, and
-// that some seconds after them.
+// TestStaleSeeds checks that daemons find each other when only one of their seeds starts, some
+// seconds after them, and the other seeds no longer exist.
 func TestStaleSeeds(t *testing.T) {
 	t.Parallel()
 	site := newSite(daemonCount, dataCentres, 10)
@@ -224,25 +224,25 @@
 		site.run(clock.Second)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			name := fmt.Sprint("d", rapid.IntRange(0, min(11, len(site.order)-1)).Draw(t, "daemon"))
-			at := site.daemons[name]
+			daemon := site.daemons[name]
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0:
 				site.kill(name)
 			case 1:
-				if at.down {
+				if daemon.down {
 					site.start(name, "d0", "d1") // its partition ends as well
 				}
 			case 2:
-				if !at.down && !at.partitioned {
-					at.suspendedUntil = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
-					at.undisturbedSince = at.suspendedUntil
+				if !daemon.down && !daemon.partitioned {
+					daemon.suspendedUntil = site.now + clock.Millis(rapid.IntRange(5, 80).Draw(t, "for"))*step
+					daemon.undisturbedSince = daemon.suspendedUntil
 				}
 			case 3:
 				// A partitioned daemon never counts as undisturbed; to the others it is silent.
-				at.partitioned = !at.partitioned
-				at.undisturbedSince = max(site.now, at.suspendedUntil)
-				if at.partitioned {
-					at.undisturbedSince = site.now + clock.Hour
+				daemon.partitioned = !daemon.partitioned
+				daemon.undisturbedSince = max(site.now, daemon.suspendedUntil)
+				if daemon.partitioned {
+					daemon.undisturbedSince = site.now + clock.Hour
 				}
 			}
 			site.run(clock.Millis(rapid.IntRange(1, 25).Draw(t, "pause")) * step)
@@ -254,7 +254,8 @@
 }
 
 // TestLateSeeds checks that daemons that start before their seeds do not become candidates
-// as if they were alone, and that the site is complete soon after a seed has started.
+// as if each were the only daemon of the site, and that they have hubs and candidates soon
+// after a seed has started.
 func TestLateSeeds(t *testing.T) {
 	t.Parallel()
 	site := newSite(daemonCount, dataCentres, 78)
@@ -287,8 +288,9 @@
 	require.Empty(t, site.violation)
 }
 
-// TestPeersAfterPause checks that a daemon that was suspended gives its peers the time that they
-// had left before, and no extra time to a peer that reported right after it resumed.
+// TestPeersAfterPause checks that a daemon that was suspended considers its peers live for the
+// time that remained when the pause began, and that a peer that reported right after the pause
+// gets no additional time.
 func TestPeersAfterPause(t *testing.T) {
 	t.Parallel()
 	options := membership.DefaultOptions()
@@ -307,7 +309,8 @@
 	require.False(t, members.Live(resumed+options.Silence, "after"))
 }
 
-// TestStatusChanges checks what the report of a daemon changes for its receivers.
+// TestStatusChanges checks which changes are derived from successive reports of a daemon. A
+// missed change would leave load or claims of the daemon counted that are no longer valid.
 func TestStatusChanges(t *testing.T) {
 	t.Parallel()
 	members := membership.New(membership.DefaultOptions(), topology.Daemon{Name: "d", DataCentre: "z"}, 1000, 7, false)
--- a/internal/direct/membership/site_test.go
+++ b/internal/direct/membership/site_test.go
@@ -26,15 +26,15 @@
 	down             bool
 	suspendedUntil   clock.Millis
 	partitioned      bool         // neither receives nor reaches other daemons
-	undisturbedSince clock.Millis // start of its undisturbed run
+	undisturbedSince clock.Millis // since when it has run without pauses and partitions
 	sentChanges      map[string]int64
 	sentAt           map[string]clock.Millis
 	seeds            []string
 	started          clock.Millis
 }
 
-// site simulates daemons that report to each other over the connections that their
-// memberships ask for. It counts connections, reports and records.
+// site simulates daemons that report to each other over the connections that Links returns.
+// It counts connections, reports and records.
 type site struct {
 	now         clock.Millis
 	daemons     map[string]*daemon
@@ -107,71 +107,71 @@
 	return !from.down && !to.down && !from.partitioned && !to.partitioned && site.now >= from.suspendedUntil && site.now >= to.suspendedUntil
 }
 
-// run simulates a span of time.
-func (site *site) run(span clock.Millis) {
-	for end := site.now + span; site.now < end; {
+// run simulates a duration.
+func (site *site) run(duration clock.Millis) {
+	for end := site.now + duration; site.now < end; {
 		site.now += step
 		for _, name := range site.order {
-			if at := site.daemons[name]; !at.down && site.now >= at.suspendedUntil {
-				site.runStep(at)
+			if daemon := site.daemons[name]; !daemon.down && site.now >= daemon.suspendedUntil {
+				site.runStep(daemon)
 			}
 		}
 	}
 }
 
 // runStep runs one step of a daemon.
-func (site *site) runStep(at *daemon) {
-	at.claims.Tick(site.now)
-	for _, name := range at.Tick(site.now) {
-		at.claims.Left(site.now, name)
+func (site *site) runStep(daemon *daemon) {
+	daemon.claims.Tick(site.now)
+	for _, name := range daemon.Tick(site.now) {
+		daemon.claims.Left(site.now, name)
 	}
-	changed, promoted := at.UpdateRole(site.now, len(at.claims.Claims(site.now)) > 0)
+	changed, promoted := daemon.UpdateRole(site.now, len(daemon.claims.Claims(site.now)) > 0)
 	if promoted {
-		at.claims.Promoted(site.now)
+		daemon.claims.Promoted(site.now)
 	}
 	if changed {
-		at.claims.Announced(site.now)
+		daemon.claims.Announced(site.now)
 	}
-	site.connect(at)
-	for _, to := range site.openConnections(at) {
-		if site.now-at.sentAt[to] >= interval {
-			site.report(at, site.daemons[to])
+	site.connect(daemon)
+	for _, to := range site.openConnections(daemon) {
+		if site.now-daemon.sentAt[to] >= interval {
+			site.report(daemon, site.daemons[to])
 		}
 	}
-	site.claim(at)
+	site.claim(daemon)
 }
 
 // connect opens the connections that a daemon wants, and closes the others.
-func (site *site) connect(at *daemon) {
+func (site *site) connect(daemon *daemon) {
 	wanted := make(map[string]bool)
-	for _, linked := range at.Links(site.now) {
+	for _, linked := range daemon.Links(site.now) {
 		wanted[linked.Name] = true
 	}
-	if at.Plan().Mesh || at.Role() != topology.Member || at.Plan().Hub == "" {
-		for _, seed := range at.seeds {
-			wanted[seed] = seed != at.self.Name
+	if daemon.Plan().Mesh || daemon.Role() != topology.Member || daemon.Plan().Hub == "" {
+		for _, seed := range daemon.seeds {
+			wanted[seed] = seed != daemon.self.Name
 		}
 	}
-	for _, to := range site.openConnections(at) {
-		unreachable := !site.connects(at, site.daemons[to]) && site.daemons[to].partitioned != at.partitioned
+	for _, to := range site.openConnections(daemon) {
+		unreachable := !site.connects(daemon, site.daemons[to]) && site.daemons[to].partitioned != daemon.partitioned
 		if !wanted[to] || unreachable {
-			delete(site.connectedTo[at.self.Name], to)
+			delete(site.connectedTo[daemon.self.Name], to)
 		}
 	}
 	for _, to := range slices.Sorted(maps.Keys(wanted)) {
-		if !wanted[to] || site.connectedTo[at.self.Name][to] || !site.connects(at, site.daemons[to]) {
+		if !wanted[to] || site.connectedTo[daemon.self.Name][to] || !site.connects(daemon, site.daemons[to]) {
 			continue
 		}
-		site.connectedTo[at.self.Name][to] = true
+		site.connectedTo[daemon.self.Name][to] = true
 		site.connections++
-		delete(at.sentChanges, to)
-		site.report(at, site.daemons[to])
+		delete(daemon.sentChanges, to)
+		site.report(daemon, site.daemons[to])
 	}
 }
 
 // openConnections returns the daemons that a daemon has opened a connection to.
-func (site *site) openConnections(at *daemon) []string {
-	return slices.Sorted(maps.Keys(site.connectedTo[at.self.Name]))
+func (site *site) openConnections(daemon *daemon) []string {
+	return slices.Sorted(maps.Keys(site.connectedTo[daemon.self.Name]))
 }
 
 // report sends a daemon's status, changed records and claims to another one.
@@ -179,8 +179,8 @@
 	from.sentAt[to.self.Name] = site.now
 	status := from.Status()
 	status.Interval = interval
-	status.Wants = from.Wants(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
-	status.Orderers = from.Orderers()
+	status.WantsConnection = from.WantsConnection(to.self.Name) || slices.Contains(from.seeds, to.self.Name)
+	status.OrderSenders = from.OrderSenders()
 	var changed []membership.Record
 	changed, from.sentChanges[to.self.Name] = from.RecordsSince(from.sentChanges[to.self.Name])
 	site.reports++
@@ -190,9 +190,9 @@
 	}
 	change := to.ApplyStatus(site.now, status)
 	to.Merge(changed)
-	if peer, heard := from.Peer(to.self.Name); status.Role.SendsOrders() && (!heard || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
+	if peer, known := from.Peer(to.self.Name); status.Role.SendsOrders() && (!known || peer.Role.SendsOrders() || from.InPlan(to.self.Name)) {
 		to.claims.ApplyHeartbeat(site.now, claims.Heartbeat{
-			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), Orderers: from.Orderers(), Idle: status.Role != topology.Candidate,
+			Peer: from.self.Name, Interval: interval, Claims: from.claims.Claims(site.now), OrderSenders: from.OrderSenders(), Idle: status.Role != topology.Candidate,
 		})
 	}
 	if change.Left {
@@ -201,23 +201,23 @@
 }
 
 // claim lets a daemon claim servers and send orders wherever it may.
-func (site *site) claim(at *daemon) {
-	if at.Role() == topology.Candidate && len(at.claims.Claim(site.now, site.servers)) > 0 {
-		for _, to := range site.openConnections(at) {
-			site.report(at, site.daemons[to])
+func (site *site) claim(daemon *daemon) {
+	if daemon.Role() == topology.Candidate && len(daemon.claims.Claim(site.now, site.servers)) > 0 {
+		for _, to := range site.openConnections(daemon) {
+			site.report(daemon, site.daemons[to])
 		}
 	}
-	steady := site.now-at.undisturbedSince >= lease
+	steady := site.now-daemon.undisturbedSince >= lease
 	for _, server := range site.servers {
-		if _, may := at.claims.MayOrder(site.now, server); !may {
+		if _, may := daemon.claims.MayOrder(site.now, server); !may {
 			continue
 		}
-		at.claims.Ordered(site.now, server)
+		daemon.claims.Ordered(site.now, server)
 		before, ok := site.lastOrders[server]
-		if ok && before.daemon != at.self.Name && steady && before.steady && site.now-before.at < lease && site.violation == "" {
-			site.violation = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, at.self.Name, server, site.now-before.at)
+		if ok && before.daemon != daemon.self.Name && steady && before.steady && site.now-before.at < lease && site.violation == "" {
+			site.violation = fmt.Sprintf("%d: %s and %s order %s within %d ms", site.now, before.daemon, daemon.self.Name, server, site.now-before.at)
 		}
-		site.lastOrders[server] = sentOrder{daemon: at.self.Name, at: site.now, steady: steady}
+		site.lastOrders[server] = sentOrder{daemon: daemon.self.Name, at: site.now, steady: steady}
 	}
 }
 
@@ -226,12 +226,12 @@
 func (site *site) withoutHub() []string {
 	var names []string
 	for _, name := range site.order {
-		at := site.daemons[name]
-		if at.down {
+		daemon := site.daemons[name]
+		if daemon.down {
 			continue
 		}
-		hub, ok := site.daemons[at.Plan().Hub]
-		if at.Plan().Hub == "" && at.Role() != topology.Candidate || ok && (hub.down || hub.Plan().Hub != "") {
+		hub, ok := site.daemons[daemon.Plan().Hub]
+		if daemon.Plan().Hub == "" && daemon.Role() != topology.Candidate || ok && (hub.down || hub.Plan().Hub != "") {
 			names = append(names, name)
 		}
 	}
@@ -242,18 +242,18 @@
 func (site *site) candidates() []string {
 	var names []string
 	for _, name := range site.order {
-		if at := site.daemons[name]; !at.down && at.Role() == topology.Candidate {
+		if daemon := site.daemons[name]; !daemon.down && daemon.Role() == topology.Candidate {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// serversWithoutOrders returns how many servers received no order within the last span.
-func (site *site) serversWithoutOrders(span clock.Millis) int {
+// serversWithoutOrders returns how many servers received no order within a duration before now.
+func (site *site) serversWithoutOrders(duration clock.Millis) int {
 	count := 0
 	for _, server := range site.servers {
-		if site.now-site.lastOrders[server].at > span {
+		if site.now-site.lastOrders[server].at > duration {
 			count++
 		}
 	}
--- a/internal/direct/mirror/mirror.go
+++ b/internal/direct/mirror/mirror.go
@@ -23,21 +23,23 @@
 	Wait clock.Millis
 	// Pause is the wait after a change, so that changes close together share a call.
 	Pause clock.Millis
-	// Idle is the interval at which a mirror that need not read checks whether it must.
+	// Idle is the interval at which a mirror that does not read the store asks its Sink
+	// whether it must.
 	Idle clock.Millis
-	// CallTimeout is how long a response may take, for a watch in addition to Wait.
+	// CallTimeout is the time-out of a call; a watch call gets Wait in addition.
 	CallTimeout clock.Millis
 	// CoverLimit is how long ago the store may have answered the daemon that reads it for
 	// this one. Beyond it, this daemon reads the store itself.
 	CoverLimit clock.Millis
-	// UnheardLimit is how long that daemon may be silent. It ensures that a leaving server
-	// gets no new requests after 2 s, whichever daemon was disconnected when the server
-	// announced that it leaves.
+	// UnheardLimit is how long that daemon may send no store updates. Beyond it, this daemon
+	// reads the store itself. A leaving server then gets no new requests after 2 s, whichever
+	// daemon was disconnected when the server announced that it leaves.
 	UnheardLimit clock.Millis
 	// CoveredRetry is the interval between calls of a daemon that another one reads for,
-	// while the store answers neither. A change must then take effect within 4 s.
+	// while the store answers neither of them. A change must then take effect within 4 s.
 	CoveredRetry clock.Millis
-	// FirstBackoff and MostBackoff bound the wait after a failed call.
+	// FirstBackoff is the wait after the first failed call, and MostBackoff the longest
+	// wait. Both are shortened at random by up to half.
 	FirstBackoff, MostBackoff clock.Millis
 }
 
@@ -54,16 +56,16 @@
 type Sink interface {
 	// ReplaceAll receives all items under the prefix.
 	ReplaceAll(page platformapi.Page)
-	// ApplyChanges receives changes, of the same era as what was read or known before.
+	// ApplyChanges receives changes since the last position, in the same era.
 	ApplyChanges(page platformapi.Page)
-	// NextTurn reports whether this daemon must read the store now, and up to which position
-	// it knows the store already.
+	// NextTurn is called before each call to the store. It reports whether this daemon must read the store
+	// now, and up to which position it has the store's data already.
 	NextTurn() (reads bool, position Position)
 	// RecordContact receives the result of each call: nil if the store answered it.
 	RecordContact(err error)
 }
 
-// Position is a position in the history of the store: all changes of an era up to a revision are
+// Position is a position in the history of the store: all changes of Era up to Revision are
 // known.
 type Position struct {
 	Era, Revision int64
@@ -75,7 +77,7 @@
 	store       platformapi.Store
 	prefix      string
 	sink        Sink
-	position    Position // its revision is 0 if nothing was read or the history was lost
+	position    Position // up to which the sink has all changes; with revision 0 it is taken from the sink, unless historyLost
 	historyLost bool     // the store no longer has the history since the last read: all items must be read
 	failedCalls int      // consecutive failed calls, limited to 8
 }
@@ -97,7 +99,8 @@
 	return nil
 }
 
-// step makes one full read or watch call, and returns the wait before the next step.
+// step reads all items or makes one watch call, if the sink requires it, and returns the wait
+// before the next step.
 func (mirror *Mirror) step(ctx context.Context) clock.Millis {
 	reads, position := mirror.sink.NextTurn()
 	if !reads {
@@ -176,9 +179,9 @@
 	return len(page.Items) > 0, nil
 }
 
-// backoff returns the wait after a failed call. It doubles with each failure in a row, with
-// jitter so that daemons that lost the store together do not retry together. After a loss of
-// history it returns 0, as all items must be read.
+// backoff returns the wait after a failed call. The wait doubles with each failure in a row, up
+// to MostBackoff, and is randomized so that daemons that lost the store together do not retry
+// together. After a loss of history it returns 0, as all items must be read.
 func (mirror *Mirror) backoff(err error) clock.Millis {
 	var failed *platformapi.StoreError
 	if errors.As(err, &failed) && failed.Failure == platformapi.HistoryGone {
--- a/internal/direct/mirror/mirror_test.go
+++ b/internal/direct/mirror/mirror_test.go
@@ -53,7 +53,7 @@
 func (recorder *recorder) NextTurn() (bool, mirror.Position) { return true, recorder.position }
 func (recorder *recorder) RecordContact(error)               {}
 
-// play runs a mirror that starts at a position on scripted pages.
+// play runs a mirror that starts at a position until all scripted pages are read.
 func play(t *testing.T, position mirror.Position, pages ...platformapi.Page) (*scriptedStore, *recorder) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/direct/mirror/turn_test.go
+++ b/internal/direct/mirror/reader_test.go
@@ -9,7 +9,9 @@
 	"teaselmoor/internal/direct/mirror"
 )
 
-func TestReadsNow(t *testing.T) {
+// TestShouldRead checks that a daemon reads the store exactly while no hub reads it for it, and
+// only every CoveredRetry while the store does not answer.
+func TestShouldRead(t *testing.T) {
 	options := mirror.DefaultOptions()
 	late := options.CoverLimit + 1
 	for _, each := range []struct {
--- a/internal/direct/peers/item.go
+++ b/internal/direct/peers/item.go
@@ -12,14 +12,14 @@
 )
 
 // Item is an entry of the store in the form in which daemons keep it and send it to each
-// other. A large value is compressed; otherwise a long configuration would delay messages
+// other. A large value is compressed: a long configuration would otherwise delay messages
 // about leaving servers on the link of a small VM.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision int64
 	Deleted  bool
-	Packed   bool `cbor:",omitempty"`
+	Packed   bool `cbor:",omitempty"` // Value is compressed
 }
 
 const (
@@ -30,7 +30,7 @@
 	maxUnpackedBytes = 8 << 20
 )
 
-// Pack returns an entry of the store as an Item, with a large value compressed.
+// Pack returns an entry of the store as an Item, and compresses a large value.
 func Pack(item platformapi.Item) Item {
 	kept := Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted}
 	if len(item.Value) <= packThresholdBytes {
@@ -39,7 +39,7 @@
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return kept // does not happen: the level is valid
+		return kept // unreachable: the level is valid
 	}
 	_, _ = writer.Write(item.Value) // writing to a buffer does not fail
 	_ = writer.Close()
@@ -64,8 +64,8 @@
 	return read, nil
 }
 
-// CompareBySize orders uncompressed entries before compressed ones, and then older before newer
-// ones.
+// CompareBySize orders uncompressed entries before compressed ones, which are large, and then
+// older before newer ones.
 func CompareBySize(a, b Item) int {
 	if a.Packed != b.Packed {
 		if b.Packed {
--- a/internal/direct/peers/item_test.go
+++ b/internal/direct/peers/item_test.go
@@ -38,6 +38,8 @@
 	require.Equal(t, []peers.Item{removed, server, packed}, entries)
 }
 
+// TestUnpackInvalidValues checks that a value that cannot be uncompressed is an error, and that
+// a small value cannot expand to an unlimited size.
 func TestUnpackInvalidValues(t *testing.T) {
 	_, err := peers.Item{Key: "k", Value: []byte("no stream"), Packed: true}.Unpack()
 	require.ErrorContains(t, err, "unpack k")
--- a/internal/direct/peers/message.go
+++ b/internal/direct/peers/message.go
@@ -1,7 +1,7 @@
 // Package peers connects the daemons of a site: it carries CBOR messages over WebSocket
 // connections. A daemon opens a connection to each of its peers and only sends on it; it
-// receives messages on the connections that its peers open. The package takes no decisions
-// about the content of messages.
+// receives messages on the connections that its peers open. The package does not decide which
+// daemons to connect to or what to send, and does not act on the content of messages.
 package peers
 
 import (
@@ -21,8 +21,8 @@
 type Update struct {
 	membership.Status
 	Members []membership.Record // changed records of other daemons, not yet sent on this connection
-	Claimed bool                // Claims is set, and holds all claims of the sender
-	Claims  []claims.Claim      // empty if the receiver claims no servers itself
+	Claimed bool                // Claims holds all claims of the sender; false: they are not sent to this receiver
+	Claims  []claims.Claim
 }
 
 // Delta holds the state changes that were not yet sent to the receiver on the same
@@ -42,21 +42,20 @@
 // GroupShare is the load in progress of a hub and the daemons that have chosen it.
 type GroupShare struct {
 	Number int64 // increases by one with each share
-	Whole  bool  // Share is complete; otherwise it holds changes since the previous Number, 0 for ended load
+	Whole  bool  // Share is complete; otherwise it holds changes since the previous Number, with 0 for load that has ended
 	Share  inflight.Share
 }
 
-// Owners holds the daemons that send orders to servers, by server, and what they have learned
-// about the weight store.
+// Owners holds the owners of servers, and how fast the weight store is by their observations.
 type Owners struct {
-	By      map[string]string
+	By      map[string]string // owner by server
 	Learned loading.RateEstimate
 }
 
-// ServerReport is what a server itself reports that it holds.
+// ServerReport is a server's own report of the models and adapters that it holds.
 type ServerReport struct {
 	Server   string
-	Born     int64
+	Born     int64 // when the server's process started
 	Holdings []platformapi.Holding
 }
 
@@ -71,7 +70,7 @@
 type Sums struct {
 	Whole   bool                    // servers that are not listed have no load; otherwise their load is unchanged
 	Servers map[string]inflight.Sum // servers whose sums have changed
-	Uses    []ServerUses            // at servers that the receiver sends orders to
+	Uses    []ServerUses            // at servers that the receiver owns
 }
 
 // ServerUses holds the number of requests that use each adapter of a server.
@@ -106,13 +105,14 @@
 	Back clock.Millis
 }
 
-// AdapterRequest asks the owner of a server to load an adapter.
+// AdapterRequest asks the owner of a server to load an adapter. A daemon that cannot send it to
+// the owner sends it to its hub.
 type AdapterRequest struct {
 	Server  string
 	Adapter platformapi.Adapter
 	Version int
-	Rank    int
-	Left    clock.Millis // time until the request is given up
+	Rank    int          // urgency; 0 is the most urgent
+	Left    clock.Millis // time until the request expires
 	Absent  bool         // the server has just refused a request because it lacks the adapter
 }
 
@@ -122,7 +122,7 @@
 	Era   int64 `cbor:",omitempty"` // era of the revision
 }
 
-// Message holds one of its parts; the others are nil.
+// Message holds exactly one of its fields; the others are nil.
 type Message struct {
 	Update         *Update
 	Delta          *Delta
--- a/internal/direct/peers/message_test.go
+++ b/internal/direct/peers/message_test.go
@@ -29,7 +29,7 @@
 					Daemon:      topology.Daemon{Name: "d", Address: "1.2.3.4:5", DataCentre: "z", Capacity: 400},
 					Incarnation: 7, Number: 3, State: membership.Leaving,
 				},
-				Role: topology.Retired, Hub: "h", Wants: true, Interval: 500, Revision: 9, Version: 3, Orderers: []string{},
+				Role: topology.Retired, Hub: "h", WantsConnection: true, Interval: 500, Revision: 9, Version: 3, OrderSenders: []string{},
 			},
 			Members: []membership.Record{{
 				Daemon: topology.Daemon{Name: "e", Address: "x", DataCentre: "y", Capacity: 1}, Incarnation: 2, Number: 1, State: membership.Gone,
@@ -79,6 +79,8 @@
 	}
 }
 
+// TestEncodeAndDecode checks that every field of a message is the same after encoding and
+// decoding.
 func TestEncodeAndDecode(t *testing.T) {
 	for _, message := range messages() {
 		encoded, err := peers.Encode(message)
--- a/internal/direct/peers/mesh.go
+++ b/internal/direct/peers/network.go
@@ -21,15 +21,15 @@
 
 // Options holds the limits of connections between daemons.
 type Options struct {
-	DialTimeout  clock.Millis // a VM without power does not answer at all
+	DialTimeout  clock.Millis // needed because a VM without power does not answer at all
 	WriteTimeout clock.Millis
 	Ping         clock.Millis // initial interval between pings; SetPing changes it
 	Redial       clock.Millis // interval between attempts to connect
 	// Daemons that start together, for example after a loss of all VMs, dial seeds that
 	// have no power yet. For QuickSpan after a daemon became known, an attempt to connect
 	// to it times out after QuickDial and is repeated after QuickRedial. With DialTimeout
-	// and Redial, daemons received the first report of another one only 0.8 s after their
-	// start.
+	// and Redial, daemons would receive the first report of another one only 0.8 s after
+	// their start.
 	QuickDial, QuickRedial, QuickSpan clock.Millis
 	GiveUp                            clock.Millis // time after which an unreachable daemon is forgotten, unless it is a seed
 	QueueLength                       int          // maximum number of messages queued for a peer; beyond it the connection is closed
@@ -52,22 +52,24 @@
 	// Received handles a message. Its sender is the daemon named by the last Update on the
 	// same connection.
 	Received(from string, message Message)
-	// Connected reports that a new connection to a peer is open, over which nothing has been
-	// sent yet.
-	Connected(peer string)
-	// Refused reports that a connection was closed because of an invalid message.
+	// Connected reports that a new connection to the peer at an address is open, over which
+	// nothing has been sent yet.
+	Connected(address string)
+	// Refused reports that a connection from an address was closed because of an invalid
+	// message.
 	Refused(from string, err error)
 }
 
-// Network holds the connections to all peers, in small and large sites.
+// Network maintains the connections to all peers, and accepts those of peers as an
+// http.Handler.
 type Network struct {
 	options Options
 	self    string
 	handler Handler
 	group   *task.Group
-	ping    atomic.Int64 // ping interval in milliseconds; pings detect dead connections
-	mutex   sync.Mutex   // guards peers
-	peers   map[string]*peer
+	ping    atomic.Int64     // ping interval in milliseconds; pings detect dead connections
+	mutex   sync.Mutex       // guards peers
+	peers   map[string]*peer // by address
 }
 
 // maxUnansweredPings is the number of unanswered pings after which a connection is closed;
@@ -94,16 +96,17 @@
 	closeConnection context.CancelFunc // closes the current connection; nil while not connected
 }
 
-// New returns the connections of a daemon. Their goroutines belong to group.
+// New returns a network without peers for the daemon self. Its goroutines belong to group.
 func New(options Options, self string, handler Handler, group *task.Group) *Network {
 	network := &Network{options: options, self: self, handler: handler, group: group, peers: make(map[string]*peer)}
 	network.SetPing(options.Ping)
 	return network
 }
 
-// Add starts to maintain a connection to a daemon, unless it is known already. A daemon
-// without a name is a seed, which is never forgotten. Others are forgotten when they cannot
-// be reached for Options.GiveUp, and become known again when a peer names them.
+// Add starts to maintain a connection to a daemon, unless there is a peer at its address
+// already or it is this daemon. A daemon without a name is a seed, which is dialled until
+// Retain drops it. Others are forgotten when they cannot be reached for Options.GiveUp, and
+// may be added again.
 func (network *Network) Add(daemon topology.Daemon) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
@@ -143,7 +146,7 @@
 	return len(network.peers)
 }
 
-// remove drops a peer, unless another one has replaced it under the same address.
+// remove drops a peer, unless another one has replaced it at the same address.
 func (network *Network) remove(gone *peer) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
@@ -175,8 +178,8 @@
 	return network.SendEncoded(address, encoded), nil
 }
 
-// SendEncoded is like Send, for a message that is already encoded. If the queue is full, it
-// closes the connection and reports false.
+// SendEncoded is like Send, for a message that is already encoded. If the peer's queue is full,
+// it closes the connection and reports false.
 func (network *Network) SendEncoded(address string, encoded []byte) bool {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
@@ -218,7 +221,8 @@
 	return nil
 }
 
-// connect opens a connection, uses it until it fails, and reports whether it was opened.
+// connect opens a connection, sends messages on it until it fails, and reports whether it was
+// opened.
 // Errors are not logged here: a silent peer is logged where it changes the state of the
 // daemon.
 func (network *Network) connect(ctx context.Context, to *peer, dial clock.Millis) bool {
@@ -319,8 +323,8 @@
 	} // after other errors, the peer reconnects
 }
 
-// read passes the messages of a connection to the handler, once an Update has named its
-// sender.
+// read passes the messages of a connection to the handler. It drops messages before the first
+// Update, which names the sender.
 func (network *Network) read(conn *websocket.Conn) error {
 	from := ""
 	for {
--- a/internal/direct/peers/mesh_test.go
+++ b/internal/direct/peers/network_test.go
@@ -23,8 +23,8 @@
 
 func (ignoringHandler) Refused(string, error) {}
 
-// TestUnreachableDaemonIsForgotten checks that a daemon that is gone is not dialled forever,
-// while a seed is, and that a forgotten daemon can become known again.
+// TestUnreachableDaemonIsForgotten checks that an unreachable daemon is not dialled forever,
+// while a seed is, and that a forgotten daemon can be added again.
 func TestUnreachableDaemonIsForgotten(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,23 +44,27 @@
 	group.Reap(func(task.End) {})
 }
 
-// listener is a handler that records messages and refused connections.
-type listener struct {
+// recordingHandler is a handler that records messages and refused connections.
+type recordingHandler struct {
 	received chan peers.Message
 	refused  chan error
 }
 
-func newListener() *listener {
-	return &listener{received: make(chan peers.Message, 16), refused: make(chan error, 16)}
+func newRecordingHandler() *recordingHandler {
+	return &recordingHandler{received: make(chan peers.Message, 16), refused: make(chan error, 16)}
 }
 
-func (listener *listener) Received(_ string, message peers.Message) { listener.received <- message }
+func (recordingHandler *recordingHandler) Received(_ string, message peers.Message) {
+	recordingHandler.received <- message
+}
 
-func (listener *listener) Connected(string) {}
+func (recordingHandler *recordingHandler) Connected(string) {}
 
-func (listener *listener) Refused(_ string, err error) { listener.refused <- err }
+func (recordingHandler *recordingHandler) Refused(_ string, err error) {
+	recordingHandler.refused <- err
+}
 
-// served starts a daemon that accepts connections, and returns its address.
+// served starts an HTTP server for the connections of peers, and returns its address.
 func served(t *testing.T, group *task.Group, handler peers.Handler) string {
 	server := httptest.NewServer(peers.New(peers.DefaultOptions(), "served", handler, group))
 	t.Cleanup(server.Close)
@@ -71,7 +75,7 @@
 // others stay open.
 func TestRetain(t *testing.T) {
 	group := task.New(t.Context())
-	first, second := newListener(), newListener()
+	first, second := newRecordingHandler(), newRecordingHandler()
 	one := topology.Daemon{Name: "one", Address: served(t, group, first)}
 	two := topology.Daemon{Name: "two", Address: served(t, group, second)}
 	network := peers.New(peers.DefaultOptions(), "self", ignoringHandler{}, group)
@@ -96,7 +100,7 @@
 // is not passed to the handler as a message.
 func TestInvalidMessage(t *testing.T) {
 	group := task.New(t.Context())
-	handler := newListener()
+	handler := newRecordingHandler()
 	address := served(t, group, handler)
 	for _, invalid := range [][]byte{[]byte("hello"), {0xa1, 0x66, 'U', 'p', 'd', 'a', 't', 'e', 0x81, 0x01}} {
 		conn, response, err := websocket.DefaultDialer.Dial("ws://"+address+peers.Path, nil)
--- a/internal/direct/peers/warnings.go
+++ b/internal/direct/peers/warnings.go
@@ -49,13 +49,14 @@
 	for _, limit := range warnings.Limits {
 		wire.Limits = append(wire.Limits, wireLimit{Server: limit.Server, Born: limit.StartedAt, Number: limit.Number, Limited: limit.Limited, Rate: limit.Rate})
 	}
-	for _, departure := range warnings.Leaving {
-		wire.Leaving = append(wire.Leaving, wireLeaving{Server: departure.Server, Born: departure.StartedAt})
+	for _, notice := range warnings.Leaving {
+		wire.Leaving = append(wire.Leaving, wireLeaving{Server: notice.Server, Born: notice.StartedAt})
 	}
 	return wire
 }
 
-// decodeWarnings skips quarantine records whose content ID has the wrong length.
+// decodeWarnings returns the warnings of a message, nil if it has none. It skips quarantine
+// records whose content ID has the wrong length.
 func decodeWarnings(wire *wireWarnings) *Warnings {
 	if wire == nil {
 		return nil
--- a/internal/direct/peers/wire.go
+++ b/internal/direct/peers/wire.go
@@ -18,9 +18,11 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-// The wire types within wireMessage are encoded as arrays, so that field names take no space,
-// and contain each server and model name only once. New fields may be added only at the end, as daemons of two versions
-// are connected with each other during an upgrade.
+// The wire types except wireMessage and wireWarnings are encoded as arrays, so that field names
+// take no space, and contain each server and model name only once. The fields of an array keep
+// their order and number: daemons of two versions are connected with each other during an
+// upgrade, and an array is decoded only if it has the expected length. New fields are therefore
+// added to types that are encoded as maps, such as wireMessage.
 type (
 	wireMessage struct {
 		Update *wireUpdate         `cbor:",omitempty"`
@@ -29,7 +31,7 @@
 		Pull   *Pull               `cbor:",omitempty"`
 		Items  *StoreItems         `cbor:",omitempty"`
 		// Era is the era of the update's revision. It is not part of wireUpdate because
-		// daemons of other versions expect that array to have a fixed length.
+		// daemons of other versions expect that array without it.
 		Era int64 `cbor:",omitempty"`
 		// Warnings is ignored by daemons that do not support it.
 		Warnings *wireWarnings `cbor:",omitempty"`
@@ -151,7 +153,7 @@
 		_                   struct{} `cbor:",toarray"`
 		Server              string
 		Born, Fence, Number int64
-		Held                int // the number of Models, from the first, that the server holds; slots refer to the others
+		Held                int // the number of Models, from the first, that the server holds; the others are only referred to by slots
 		Models              []string
 		Slots               []wireSlot
 	}
@@ -193,9 +195,9 @@
 
 func encodeUpdate(update *Update) *wireUpdate {
 	wire := &wireUpdate{
-		Self: encodeRecord(update.Record), Role: int(update.Role), Hub: update.Hub, Wants: update.Wants,
+		Self: encodeRecord(update.Record), Role: int(update.Role), Hub: update.Hub, Wants: update.WantsConnection,
 		Interval: int64(update.Interval), Revision: update.Revision, Version: update.Version,
-		Orderers: update.Orderers, Claimed: update.Claimed,
+		Orderers: update.OrderSenders, Claimed: update.Claimed,
 	}
 	for _, record := range update.Members {
 		wire.Members = append(wire.Members, encodeRecord(record))
@@ -450,8 +452,8 @@
 func decodeUpdate(wire *wireUpdate) *Update {
 	update := &Update{
 		Status: membership.Status{
-			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, Wants: wire.Wants,
-			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, Orderers: wire.Orderers,
+			Record: decodeRecord(wire.Self), Role: topology.Role(wire.Role), Hub: wire.Hub, WantsConnection: wire.Wants,
+			Interval: clock.Millis(wire.Interval), Revision: wire.Revision, Version: wire.Version, OrderSenders: wire.Orderers,
 		},
 		Claimed: wire.Claimed,
 	}
--- a/internal/direct/quarantine/quarantine.go
+++ b/internal/direct/quarantine/quarantine.go
@@ -94,8 +94,8 @@
 	return &List{options: options, daemonHash: xxhash.Sum64String(daemon), entries: make(map[content.ID]*entry), answers: newRecentSet[content.ID](options.Trust, options.Answers)}
 }
 
-// ServerEnded records that a server ended while it had a request with a content, unless a response
-// to the content was seen recently at this daemon.
+// ServerEnded records that a server ended while it had a request with a content, unless a
+// response to the content was seen recently at this daemon.
 func (list *List) ServerEnded(now clock.Millis, id content.ID, server string) {
 	if list.answers.has(now, id) {
 		return
--- a/internal/direct/quarantine/quarantine_test.go
+++ b/internal/direct/quarantine/quarantine_test.go
@@ -20,6 +20,8 @@
 
 const start = clock.Millis(1_000_000)
 
+// TestRefusedOnceServersHaveEnded: the same server process counts once, however many of its
+// requests had the content.
 func TestRefusedOnceServersHaveEnded(t *testing.T) {
 	list := quarantine.New(options, "d")
 	list.ServerEnded(start, crasher, "a@1")
@@ -51,6 +53,8 @@
 	require.GreaterOrEqual(t, ends, 4, "it is tried again")
 }
 
+// TestAnswerClearsTheRecord: a content that a server has answered is refused no longer, also at
+// the other daemons, and is counted from zero again.
 func TestAnswerClearsTheRecord(t *testing.T) {
 	list, peer := quarantine.New(options, "d"), quarantine.New(options, "e")
 	for _, server := range []string{"a", "b", "c"} {
@@ -64,7 +68,7 @@
 	require.True(t, peer.Merge(start, list.ChangedSince(start, 0)))
 	require.Zero(t, peer.RefusedFor(start, crasher))
 	peer.ServerEnded(start, crasher, "d")
-	require.Zero(t, peer.RefusedFor(start, crasher), "it counts from the start again")
+	require.Zero(t, peer.RefusedFor(start, crasher), "counting has started again from zero")
 }
 
 // TestDaemonsRetryAtDifferentTimes requests a crashing content at all daemons all the time.
--- a/internal/direct/quota/ledger.go
+++ b/internal/direct/quota/ledger.go
@@ -118,7 +118,7 @@
 	return min(cost, split.depth)
 }
 
-// Waits after which refused callers are told to retry, and their bounds. The upper bound is
+// Waits after which refused callers should retry, and their bounds. The upper bound is
 // short enough for callers to notice a raised limit. A caller refused by an isolated daemon
 // retries soon, as the retry may reach another daemon.
 const (
--- a/internal/direct/quota/ledger_test.go
+++ b/internal/direct/quota/ledger_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestLoweredLimit checks that a lowered limit holds from one window after the change on,
-// with all daemons connected and with some cut off.
+// with all daemons connected and with some isolated.
 func TestLoweredLimit(t *testing.T) {
 	for _, cut := range []int{0, 20} {
 		site := newSite(3, 59, large, tolerance)
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestCutOffDaemons runs an account at six times its usual rate while a third of the daemons
-// are isolated.
-func TestCutOffDaemons(t *testing.T) {
+// TestIsolatedDaemonsKeepTheLimit runs an account at six times its usual rate while a third of
+// the daemons are isolated. The site as a whole must keep the limit, and still use it.
+func TestIsolatedDaemonsKeepTheLimit(t *testing.T) {
 	for _, count := range []int{7, 59, 195} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			site := newSite(1, count, large, tolerance)
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestBelowTheLimitNothingIsRefused checks that accounts at their usual share of the limit
+// TestBelowTheLimitHardlyAnythingIsRefused checks that accounts at their usual share of the limit
 // are hardly refused anything when their callers use only three of the daemons.
-func TestBelowTheLimitNothingIsRefused(t *testing.T) {
+func TestBelowTheLimitHardlyAnythingIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit account.Limit
 		count int
--- a/internal/direct/quota/report.go
+++ b/internal/direct/quota/report.go
@@ -28,7 +28,7 @@
 	Recent  float64 // the recent part of Total, as an exponentially decaying sum
 }
 
-// Report is a report of a daemon on the usage of accounts.
+// Report is what a daemon reports to another one on the usage of accounts.
 type Report struct {
 	Scope       Scope
 	Incarnation int64 // start of the sending process
@@ -36,9 +36,9 @@
 	Readings    []Reading
 }
 
-// ApplyReport applies the report of a source. With counts the reported usage is added up. Otherwise
-// another source covers this one, and its totals are only stored, as the base from which
-// usage counts if its reports are added up later.
+// ApplyReport applies the report of a source. If counts is true, the reported usage is added
+// up. Otherwise another source covers this one, and its totals are only stored, as the base
+// from which usage counts if its reports are added up later.
 func (ledger *Ledger) ApplyReport(now clock.Millis, name string, report Report, counts bool) {
 	if ledger.incarnations[name] != report.Incarnation {
 		ledger.dropSource(name)
@@ -83,7 +83,8 @@
 	}
 }
 
-// ForgetSource drops what a source has reported: another source covers it, or it is gone.
+// ForgetSource drops what a source has reported: another source covers it, or it is no longer
+// a daemon of the site.
 func (ledger *Ledger) ForgetSource(name string) {
 	delete(ledger.incarnations, name)
 	ledger.dropSource(name)
@@ -105,9 +106,9 @@
 	units  float64
 }
 
-// UnsentReadings returns the readings in a scope that differ enough from those last sent to a receiver,
-// and records them in sent. Reporters is the number of daemons whose reports the receiver
-// adds up; with 0, all but negligible changes are returned.
+// UnsentReadings returns the readings in a scope that differ enough from those last sent to a
+// receiver, and records them in sent. Reporters is the number of daemons whose reports the
+// receiver adds up; with 0, all but negligible changes are returned.
 func (ledger *Ledger) UnsentReadings(now clock.Millis, scope Scope, receiver string, sent SentTotals, reporters int) []Reading {
 	var readings []Reading
 	for name, usage := range ledger.accounts {
--- a/internal/direct/quota/split.go
+++ b/internal/direct/quota/split.go
@@ -39,7 +39,7 @@
 	split.reservedRate = min(limit.Rate-split.silentRate, missing*max(0, limit.Rate-before.allRate))
 	split.depth *= split.reachableRate() / split.rate
 	if ledger.isolated() {
-		// Its callers must still be served where the share is less than one request.
+		// The callers of this daemon must be served even if its share is less than one request.
 		split.isolatedDepth = before.ownRate * scale * rateTimeConstant.Seconds()
 		split.depth += split.isolatedDepth
 	}
@@ -116,7 +116,8 @@
 	}
 }
 
-// recordHistory adds a snapshot to each account's history. It is used once daemons are cut off.
+// recordHistory adds a snapshot to each account's history, at most one per historyStep. The
+// history is used when daemons become unreachable.
 func (ledger *Ledger) recordHistory(now clock.Millis) {
 	if now < ledger.recordedAt+historyStep {
 		return
--- a/internal/direct/requestlog/trail.go
+++ b/internal/direct/requestlog/requestlog.go
@@ -89,11 +89,11 @@
 	lines       int
 	ended       bool
 	reasonKnown bool // the reason of the ending is known
-	notReady    line // the last line whose message is MessageNotReady
-	overLimit   line // the last line whose message is MessageOverLimit
+	notReady    line // the last line whose message is MessageAdapterNotReady
+	overLimit   line // the last line whose message is MessageAccountOverLimit
 }
 
-// apply adds what a line says to the record.
+// apply adds the facts of a line to the record.
 func (reader *reader) apply(line line) {
 	reader.lines++
 	switch line.Message {
@@ -182,7 +182,7 @@
 	}
 }
 
-// result returns the record, or an error if the log does not tell how the request ended.
+// result returns the record, or an error if the log does not show how the request ended.
 func (reader *reader) result() (outcome.Record, error) {
 	switch {
 	case reader.lines == 0:
--- a/internal/direct/retry/budget.go
+++ b/internal/direct/retry/budget.go
@@ -1,6 +1,6 @@
 // Package retry limits how often requests are retried. The limit holds over all daemons
 // without messages between them: each may use an equal part of the fixed allowance, plus a
-// ratio of its own requests.
+// ratio of its own requests. The package does not decide which requests may be retried.
 package retry
 
 import "teaselmoor/internal/base/clock"
@@ -30,15 +30,15 @@
 	return &Budget{limits: limits, width: max(1, limits.Window/bucketCount)}
 }
 
-// SetLimits replaces the ratio and the allowance. The window stays as it is, since the
-// buckets were counted by it.
+// SetLimits replaces the ratio and the allowance. The window stays as it is, since
+// the width of the buckets in use depends on it.
 func (budget *Budget) SetLimits(limits Limits) {
 	limits.Window = budget.limits.Window
 	budget.limits = limits
 }
 
-// Request counts a request of a caller.
-func (budget *Budget) Request(now clock.Millis) {
+// RecordRequest counts a request of a caller.
+func (budget *Budget) RecordRequest(now clock.Millis) {
 	budget.advance(now)
 	budget.requests[budget.newest%(bucketCount+1)]++
 }
--- a/internal/direct/retry/budget_test.go
+++ b/internal/direct/retry/budget_test.go
@@ -12,6 +12,8 @@
 
 var limits = retry.Limits{Ratio: 0.2, Extra: 54, Window: 10 * clock.Second}
 
+// TestFixedAllowanceIsSharedByDaemons: a daemon may use only its part of the allowance, and may
+// use it again once the window has passed.
 func TestFixedAllowanceIsSharedByDaemons(t *testing.T) {
 	budget := retry.New(limits)
 	taken := 0
@@ -43,7 +45,7 @@
 				}
 				continue
 			}
-			budget.Request(now)
+			budget.RecordRequest(now)
 			requests = append(requests, now)
 		}
 		for _, end := range retries {
--- a/internal/direct/throttle/share.go
+++ b/internal/direct/throttle/share.go
@@ -13,8 +13,9 @@
 // tolerates that excess.
 const extraDaemons = 4
 
-// minRate is the lowest rate at which a server is sent requests, in requests a second, also
-// when its limit is zero. Without any response no daemon would learn that the server accepts requests again.
+// minRate is the lowest rate at which a server is sent requests, in requests a second, even if
+// its limit is zero. Without any response no daemon would learn that the server accepts
+// requests again.
 const minRate = 0.1
 
 // share is a daemon's share of a server's limit: a token bucket that holds one request.
--- a/internal/direct/throttle/throttle.go
+++ b/internal/direct/throttle/throttle.go
@@ -1,12 +1,13 @@
 // Package throttle keeps the requests sent to a server within the limit that the server has
 // set: the requests a second that it accepts from all daemons together. It covers the case
-// that an overloaded server asks for less while requests keep arriving at all daemons. It does
-// no I/O and reads no clock.
+// that an overloaded server asks for less while requests keep arriving at all daemons. The
+// limits of client accounts are enforced by package quota. Package throttle does no I/O and
+// reads no clock.
 //
-// Daemons share a limit without negotiating. They tell each other of limits, and the hash of
-// server and daemon selects a few daemons, so few that a request sent by each of them at the
-// same moment is within what the site tolerates. Each of these has an equal share of the rate,
-// in a bucket that holds one request; the others send that server nothing.
+// Daemons share a limit without negotiating. They send each other the limits of servers, and
+// the hash of server and daemon selects a few daemons, so few that a request sent by each of
+// them at the same moment is within what the site tolerates. Each of these has an equal share
+// of the rate, in a bucket that holds one request; the other daemons send that server nothing.
 package throttle
 
 import (
@@ -129,7 +130,7 @@
 	return changed
 }
 
-// lookup returns the entry of a server, or an empty one if there is none.
+// lookup returns the entry of a server, or a new one without a limit if there is none.
 func (limits *Limits) lookup(server string) *entry {
 	if known, ok := limits.entries[server]; ok {
 		return known
@@ -137,8 +138,8 @@
 	return &entry{}
 }
 
-// Limited returns how many servers have a limit.
-func (limits *Limits) Limited() int {
+// LimitedCount returns how many servers have a limit.
+func (limits *Limits) LimitedCount() int {
 	return limits.limited
 }
 
--- a/internal/direct/throttle/throttle_test.go
+++ b/internal/direct/throttle/throttle_test.go
@@ -94,6 +94,8 @@
 	require.True(t, limits.Allows(now, "other"), "it has no limit")
 }
 
+// TestLimitIsLiftedByALaterAnswer: a response to a request sent before the limit was
+// known does not lift it, and a response of an earlier process changes nothing.
 func TestLimitIsLiftedByALaterAnswer(t *testing.T) {
 	limits := throttle.New("d")
 	limited, lifted := throttle.ServerLimit{Server: "s", StartedAt: 5, Limited: true, Rate: 2}, throttle.ServerLimit{Server: "s", StartedAt: 5}
@@ -104,14 +106,14 @@
 	require.False(t, limits.ApplyResponse(start+10, start-1, lifted), "response to a request sent before the limit was known")
 	require.True(t, limits.ApplyResponse(start+10, start+5, lifted))
 	require.True(t, limits.Allows(start+10, "s"))
-	require.Zero(t, limits.Limited())
+	require.Zero(t, limits.LimitedCount())
 	require.True(t, limits.ApplyResponse(start+20, start, limited))
 	require.True(t, limits.ApplyResponse(start+30, start, throttle.ServerLimit{Server: "s", StartedAt: 6}), "the new process has no limit")
 	require.True(t, limits.Allows(start+30, "s"))
 	require.False(t, limits.ApplyResponse(start+40, start, limited), "response of the old process")
 	limits.Retain(func(string) bool { return false })
 	require.True(t, limits.ApplyResponse(start+50, start, limited))
-	require.Equal(t, 1, limits.Limited())
+	require.Equal(t, 1, limits.LimitedCount())
 }
 
 // TestLimitsMergeInAnyOrder draws responses at daemons and messages between them. Once all
@@ -145,7 +147,7 @@
 			}
 		}
 		for _, limits := range site {
-			require.Equal(t, site[0].Limited(), limits.Limited())
+			require.Equal(t, site[0].LimitedCount(), limits.LimitedCount())
 			require.False(t, limits.Merge(now, site[0].ChangedSince(0)))
 			require.Empty(t, limits.ChangedSince(limits.Revision()))
 		}
--- a/internal/direct/topology/topology.go
+++ b/internal/direct/topology/topology.go
@@ -4,16 +4,17 @@
 // of daemons of each data centre are candidates. Only candidates claim servers, and they are
 // connected to each other; the other daemons are connected to the candidates of their data
 // centre. One of these is a daemon's hub: the daemon sends its own state to it, and receives
-// from it the load of all other daemons, summed by server. The package does no I/O and keeps
-// no state.
+// from it the load of all other daemons, summed by server. Which candidate claims which server
+// is decided in package claims. The package does no I/O and keeps no state.
 //
 // Every daemon computes its plan from its own view of the site, so two daemons may choose
 // different hubs and candidates. This is safe: a daemon is a hub if another daemon reports
 // it as its hub, and any two daemons that claim servers receive each other's claims.
 //
-// With n daemons in d data centres there are 2·CandidatesPerDataCentre·n connections
-// between members and candidates and (d·CandidatesPerDataCentre)² among candidates: 880 at
-// 195 daemons in six data centres, instead of 37,830 in a full mesh.
+// With n members in d data centres there are 2·CandidatesPerDataCentre·n connections between
+// members and candidates, as each of the two opens one, and fewer than
+// (d·CandidatesPerDataCentre)² among candidates: about 880 at 195 daemons in six data
+// centres, of which 183 are members, instead of 37,830 in a full mesh.
 package topology
 
 import (
@@ -28,7 +29,7 @@
 // core at 20 us a message, counting both directions.
 const MeshLimit = 12
 
-// CandidatesPerDataCentre is the number of daemons of a data centre that claim servers in a
+// CandidatesPerDataCentre is the number of daemons of a data centre that may claim servers in a
 // site that is not a mesh. One is the hub, and the other replaces it at once if it fails, as
 // members are connected to both. If both fail, other daemons become candidates as soon as
 // they detect that the two are silent. With 15 data centres, each of the 30 candidates
@@ -53,12 +54,12 @@
 	Retired               // sends orders to the servers that it owns, but claims no more
 )
 
-// SendsOrders reports whether a daemon in this role may send orders to servers.
+// SendsOrders reports whether a daemon in this role may send orders to servers that it owns.
 func (role Role) SendsOrders() bool {
 	return role == Candidate || role == Retired
 }
 
-// Peer is a daemon that reports to this one directly, with its reported state.
+// Peer is a daemon that reports to this one directly, with its reported role and hub.
 type Peer struct {
 	Daemon
 	Role Role
@@ -88,7 +89,8 @@
 	IncludesStore bool // also send what was read from the store
 }
 
-// Plan is the part that a daemon plays in its site.
+// Plan is what a daemon does in its site: its role, its connections, and where it sends its
+// state.
 type Plan struct {
 	// Mesh reports whether every daemon sends its state to every other one.
 	Mesh bool
@@ -96,7 +98,8 @@
 	Role Role
 	// Links are the daemons to keep a connection to. This daemon also connects to others
 	// that want a connection to it.
-	Links   []Daemon
+	Links []Daemon
+	// Targets are the daemons to send state changes to. All of them report to this one.
 	Targets []Target
 	// Hub is the daemon that sends this one the load of all others. It is empty if this
 	// daemon aggregates load itself, or has not found a hub yet.
@@ -106,23 +109,24 @@
 	ReadsStore bool
 }
 
-// PlanFor returns the plan of self. The known daemons are those considered live, and heard are
-// those of them that report directly; neither needs to include self. The parameter orders
-// reports whether self sends orders to servers.
-func PlanFor(self Daemon, known []Daemon, heard []Peer, orders bool) Plan {
+// PlanFor returns the plan of self. The known daemons are those considered live, and the
+// reporting ones are those of them that report to self directly; neither needs to include
+// self. The parameter sendsOrders reports whether the current role of self lets it send
+// orders.
+func PlanFor(self Daemon, known []Daemon, reporting []Peer, sendsOrders bool) Plan {
 	all := append(slices.Clone(known), self)
 	if len(all) <= MeshLimit {
-		return meshPlan(self, all, heard)
+		return meshPlan(self, all, reporting)
 	}
 	candidates := candidatesOf(all)
 	plan := Plan{Role: Member}
-	if slices.Contains(candidates[self.DataCentre], self) || isHub(self, heard) {
+	if slices.Contains(candidates[self.DataCentre], self) || isHub(self, reporting) {
 		plan.Role = Candidate
 	}
-	plan.Links = linksOf(self, plan.Role == Candidate || orders, candidates)
-	plan.Hub = hubOf(self, candidates[self.DataCentre], heard)
+	plan.Links = linksOf(self, plan.Role == Candidate || sendsOrders, candidates)
+	plan.Hub = hubOf(self, candidates[self.DataCentre], reporting)
 	plan.ReadsStore = plan.Hub == ""
-	plan.Targets = targetsOf(self, plan, heard)
+	plan.Targets = targetsOf(self, plan, reporting)
 	return plan
 }
 
@@ -136,7 +140,7 @@
 }
 
 // meshPlan returns the plan of self in a mesh.
-func meshPlan(self Daemon, all []Daemon, heard []Peer) Plan {
+func meshPlan(self Daemon, all []Daemon, reporting []Peer) Plan {
 	plan := Plan{Mesh: true, Role: Candidate, ReadsStore: true}
 	slices.SortFunc(all, compareRank)
 	for _, daemon := range all {
@@ -144,7 +148,7 @@
 			plan.Links = append(plan.Links, daemon)
 		}
 	}
-	for _, peer := range heard {
+	for _, peer := range reporting {
 		plan.Targets = append(plan.Targets, Target{Name: peer.Name, Address: peer.Address})
 	}
 	return plan
@@ -169,11 +173,11 @@
 }
 
 // linksOf returns the daemons that self keeps a connection to: all candidates if self may
-// send orders, otherwise those of its data centre.
-func linksOf(self Daemon, orders bool, candidates map[string][]Daemon) []Daemon {
+// send orders, otherwise the candidates of its data centre.
+func linksOf(self Daemon, sendsOrders bool, candidates map[string][]Daemon) []Daemon {
 	var linked []Daemon
 	for dataCentre, of := range candidates {
-		if !orders && dataCentre != self.DataCentre {
+		if !sendsOrders && dataCentre != self.DataCentre {
 			continue
 		}
 		for _, daemon := range of {
@@ -187,32 +191,32 @@
 }
 
 // isHub reports whether another daemon has chosen self as its hub.
-func isHub(self Daemon, heard []Peer) bool {
-	return slices.ContainsFunc(heard, func(peer Peer) bool { return peer.Hub == self.Name })
+func isHub(self Daemon, reporting []Peer) bool {
+	return slices.ContainsFunc(reporting, func(peer Peer) bool { return peer.Hub == self.Name })
 }
 
-// hubOf returns the best candidate of the data centre that reports to self. It returns ""
-// for a daemon that is itself better, or that another one has chosen as its hub.
-func hubOf(self Daemon, candidates []Daemon, heard []Peer) string {
-	if isHub(self, heard) {
+// hubOf returns the best candidate of the data centre that reports to self. It returns "" if
+// there is none, if self is a better candidate, or if another daemon has chosen self as hub.
+func hubOf(self Daemon, candidates []Daemon, reporting []Peer) string {
+	if isHub(self, reporting) {
 		return ""
 	}
 	for _, candidate := range candidates {
 		if candidate.Name == self.Name {
 			return ""
 		}
-		if slices.ContainsFunc(heard, func(peer Peer) bool { return peer.Name == candidate.Name }) {
+		if slices.ContainsFunc(reporting, func(peer Peer) bool { return peer.Name == candidate.Name }) {
 			return candidate.Name
 		}
 	}
 	return ""
 }
 
-// targetsOf returns the daemons that self sends its state to: its hub, or, for a hub, the
-// daemons that have chosen it and the other hubs.
-func targetsOf(self Daemon, plan Plan, heard []Peer) []Target {
+// targetsOf returns the daemons that self sends its state to: its hub, or, if it has none,
+// the daemons that have chosen self as hub and the other daemons that aggregate load.
+func targetsOf(self Daemon, plan Plan, reporting []Peer) []Target {
 	var targets []Target
-	for _, peer := range heard {
+	for _, peer := range reporting {
 		target := Target{Name: peer.Name, Address: peer.Address}
 		switch {
 		case peer.Hub == self.Name:
--- a/internal/direct/topology/topology_test.go
+++ b/internal/direct/topology/topology_test.go
@@ -10,7 +10,9 @@
 	"teaselmoor/internal/direct/topology"
 )
 
-func site(count int) []topology.Daemon {
+// daemonsOf returns the daemons of a site with a number of daemons in four data centres. Half
+// of them are large.
+func daemonsOf(count int) []topology.Daemon {
 	var daemons []topology.Daemon
 	for i := range count {
 		daemons = append(daemons, topology.Daemon{
@@ -20,7 +22,7 @@
 	return daemons
 }
 
-// settle returns the final plans of daemons that all know each other and receive reports of
+// settle returns the final plans of daemons that all know each other and receive reports from
 // those that they are connected to.
 func settle(daemons []topology.Daemon) map[string]topology.Plan {
 	plans := make(map[string]topology.Plan)
@@ -28,15 +30,15 @@
 		next := make(map[string]topology.Plan)
 		for i, daemon := range daemons {
 			others := append(append([]topology.Daemon{}, daemons[:i]...), daemons[i+1:]...)
-			next[daemon.Name] = topology.PlanFor(daemon, others, heard(daemon, others, plans), false)
+			next[daemon.Name] = topology.PlanFor(daemon, others, reporting(daemon, others, plans), false)
 		}
 		plans = next
 	}
 	return plans
 }
 
-// heard returns the daemons that self is connected to, by its own plan or by theirs.
-func heard(self topology.Daemon, others []topology.Daemon, plans map[string]topology.Plan) []topology.Peer {
+// reporting returns the daemons that self is connected to, by its own plan or by theirs.
+func reporting(self topology.Daemon, others []topology.Daemon, plans map[string]topology.Plan) []topology.Peer {
 	var peers []topology.Peer
 	for _, other := range others {
 		plan := plans[other.Name]
@@ -72,9 +74,11 @@
 	return known, messages
 }
 
+// TestChangesReachEveryDaemon checks that a state change of any daemon reaches all others, in
+// meshes and in larger sites, although members send it only to their hub.
 func TestChangesReachEveryDaemon(t *testing.T) {
 	for _, count := range []int{1, 2, 7, 12, 13, 69, 390} {
-		daemons := site(count)
+		daemons := daemonsOf(count)
 		for _, origin := range []int{0, count / 2, count - 1} {
 			reached, _ := reach(daemons, origin)
 			require.Len(t, reached, count)
@@ -85,8 +89,8 @@
 // TestMessagesGrowWithSite checks that the number of messages grows linearly with the number
 // of daemons, not with its square.
 func TestMessagesGrowWithSite(t *testing.T) {
-	_, few := reach(site(69), 0)
-	_, many := reach(site(390), 0)
+	_, few := reach(daemonsOf(69), 0)
+	_, many := reach(daemonsOf(390), 0)
 	require.LessOrEqual(t, few, 2*69+12)
 	require.LessOrEqual(t, many, 2*390+12)
 }
@@ -95,7 +99,7 @@
 // and that of a candidate grows only with the number of data centres.
 func TestConnectionsGrowWithSite(t *testing.T) {
 	for _, count := range []int{30, 100, 195, 395} {
-		for name, plan := range settle(site(count)) {
+		for name, plan := range settle(daemonsOf(count)) {
 			if plan.Role == topology.Member {
 				require.Len(t, plan.Links, topology.CandidatesPerDataCentre, name)
 				continue
@@ -108,7 +112,7 @@
 // TestCandidates checks that the largest daemons of each data centre are candidates, in a
 // bounded number.
 func TestCandidates(t *testing.T) {
-	daemons := site(195)
+	daemons := daemonsOf(195)
 	for i := range daemons {
 		daemons[i].Capacity = 200 + i%40
 	}
@@ -129,7 +133,7 @@
 // TestOneHubSendsSums checks that a daemon receives the load of the others only from its hub;
 // otherwise it would count that load twice.
 func TestOneHubSendsSums(t *testing.T) {
-	daemons := site(69)
+	daemons := daemonsOf(69)
 	plans := settle(daemons)
 	senders := make(map[string][]string)
 	for name, plan := range plans {
@@ -148,17 +152,17 @@
 	}
 }
 
-// TestSilentHub checks that the second candidate becomes the hub of members to which the first
-// one is silent.
+// TestSilentHub checks that a member that receives no reports from its hub chooses the second
+// candidate, and that a daemon chosen in this way acts as a hub.
 func TestSilentHub(t *testing.T) {
-	daemons := site(69)
+	daemons := daemonsOf(69)
 	plans := settle(daemons)
 	member := slices.IndexFunc(daemons, func(daemon topology.Daemon) bool {
 		return plans[daemon.Name].Hub != "" && plans[daemon.Name].Role == topology.Member
 	})
 	self, first := daemons[member], plans[daemons[member].Name].Hub
 	others := slices.DeleteFunc(slices.Clone(daemons), func(daemon topology.Daemon) bool { return daemon == self })
-	remaining := slices.DeleteFunc(heard(self, others, plans), func(peer topology.Peer) bool { return peer.Name == first })
+	remaining := slices.DeleteFunc(reporting(self, others, plans), func(peer topology.Peer) bool { return peer.Name == first })
 	plan := topology.PlanFor(self, others, remaining, false)
 	require.Len(t, remaining, 1)
 	require.Equal(t, remaining[0].Name, plan.Hub)
@@ -169,10 +173,12 @@
 	require.True(t, chosen.ReadsStore)
 }
 
+// TestStoreReaders checks that every daemon of a mesh reads the store, and only the hub of each
+// data centre in a larger site: otherwise calls to the store would grow with the site.
 func TestStoreReaders(t *testing.T) {
 	for _, count := range []int{1, 7, 69} {
 		readers := 0
-		for _, plan := range settle(site(count)) {
+		for _, plan := range settle(daemonsOf(count)) {
 			if plan.ReadsStore {
 				readers++
 			}
@@ -181,12 +187,12 @@
 	}
 }
 
-// BenchmarkOf measures the plan of one daemon: 1.5 us among 8 daemons, 18 us among 78 and
+// BenchmarkPlanFor measures the plan of one daemon: 1.5 us among 8 daemons, 18 us among 78 and
 // 125 us among 390. This is why plans are kept rather than computed for each request and each
 // message about prompt tokens.
-func BenchmarkOf(b *testing.B) {
+func BenchmarkPlanFor(b *testing.B) {
 	for _, count := range []int{8, 78, 390} {
-		daemons := site(count)
+		daemons := daemonsOf(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
 				topology.PlanFor(daemons[0], daemons[1:], nil, false)
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -101,12 +101,13 @@
 	return pool.opened
 }
 
+// conn is a connection to a server, in use or idle.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
 	expires time.Time
-	reused  bool
+	reused  bool // it was idle before its present request
 }
 
 // Answer is the response of a backend server. The caller of Send must call Close.
@@ -197,6 +198,7 @@
 	return nil
 }
 
+// discard closes the connection of a failed exchange.
 func (answer *Answer) discard() {
 	answer.stop()
 	answer.pool.closeConn(answer.conn)
@@ -226,7 +228,8 @@
 	}
 }
 
-// keepAlive returns how long a server keeps an idle connection, or 0 if it does not say.
+// keepAlive returns how long a server keeps an idle connection. It returns 0 if the server does
+// not say, or says 0.
 func keepAlive(header http.Header) clock.Millis {
 	for parameter := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -288,6 +291,7 @@
 	}
 }
 
+// popIdle takes the connection that became idle last.
 func (pool *Pool) popIdle(address string) (*conn, bool) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
--- a/internal/direct/upstream/pool_test.go
+++ b/internal/direct/upstream/pool_test.go
@@ -65,6 +65,7 @@
 	return string(body)
 }
 
+// TestConnectionsAreKept checks that requests one after another use the same connection.
 func TestConnectionsAreKept(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		for readRequest(conn) {
@@ -99,14 +100,16 @@
 	}
 }
 
-func TestKeepAliveOfTheServerIsRespected(t *testing.T) {
+// TestExpiredConnectionIsNotReused checks that a connection is not reused after its idle timeout.
+// The server's timeout of 0 counts as none, so the default applies.
+func TestExpiredConnectionIsNotReused(t *testing.T) {
 	address := answering(t, func(_ int, conn net.Conn) {
 		for readRequest(conn) {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok"))
 		}
 	})
 	options := upstream.DefaultOptions()
-	options.IdleTimeout = 100 // below idleMargin: never reused
+	options.IdleTimeout = 100 // below idleMargin, so the connection has expired at once
 	pool := upstream.New(options)
 	for range 2 {
 		got, err := pool.Send(t.Context(), address, request(t), accept)
@@ -116,6 +119,8 @@
 	require.EqualValues(t, 2, pool.Opened())
 }
 
+// TestRefusedConnectionWasNotSent checks that a request whose connection was refused is reported
+// as not sent, so that it may be sent to another server.
 func TestRefusedConnectionWasNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/integration/daemons/cut_test.go
+++ b/internal/integration/daemons/cut_test.go
@@ -52,7 +52,8 @@
 }
 
 // TestCutBetweenDaemons cuts the connection between entry and owner at many points
-// in either direction.
+// in either direction. Wherever the cut falls, the result that the caller gets must
+// agree with the engine's ledger.
 func TestCutBetweenDaemons(t *testing.T) {
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
--- a/internal/integration/daemons/engine_test.go
+++ b/internal/integration/daemons/engine_test.go
@@ -11,8 +11,8 @@
 	"teaselmoor/internal/standin/modelengine"
 )
 
-// TestEngineRestarted restarts the engine, with no adapter loaded, in the middle of
-// an answer.
+// TestEngineRestarted restarts the engine, which unloads all adapters, in the middle
+// of an answer. The outcome of the call must be unknown, and new calls must be served.
 func TestEngineRestarted(t *testing.T) {
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
@@ -29,9 +29,9 @@
 	testSite.CheckEngines()
 }
 
-// TestSwappedVersion lets the engine answer with another adapter version than the
-// request names. None of its text may reach the caller.
-func TestSwappedVersion(t *testing.T) {
+// TestSwappedAdapter lets the engine answer with another adapter than the request
+// names. None of its text may reach the caller.
+func TestSwappedAdapter(t *testing.T) {
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	_, entry := ownerAndEntry(testSite)
@@ -48,7 +48,7 @@
 }
 
 // TestTruncatedStream lets the engine close every stream before the answer is
-// complete.
+// complete. The outcome must be unknown: a truncated answer must not look complete.
 func TestTruncatedStream(t *testing.T) {
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
--- a/internal/integration/daemons/fault_bench_test.go
+++ b/internal/integration/daemons/fault_bench_test.go
@@ -17,7 +17,7 @@
 const (
 	// observationTime is how long calls are made after a fault.
 	observationTime = 15 * time.Second
-	// callInterval is the time between two calls of a measurement.
+	// callInterval is the time between two calls.
 	callInterval = 20 * time.Millisecond
 	// listDelay is the time until the VM list no longer names a killed daemon.
 	listDelay = time.Second
@@ -37,9 +37,9 @@
 	return entry
 }
 
-// killOwnerUnlisted kills the owner and leaves the VM list as it is, so that no
+// killListedOwner kills the owner but does not remove it from the VM list, so that no
 // daemon takes over an engine that ignores fencing numbers. It is the baseline.
-func killOwnerUnlisted(testSite *harness.Site, owner, entry int) int {
+func killListedOwner(testSite *harness.Site, owner, entry int) int {
 	testSite.Daemons[owner].Kill()
 	return entry
 }
@@ -70,7 +70,7 @@
 	for name, fault := range map[string]fault{
 		"owner-killed/fencing-checked":    {checksFencing: true, inject: killOwner},
 		"owner-killed/fencing-ignored":    {inject: killOwner},
-		"owner-killed/no-takeover":        {inject: killOwnerUnlisted},
+		"owner-killed/no-takeover":        {inject: killListedOwner},
 		"entry-killed":                    {inject: killEntry},
 		"data-centre-cut":                 {checksFencing: true, options: threeCentres, inject: cutDataCentre},
 		"data-centre-cut/fencing-ignored": {options: threeCentres, inject: cutDataCentre},
--- a/internal/integration/daemons/killed_test.go
+++ b/internal/integration/daemons/killed_test.go
@@ -107,7 +107,8 @@
 }
 
 // TestOwnerFrozen freezes the owner in the middle of an answer and resumes it after
-// the entry has ended the call.
+// the entry has ended the call. The caller's result must agree with the ledger, and
+// calls must be answered again.
 func TestOwnerFrozen(t *testing.T) {
 	t.Parallel()
 	for _, task := range []string{"review", "quote"} {
@@ -131,11 +132,11 @@
 	}
 }
 
-// TestCallersLeaveAtOnce sends many calls whose callers disconnect before an answer
+// TestCallersDisconnectAtOnce sends many calls whose callers disconnect before an answer
 // can begin. If a cancel overtook its request on the way to the owner, the request
 // would stay there. At the end, the owner must have no request left, and its slots
 // and batch must be free.
-func TestCallersLeaveAtOnce(t *testing.T) {
+func TestCallersDisconnectAtOnce(t *testing.T) {
 	t.Parallel()
 	testSite := harness.New(t, oneEngineOptions())
 	owner, entry := ownerAndEntry(testSite)
--- a/internal/integration/daemons/leaving_test.go
+++ b/internal/integration/daemons/leaving_test.go
@@ -131,10 +131,10 @@
 	testSite.CheckEngines()
 }
 
-// TestConfigurationServiceAway checks that daemons go on serving while the
+// TestConfigurationServiceUnavailable checks that daemons go on serving while the
 // configuration service is down or stale, and apply what was published meanwhile
 // once it is available again.
-func TestConfigurationServiceAway(t *testing.T) {
+func TestConfigurationServiceUnavailable(t *testing.T) {
 	t.Parallel()
 	for name, mode := range map[string]platform.Mode{"down": platform.Down, "stale": platform.Stale} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/integration/daemons/relay_bench_test.go
+++ b/internal/integration/daemons/relay_bench_test.go
@@ -23,7 +23,7 @@
 )
 
 // instantEngine is an engine that answers without delay, so that only the daemons
-// are benchSite. It sends tokensPerChunk tokens of a streamed answer per write.
+// are measured. It sends tokensPerChunk tokens of a streamed answer per write.
 type instantEngine struct {
 	model  string
 	finish chan struct{} // streams stay open until it is closed
--- a/internal/integration/daemons/slow_test.go
+++ b/internal/integration/daemons/slow_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestSlowReader leaves one caller's answer unread. Meanwhile another caller's answer
-// from the same engine, sent on the same lane, must arrive complete, and the slow
-// caller must get its own answer when it reads on.
+// from the same engine, sent over the same connection between daemons, must arrive
+// complete, and the slow caller must get its own answer when it reads on.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
 	options := oneEngineOptions()
--- a/internal/integration/faultproxy/faultproxy.go
+++ b/internal/integration/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy for tests that cuts, freezes and delays
-// connections, in one direction or both. It forwards bytes without interpreting
-// them.
+// Package faultproxy provides a TCP proxy for tests that cuts, freezes and delays
+// connections, in one direction or both. It does not interpret the bytes that it
+// forwards.
 package faultproxy
 
 import (
@@ -24,7 +24,7 @@
 	FreezeFromTarget bool
 	// RefuseNew closes new connections as soon as they are accepted.
 	RefuseNew bool
-	// Delay is added to each chunk of bytes read.
+	// Delay is the time that each chunk is held before it is forwarded.
 	Delay time.Duration
 	// CutToTarget and CutFromTarget close a connection once that many bytes have
 	// been forwarded to the target or from it since the faults were set; 0 means
@@ -168,7 +168,7 @@
 		if err != nil {
 			return
 		}
-		chunk, cut := counter.passable(proxy.delay(toTarget), buffer[:size])
+		chunk, cut := counter.truncate(proxy.awaitForwarding(toTarget), buffer[:size])
 		if _, err := to.Write(chunk); err != nil || cut {
 			return
 		}
@@ -183,9 +183,9 @@
 	started  bool
 }
 
-// passable returns the part of a chunk to forward, and whether to close the
-// connection after it.
-func (byteCounter *byteCounter) passable(faults Faults, chunk []byte) ([]byte, bool) {
+// truncate counts a chunk. It returns the part of the chunk to forward, and whether
+// to close the connection after it.
+func (byteCounter *byteCounter) truncate(faults Faults, chunk []byte) ([]byte, bool) {
 	if faults != byteCounter.faults {
 		byteCounter.faults, byteCounter.counted, byteCounter.started = faults, 0, false
 	}
@@ -205,9 +205,9 @@
 	return chunk[:max(0, left)], true
 }
 
-// delay waits until the faults allow a chunk to be forwarded in a direction, and
+// awaitForwarding waits until the faults allow a chunk to be forwarded in a direction, and
 // returns the faults that apply then.
-func (proxy *Proxy) delay(toTarget bool) Faults {
+func (proxy *Proxy) awaitForwarding(toTarget bool) Faults {
 	delayed := false
 	for {
 		faults, changed := proxy.current()
--- a/internal/integration/harness/call.go
+++ b/internal/integration/harness/call.go
@@ -30,7 +30,8 @@
 	Key string
 }
 
-// NewCall returns a call for an adapter.
+// NewCall returns a call for an adapter, given as NAME@VERSION, with an answer of the
+// given number of tokens.
 func NewCall(model string, tokens int) Call {
 	return Call{Model: model, Tokens: tokens, Prompt: uuid.NewString()}
 }
@@ -65,8 +66,8 @@
 	text     strings.Builder
 }
 
-// Begin sends a call and returns once the response begins; if there is none, it
-// returns nil and the result.
+// Begin sends a call and returns once the response begins. If there is none, it
+// returns nil and a result without an outcome.
 func (daemon *Daemon) Begin(call Call) (*OpenCall, Result) {
 	body, err := json.Marshal(map[string]any{
 		"model": call.Model, "max_tokens": call.Tokens, "stream": call.Stream, "prompt": call.Prompt,
@@ -146,7 +147,8 @@
 	_ = openCall.response.Body.Close()
 }
 
-// ReadToken reads one streamed token; at the end it returns the result and false.
+// ReadToken reads one streamed token and returns true. At the end of the answer it
+// returns the result and false.
 func (openCall *OpenCall) ReadToken() (Result, bool) {
 	for {
 		line, err := openCall.reader.ReadString('\n')
--- a/internal/integration/harness/process.go
+++ b/internal/integration/harness/process.go
@@ -136,10 +136,10 @@
 // Unfreeze resumes a frozen process.
 func (process *Process) Unfreeze() { process.signal(syscall.SIGCONT) }
 
-// ReloadSettings makes the process read its settings again.
+// ReloadSettings requests, with SIGHUP, that the process read its settings again.
 func (process *Process) ReloadSettings() { process.signal(syscall.SIGHUP) }
 
-// Terminate requests a graceful shutdown.
+// Terminate requests a graceful shutdown with SIGTERM.
 func (process *Process) Terminate() { process.signal(syscall.SIGTERM) }
 
 // Exited returns a channel that is closed once the process has ended.
--- a/internal/integration/harness/site.go
+++ b/internal/integration/harness/site.go
@@ -1,7 +1,7 @@
 // Package harness runs daemons as real processes for integration tests. The
-// stand-ins run in the test's own process, so that tests can read their ledgers
-// and set their faults. Connections between daemons and to engines pass through
-// fault proxies, and every daemon reads a VM list of its own.
+// stand-ins of a Site run in the test's own process, so that tests can read their
+// ledgers and set their faults. Connections between daemons and to engines pass
+// through fault proxies, and every daemon reads a VM list of its own.
 package harness
 
 import (
--- a/internal/replay/experiment/bound.go
+++ b/internal/replay/experiment/bound.go
@@ -15,8 +15,8 @@
 // after the other in order of arrival.
 //
 // The number of loads is a lower bound for any policy that serves requests in order
-// of arrival. The stalls are no bound, but those of this schedule: a policy that
-// serves out of order, or refuses requests, can have shorter ones.
+// of arrival. The stalls are not a bound: they are those of this one schedule, and a
+// policy that serves out of order, or refuses requests, can have shorter ones.
 func Offline() Policy {
 	return Policy{Name: "offline", offline: true}
 }
--- a/internal/replay/experiment/meter.go
+++ b/internal/replay/experiment/meter.go
@@ -44,12 +44,14 @@
 	Refusals map[outcome.Reason]int
 	// WithoutOutcome counts requests without an outcome: those whose entry was killed.
 	WithoutOutcome int
-	// Loads counts all loads, FailedLoads those that failed, and DuplicateLoads those
-	// of an adapter that another engine already held.
+	// Loads counts all loads that ended between the end of the warm-up and the end of
+	// the trace, FailedLoads those that failed, and DuplicateLoads those of an adapter
+	// that another engine already held. Evictions covers the same time.
 	Loads, FailedLoads, DuplicateLoads int
 	Evictions                          int
-	// Steps counts engine steps, and BatchShareSum sums the share of the batch that
-	// each step used.
+	// Steps counts engine steps from the start of the trace on, those of the warm-up and
+	// of the time after the trace included. BatchShareSum sums the share of the batch
+	// that each step used.
 	Steps         int
 	BatchShareSum float64
 	// StoreShare is the share of time in which the weight store was busy.
@@ -82,7 +84,8 @@
 	adapter ident.Adapter
 }
 
-// meter measures a replay through an observer of the network.
+// meter records what happens in a replay, as observer of the network or called by the
+// offline bound, and computes the result.
 type meter struct {
 	setup     Setup
 	trace     []workload.Request
--- a/internal/replay/workload/workload.go
+++ b/internal/replay/workload/workload.go
@@ -45,7 +45,7 @@
 }
 
 // Ramcharan returns the profile of a relining contractor: many small report
-// requests on fewer adapters.
+// requests, which a higher skew concentrates on fewer adapters.
 func Ramcharan() Profile {
 	return Profile{
 		Name: "Ramcharan", Adapters: 3000, Skew: 1.2, UrgentShare: 0.1, MeanTokens: 60,
--- a/internal/replay/workload/workload_test.go
+++ b/internal/replay/workload/workload_test.go
@@ -31,6 +31,8 @@
 	require.InEpsilon(t, 1/8.6, float64(most)/float64(len(trace)), 0.5)
 }
 
+// TestFloodLeavesTheTraceAsItIs checks that Flood keeps the trace's own requests, so
+// that results with and without a flood can be compared.
 func TestFloodLeavesTheTraceAsItIs(t *testing.T) {
 	trace := workload.Trace(workload.Cantabrica(), 1, 3, clock.Minute)
 	flooded := workload.Flood(workload.Cantabrica(), 1, trace, 5, clock.Minute)
--- a/internal/standin/modelengine/cache.go
+++ b/internal/standin/modelengine/cache.go
@@ -50,8 +50,8 @@
 	return &prefixCache{limit: options.CachedPrefixes, lossInterval: options.EventLossInterval}
 }
 
-// recordUse stores the prefix of a prompt, or marks it as used last if it is cached
-// already, and evicts the least recently used prefix when the cache is full.
+// recordUse stores the prefix of a prompt, or marks it as most recently used if it is
+// cached already. It evicts the least recently used prefix when the cache is full.
 func (cache *prefixCache) recordUse(model, prompt string) {
 	used := cachedPrefix{model: model, prefix: xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])}
 	for index, cached := range cache.used {
--- a/internal/standin/modelengine/engine.go
+++ b/internal/standin/modelengine/engine.go
@@ -61,9 +61,9 @@
 	// Served is the adapter that produced the answer. It differs from Model under the
 	// fault SwapTo.
 	Served string
-	// Prompt is the prompt of the request, by which tests recognise the request.
+	// Prompt is the prompt of the request, which tests use to identify the request.
 	Prompt string
-	Fence  uint64 // fencing number of the order
+	Fence  uint64 // fencing number of the request that started the run
 	Boot   string // boot id of the engine
 	Ended  Ending
 	// Violated is set when the adapter was unloaded while the run used it.
@@ -76,7 +76,7 @@
 // Endings of runs.
 const (
 	Complete  Ending = "Complete"  // produced its last token
-	Cancelled Ending = "Cancelled" // cancelled by an order
+	Cancelled Ending = "Cancelled" // cancelled by a daemon
 	Restarted Ending = "Restarted" // lost when the engine restarted
 )
 
--- a/internal/standin/platform/admin.go
+++ b/internal/standin/platform/admin.go
@@ -12,8 +12,8 @@
 // Admin returns the handler by which tests and operators control the stand-in:
 // PUT /values/KEY and PUT /vms publish, PUT /mode/MODE sets the mode of the
 // configuration service, PUT /list/up and PUT /list/down let reads of the VM list
-// succeed or fail, and GET /calls returns the number of calls of the
-// configuration service.
+// succeed or fail, and GET /calls returns the number of calls that the
+// configuration service has received.
 func (platform *Platform) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+protocol.ValuesPath+"{key}", func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a stand-in for the services of the platform: a
+// Package platform is a stand-in for two services of the platform: a
 // configuration service whose values daemons can read and watch, and a VM list
 // that shows changes with a delay. Daemons can't write to either. Tests and the
 // demo publish through Go calls, or through the admin handler, whose address
@@ -37,13 +37,13 @@
 type Platform struct {
 	configCalls atomic.Int64
 
-	mutex   sync.Mutex // guards the fields below
-	mode    Mode
-	values  map[string]protocol.Value
-	visible map[string]protocol.Value // served in mode Stale
-	changed chan struct{}             // closed and replaced at each change
-	list    members.List
-	listLag time.Duration
+	mutex       sync.Mutex // guards the fields below
+	mode        Mode
+	values      map[string]protocol.Value
+	staleValues map[string]protocol.Value // served in mode Stale
+	changed     chan struct{}             // closed and replaced at each change
+	list        members.List
+	listLag     time.Duration
 	// listDown is set while reads of the VM list fail.
 	listDown bool
 	history  []listVersion // oldest first
@@ -59,7 +59,7 @@
 // change of the list after listLag.
 func New(listLag time.Duration) *Platform {
 	return &Platform{
-		values: map[string]protocol.Value{}, visible: map[string]protocol.Value{},
+		values: map[string]protocol.Value{}, staleValues: map[string]protocol.Value{},
 		changed: make(chan struct{}), listLag: listLag,
 	}
 }
@@ -75,9 +75,9 @@
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	if mode == Stale && platform.mode != Stale {
-		platform.visible = map[string]protocol.Value{}
+		platform.staleValues = map[string]protocol.Value{}
 		for key, value := range platform.values {
-			platform.visible[key] = value
+			platform.staleValues[key] = value
 		}
 	}
 	platform.mode = mode
@@ -204,7 +204,7 @@
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	if platform.mode == Stale {
-		value, found = platform.visible[key]
+		value, found = platform.staleValues[key]
 	} else {
 		value, found = platform.values[key]
 	}
