--- a/internal/serve/daemon/peers.go
+++ b/internal/serve/daemon/peers.go
@@ -11,8 +11,8 @@
 	daemon *Daemon
 }
 
-// Message queues a message as an event and runs the next job. When an attempt has ended,
-// the node first learns how much of its answer has arrived here.
+// Message queues a message as an event and runs the next job. Before the end
+// of an attempt, it queues how much of the attempt's answer has arrived here.
 func (handler *peerHandler) Message(from ident.DaemonID, received message.Message) {
 	event := node.MessageReceived{From: from, Message: received}
 	priority := priorityOf(received.Lane())
@@ -54,7 +54,7 @@
 
 // Connected logs that a lane to a peer is connected.
 func (handler *peerHandler) Connected(peer ident.DaemonID, lane message.Lane) {
-	handler.daemon.options.Log.Info("peer lane connected", "Peer", peer, "Lane", lane)
+	handler.daemon.options.Log.Info("connected to peer", "Peer", peer, "Lane", lane)
 }
 
 // Lost ends the relays over a lost lane and queues the loss as an event.
