--- a/internal/backend/platform/platform.go
+++ b/internal/backend/platform/platform.go
@@ -18,9 +18,9 @@
 	"teaselmoor/internal/control/members"
 )
 
-// MaxValue is the maximum size of a value in the configuration service, and of the VM
+// MaxValueBytes is the maximum size of a value in the configuration service, and of the VM
 // list, in bytes.
-const MaxValue = 1 << 20
+const MaxValueBytes = 1 << 20
 
 // VersionHeader is the response header with the version of a value.
 const VersionHeader = "X-Version"
@@ -93,12 +93,12 @@
 	if err != nil {
 		return Value{}, false, errors.Wrapf(err, "read value %s: version", key)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValue+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValueBytes+1))
 	if err != nil {
 		return Value{}, false, errors.Wrapf(err, "read value %s", key)
 	}
-	if len(body) > MaxValue {
-		return Value{}, false, errors.Errorf("read value %s: more than %d bytes", key, MaxValue)
+	if len(body) > MaxValueBytes {
+		return Value{}, false, errors.Errorf("read value %s: more than %d bytes", key, MaxValueBytes)
 	}
 	return Value{Version: version, Body: body}, true, nil
 }
@@ -146,7 +146,7 @@
 		return VMListResult{}, errors.Errorf("read VM list: status %d", response.StatusCode)
 	}
 	result := VMListResult{Changed: true, ETag: response.Header.Get("ETag")}
-	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValue)).Decode(&result.List); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, MaxValueBytes)).Decode(&result.List); err != nil {
 		return VMListResult{}, errors.Wrap(err, "decode VM list")
 	}
 	return result, nil
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -86,8 +86,8 @@
 
 // Publish sets the value of a key and increments the version of the value.
 func (platform *Platform) Publish(key string, body []byte) error {
-	if len(body) > protocol.MaxValue {
-		return fmt.Errorf("value %s: %d bytes, at most %d", key, len(body), protocol.MaxValue)
+	if len(body) > protocol.MaxValueBytes {
+		return fmt.Errorf("value %s: %d bytes, at most %d", key, len(body), protocol.MaxValueBytes)
 	}
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
